--- a/gateway/caches.go
+++ b/gateway/caches.go
@@ -62,7 +62,7 @@
 }
 
 func (g *Gateway) learnCache(ctx context.Context, e *directory.Endpoint) {
-	if !loop.Sleep(ctx, rand.N(heldSpread)) || !g.awaitConfig(ctx) || !g.serves(e) || g.planner.KnowsCache(e.ID) {
+	if !loop.Sleep(ctx, rand.N(heldSpread)) || !g.awaitConfig(ctx) || !g.serves(e) || g.planner.CacheKnown(e.ID) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
@@ -72,6 +72,6 @@
 		klog.InfoS("gateway: what an engine holds is not known", "endpoint", e.ID, "err", err)
 		return
 	}
-	g.planner.Holds(e, parts)
+	g.planner.RecordCachedParts(e, parts)
 	klog.InfoS("gateway: learned what an engine holds", "endpoint", e.ID, "parts", len(parts))
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -158,7 +158,7 @@
 	g.directory = directory.New(g.setEndpoints)
 	g.planner = placement.New(placement.Config{
 		Zone: s.Zone, Directory: g.directory, Routes: g.state.config.Load,
-		Ordered: func() []string { return g.roles.Changing() }, Signals: g.signals, Tuning: s.Placement,
+		RoleChanges: func() []string { return g.roles.Changing() }, Signals: g.signals, Tuning: s.Placement,
 	})
 	day := clock.NewWall().Now
 	g.budgets = newBudgets(s.Retry)
@@ -171,7 +171,7 @@
 	g.exchange = loadshare.New(g.exchangeConfig())
 	g.roles = rolechange.New(rolechange.Config{
 		VM: s.VM, Directory: g.directory, Services: g.state.config.Load,
-		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, Open: g.planner.Open, Announce: g.exchange.Spread,
+		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, Open: g.planner.InFlight, Announce: g.exchange.Spread,
 	})
 	g.duties = duties.NewKeeper(duties.Config{
 		Rows: p.Rows, Epoch: p.Epoch, Apart: s.Lease, Rank: g.exchange.Rank,
@@ -193,7 +193,7 @@
 	s := g.settings
 	c := loadshare.Config{
 		VM: s.VM, Zone: s.Zone, Address: s.Peers, Strength: s.Strength, LinkBitsPerSecond: s.Placement.LinkBitsPerSecond,
-		Own: g.planner.Own, Heard: g.heard, News: g.heardNews,
+		Own: g.planner.LocalReport, Heard: g.heard, News: g.heardNews,
 	}
 	if g.usage != nil {
 		c.Usage = g.usage
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -49,5 +49,5 @@
 		load.Work = nil // what it still does ends soon, and it takes nothing new
 	}
 	g.roster.Learn(roster.VM{Name: load.Vm, Zone: load.Zone, Strength: int(load.Strength), Address: load.Address})
-	g.planner.Heard(load)
+	g.planner.ReceiveLoad(load)
 }
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -46,7 +46,7 @@
 // unavailable refuses a request that no endpoint takes now.
 func (d *decision) unavailable(message string) *failure.Request {
 	if d.blocked == 0 {
-		return noEndpoint(message, d.p.tuning.ComeBack)
+		return noEndpoint(message, d.p.tuning.RetryAfter)
 	}
 	after := d.returnAfter()
 	klog.InfoS("placement: refused, the endpoints take nothing now by their own signals", "request", d.r.ID, "service", d.r.Service, "try", d.try.Number,
@@ -61,7 +61,7 @@
 // returnAfter is when a caller should come back: once the first endpoint takes something again, spread
 // so that callers do not return together.
 func (d *decision) returnAfter() time.Duration {
-	first := max(d.p.tuning.ComeBack, min(d.blockedFor, maxReturn))
+	first := max(d.p.tuning.RetryAfter, min(d.blockedFor, maxReturn))
 	return first + time.Duration(d.p.random.Int64N(int64(first)))
 }
 
--- a/placement/books_test.go
+++ b/placement/books_test.go
@@ -47,10 +47,10 @@
 	inTime(t, func(t *testing.T, b *bed) {
 		b.engine("d1", "a", engine.Decode)
 		b.engine("d2", "a", engine.Decode)
-		b.planner.Heard(&sharepb.Load{Vm: "author", Changing: []uint32{loadshare.Hash("d1")}})
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "author", Changing: []uint32{loadshare.Hash("d1")}})
 		time.Sleep(2 * loadshare.TTL)
-		b.planner.Own() // forgets the author
-		b.planner.Heard(&sharepb.Load{Vm: "other"})
+		b.planner.LocalReport() // forgets the author
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other"})
 		for range 20 {
 			p := b.plan(b.chat(), relay.Try{})
 			if p.Serve.ID == "d1" {
@@ -75,14 +75,14 @@
 			b.plan(b.chat(), relay.Try{Tried: []string{"d2"}}).Watch.Finished(refusedAttempt(), false)
 			time.Sleep(pauseMin)
 		}
-		told := b.planner.Own()
+		told := b.planner.LocalReport()
 		if len(told.Refusing) != 1 || told.Refusing[0] != loadshare.Hash("d1") {
 			t.Fatalf("tells of %v", told.Refusing)
 		}
 		c := newBed(t)
 		c.engine("d1", "a", engine.Decode)
 		c.engine("d2", "a", engine.Decode)
-		c.planner.Heard(&sharepb.Load{Vm: "other", Refusing: told.Refusing})
+		c.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Refusing: told.Refusing})
 		for range 20 {
 			p := c.plan(c.chat(), relay.Try{})
 			if p.Serve.ID == "d1" {
@@ -94,7 +94,7 @@
 			t.Errorf("with no other engine the request goes to %s", p.Serve.ID)
 		}
 		time.Sleep(pauseMax)
-		if told := b.planner.Own(); len(told.Refusing) != 0 {
+		if told := b.planner.LocalReport(); len(told.Refusing) != 0 {
 			t.Errorf("still tells of %v", told.Refusing)
 		}
 	})
@@ -115,8 +115,8 @@
 			time.Sleep(pauseMax)
 			b.plan(b.letter("s"), relay.Try{Number: 1, Whole: true}).Watch.Finished(refusedAttempt(), false)
 		}
-		b.planner.Heard(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("d1@1"), PrefillTokens: 20_000}}})
-		if !b.planner.KnowsCache("d1") || len(b.planner.Own().Refusing) != 1 {
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("d1@1"), PrefillTokens: 20_000}}})
+		if !b.planner.CacheKnown("d1") || len(b.planner.LocalReport().Refusing) != 1 {
 			t.Fatal("the first start is not known")
 		}
 
@@ -125,14 +125,14 @@
 		if b.planner.books.open(k) != (work{}) || k.refusals != 0 || k.cache != nil {
 			t.Errorf("the new start is believed to have %+v open, %d refusals, cache %v", b.planner.books.open(k), k.refusals, k.cache)
 		}
-		b.planner.Heard(&sharepb.Load{Vm: "third", Placed: []*sharepb.Placed{{
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "third", Placed: []*sharepb.Placed{{
 			Endpoint: loadshare.Hash("d1@1"), Part: []uint32{loadshare.Hash("all")}, Tokens: []uint32{2500},
 		}}})
 		open.Watch.Finished(broke(), false)
-		if b.planner.KnowsCache("d1") || b.planner.books.open(k) != (work{}) {
+		if b.planner.CacheKnown("d1") || b.planner.books.open(k) != (work{}) {
 			t.Error("the end of the first start's work, or late news of it, counts for the second")
 		}
-		if own := b.planner.Own(); len(own.Work) != 0 || len(own.Refusing) != 0 {
+		if own := b.planner.LocalReport(); len(own.Work) != 0 || len(own.Refusing) != 0 {
 			t.Errorf("told of the new start: %+v", own)
 		}
 	})
--- a/placement/caches.go
+++ b/placement/caches.go
@@ -13,8 +13,8 @@
 // kilobyte.
 const toldParts = 64
 
-// Holds takes in what an engine itself says that it holds, to be told to the others.
-func (p *Planner) Holds(e *directory.Endpoint, parts []prompt.Part) {
+// RecordCachedParts takes in what an engine itself says that it holds, to be told to the others.
+func (p *Planner) RecordCachedParts(e *directory.Endpoint, parts []prompt.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.bookByHash(loadshare.Hash(e.Incarnation()))
@@ -26,8 +26,8 @@
 	}
 }
 
-// KnowsCache tells whether anything is known of what an engine holds.
-func (p *Planner) KnowsCache(id string) bool {
+// CacheKnown tells whether anything is known of what an engine holds.
+func (p *Planner) CacheKnown(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.books.byID[id]
--- a/placement/commit.go
+++ b/placement/commit.go
@@ -23,7 +23,7 @@
 	predicted := d.now.Sub(d.r.Received) + best.first + d.p.tuning.Overhead
 	limit := d.inTime()
 	if predicted-best.wait > limit {
-		limit = time.Duration(d.p.tuning.InTime * float64(d.r.Left(d.r.Received)))
+		limit = time.Duration(d.p.tuning.ObjectiveFraction * float64(d.r.Left(d.r.Received)))
 	}
 	if predicted <= limit || limit == 0 {
 		return nil
@@ -39,12 +39,12 @@
 // comeBack is when a caller whose request is late by so much should return: once
 // about that much work is done, spread so that callers do not return together.
 func (d *decision) comeBack(late time.Duration) time.Duration {
-	return late/2 + time.Duration(d.p.random.Int64N(int64(late+d.p.tuning.ComeBack)))
+	return late/2 + time.Duration(d.p.random.Int64N(int64(late+d.p.tuning.RetryAfter)))
 }
 
 // commit reserves what an option needs.
 func (d *decision) commit(o option, chunks []chunk, tokens int) (relay.Plan, *failure.Request) {
-	busy := noEndpoint("the engine is on trial", d.p.tuning.ComeBack)
+	busy := noEndpoint("the engine is on trial", d.p.tuning.RetryAfter)
 	w := &watch{p: d.p, chunks: chunks, placed: d.now, expect: o.first}
 	serveWork := work{runs: 1, kvTokens: tokens}
 	if o.prefill == nil && !d.imports() {
--- a/placement/direct_test.go
+++ b/placement/direct_test.go
@@ -11,7 +11,7 @@
 
 // occupies tells the bed what another VM has open at an engine.
 func (b *bed) occupies(engine string, runs, prefillTokens uint32) {
-	b.planner.Heard(&sharepb.Load{Vm: "rival-of-" + engine, Work: []*sharepb.Work{
+	b.planner.ReceiveLoad(&sharepb.Load{Vm: "rival-of-" + engine, Work: []*sharepb.Work{
 		{Endpoint: loadshare.Hash(engine), Runs: runs, PrefillTokens: prefillTokens},
 	}})
 }
--- a/placement/engines.go
+++ b/placement/engines.go
@@ -181,7 +181,7 @@
 
 // inTime is the time within which the first event should be predicted.
 func (d *decision) inTime() time.Duration {
-	return time.Duration(d.p.tuning.InTime * float64(d.r.Route.Objective))
+	return time.Duration(d.p.tuning.ObjectiveFraction * float64(d.r.Route.Objective))
 }
 
 // engineBook returns the book of an engine, with the model of its cache.
--- a/placement/loads_test.go
+++ b/placement/loads_test.go
@@ -85,7 +85,7 @@
 		r.load(60, 8*time.Second, question)
 		r.run(2 * time.Second)
 		for _, vm := range r.vms {
-			vm.planner.Heard(&sharepb.Load{Vm: "author", Changing: []uint32{loadshare.Hash("d0")}})
+			vm.planner.ReceiveLoad(&sharepb.Load{Vm: "author", Changing: []uint32{loadshare.Hash("d0")}})
 		}
 		began := r.now
 		r.engines["d0"].refuses = true
@@ -212,7 +212,7 @@
 		hear := func(every time.Duration) int {
 			for range 5 * newsGapMemory {
 				time.Sleep(every)
-				b.planner.Heard(&sharepb.Load{Vm: "other"})
+				b.planner.ReceiveLoad(&sharepb.Load{Vm: "other"})
 			}
 			return d.choices()
 		}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -35,7 +35,7 @@
 	b.dir = directory.New(func(old, now *directory.Snapshot) { b.planner.SetEndpoints(old, now) })
 	b.planner = New(Config{
 		Zone: "a", Directory: b.dir, Routes: func() *routes.Config { return config },
-		Ordered: func() []string { return b.ordered }, Tuning: DefaultTuning(),
+		RoleChanges: func() []string { return b.ordered }, Tuning: DefaultTuning(),
 	})
 	return b
 }
@@ -172,7 +172,7 @@
 				t.Errorf("the same subject goes to %s after %s", p.Prefill.ID, first.Prefill.ID)
 			}
 		}
-		b.planner.Heard(&sharepb.Load{Vm: "other", Placed: []*sharepb.Placed{{
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Placed: []*sharepb.Placed{{
 			Endpoint: loadshare.Hash("p7"),
 			Part:     []uint32{loadshare.Hash("all"), loadshare.Hash("s2")}, Tokens: []uint32{2500, 3500},
 		}}})
@@ -197,7 +197,7 @@
 			d.done(d.plan(d.letter("warm"), relay.Try{}))
 			// Every engine holds the part that all letters share.
 			for i := range 12 {
-				d.planner.Heard(&sharepb.Load{Vm: "warm", Placed: []*sharepb.Placed{{
+				d.planner.ReceiveLoad(&sharepb.Load{Vm: "warm", Placed: []*sharepb.Placed{{
 					Endpoint: loadshare.Hash(fmt.Sprint("p", i)), Part: []uint32{loadshare.Hash("all")}, Tokens: []uint32{2500},
 				}}})
 			}
@@ -254,7 +254,7 @@
 		b.engine("p1", "a", engine.Prefill)
 		b.engine("p2", "a", engine.Prefill)
 		b.engine("d", "a", engine.Decode)
-		b.planner.Heard(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("p1"), PrefillTokens: 20_000}}})
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("p1"), PrefillTokens: 20_000}}})
 		for i := range 3 {
 			p := b.plan(b.letter(fmt.Sprint("s", i)), relay.Try{})
 			if p.Prefill.ID != "p2" {
@@ -262,13 +262,13 @@
 			}
 			b.done(p)
 		}
-		b.planner.Heard(&sharepb.Load{Vm: "other"})
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other"})
 		if own := b.planner.books.open(b.planner.books.byID["p1"]); own != (work{}) {
 			t.Errorf("left in the books: %+v", own)
 		}
-		b.planner.Heard(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("p1"), PrefillTokens: 20_000}}})
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("p1"), PrefillTokens: 20_000}}})
 		time.Sleep(2 * loadshare.TTL)
-		b.planner.Own()
+		b.planner.LocalReport()
 		if n := len(b.planner.books.others); n != 0 {
 			t.Errorf("the work of a silent VM is still counted: %d", n)
 		}
@@ -294,7 +294,7 @@
 			t.Error("an endpoint that was ordered to change gets a request")
 		}
 		b.ordered = nil
-		b.planner.Heard(&sharepb.Load{Vm: "other", Changing: []uint32{loadshare.Hash("near")}})
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Changing: []uint32{loadshare.Hash("near")}})
 		if p := b.plan(b.call(), relay.Try{}); p.Serve.ID != "far" {
 			t.Error("an endpoint that another VM has ordered to change gets a request")
 		}
@@ -403,7 +403,7 @@
 			t.Errorf("ordered by this VM: %q", cause)
 		}
 		b.ordered = nil
-		b.planner.Heard(&sharepb.Load{Vm: "other", Changing: []uint32{loadshare.Hash(p.Serve.Incarnation())}})
+		b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Changing: []uint32{loadshare.Hash(p.Serve.Incarnation())}})
 		if cause := p.Watch.Recheck(p.Serve); cause != relay.EndpointChangesRole {
 			t.Errorf("ordered by another VM: %q", cause)
 		}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -51,8 +51,8 @@
 	Directory *directory.Directory
 	// Routes returns the configuration in force.
 	Routes func() *routes.Config
-	// Ordered names the engines that this VM has ordered to change their role.
-	Ordered func() []string
+	// RoleChanges names the engines that this VM has ordered to change their role.
+	RoleChanges func() []string
 	// Signals is what endpoints said of their own state; nil is nothing.
 	Signals *signals.Board
 	Tuning  Tuning
@@ -73,7 +73,7 @@
 	}
 	return &Planner{
 		signals: c.Signals,
-		zone:    c.Zone, directory: c.Directory, config: c.Routes, ordered: c.Ordered,
+		zone:    c.Zone, directory: c.Directory, config: c.Routes, ordered: c.RoleChanges,
 		now: c.Now, random: c.Random, tuning: c.Tuning, start: c.Now(),
 		health: health.NewTracker(c.Tuning.Health), books: newBooks(), paces: map[paceKey]*pace{}, zones: newZoneWatch(),
 		uplink: uplink{bitsPerSecond: c.Tuning.LinkBitsPerSecond},
@@ -109,8 +109,8 @@
 	p.uplink.bitsPerSecond = t.LinkBitsPerSecond
 }
 
-// Heard takes in what another VM told of its work.
-func (p *Planner) Heard(load *sharepb.Load) {
+// ReceiveLoad takes in what another VM told of its work.
+func (p *Planner) ReceiveLoad(load *sharepb.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.books.heard(p.now(), load)
@@ -127,8 +127,8 @@
 	return now.Add(p.paceOf(e.Service, e.Role).time(p.books.open(k).prefill))
 }
 
-// Own is what this VM tells the others.
-func (p *Planner) Own() loadshare.Report {
+// LocalReport is what this VM tells the others.
+func (p *Planner) LocalReport() loadshare.Report {
 	changing := p.changing()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,8 +149,8 @@
 	return list
 }
 
-// Open is the number of requests that run at an endpoint, of all VMs.
-func (p *Planner) Open(id string) int {
+// InFlight is the number of requests that run at an endpoint, of all VMs.
+func (p *Planner) InFlight(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if k := p.books.byID[id]; k != nil {
@@ -266,7 +266,7 @@
 	}
 	hold, ok := d.take(best, work{runs: 1})
 	if !ok {
-		return relay.Plan{}, noEndpoint("the endpoint is on trial", d.p.tuning.ComeBack)
+		return relay.Plan{}, noEndpoint("the endpoint is on trial", d.p.tuning.RetryAfter)
 	}
 	klog.InfoS("placement: placed", "request", d.r.ID, "try", d.try.Number, "endpoint", best.ID, "version", best.Version.String(), "zone", best.Zone,
 		"costMS", least.Milliseconds(), "running", hold.book.own.runs, "choices", len(d.endpoints), "tried", d.try.Tried)
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -105,7 +105,7 @@
 		vm := &replayVM{}
 		vm.dir = directory.New(func(old, now *directory.Snapshot) { vm.planner.SetEndpoints(old, now) })
 		vm.planner = New(Config{
-			Zone: "a", Directory: vm.dir, Routes: func() *routes.Config { return r.config }, Ordered: func() []string { return nil },
+			Zone: "a", Directory: vm.dir, Routes: func() *routes.Config { return r.config }, RoleChanges: func() []string { return nil },
 			Tuning: DefaultTuning(), Now: func() time.Time { return r.now }, Random: rand.New(rand.NewPCG(r.random.Uint64(), 2)),
 		})
 		var list []directory.Registration
@@ -123,11 +123,11 @@
 // tellAll has each VM tell the others of its work.
 func (r *replay) tellAll() {
 	for i, vm := range r.vms {
-		own := vm.planner.Own()
+		own := vm.planner.LocalReport()
 		load := &sharepb.Load{Vm: fmt.Sprint("vm", i), Work: own.Work, Placed: own.Placed, Changing: own.Changing, Refusing: own.Refusing}
 		for j, other := range r.vms {
 			if j != i {
-				r.after(r.delay, func() { other.planner.Heard(load) })
+				r.after(r.delay, func() { other.planner.ReceiveLoad(load) })
 			}
 		}
 	}
@@ -350,7 +350,7 @@
 			parts = append(parts, prompt.Part{ID: part, Tokens: 6000})
 		}
 		for _, vm := range r.vms {
-			vm.planner.Holds(vm.dir.Snapshot().Endpoint(id), parts)
+			vm.planner.RecordCachedParts(vm.dir.Snapshot().Endpoint(id), parts)
 		}
 	}
 }
--- a/placement/reuse_test.go
+++ b/placement/reuse_test.go
@@ -17,12 +17,12 @@
 		placed.Part = append(placed.Part, loadshare.Hash(p.ID))
 		placed.Tokens = append(placed.Tokens, uint32(p.Tokens))
 	}
-	b.planner.Heard(&sharepb.Load{Vm: "other", Placed: []*sharepb.Placed{placed}})
+	b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Placed: []*sharepb.Placed{placed}})
 }
 
 // busy tells the bed that an engine has much to prefill.
 func (b *bed) busy(endpoint string) {
-	b.planner.Heard(&sharepb.Load{Vm: "rival", Work: []*sharepb.Work{{Endpoint: loadshare.Hash(endpoint), PrefillTokens: 20_000}}})
+	b.planner.ReceiveLoad(&sharepb.Load{Vm: "rival", Work: []*sharepb.Work{{Endpoint: loadshare.Hash(endpoint), PrefillTokens: 20_000}}})
 }
 
 // An engine copies what another holds of the prompt rather than prefill it again.
--- a/placement/tuning.go
+++ b/placement/tuning.go
@@ -15,11 +15,11 @@
 	LinkBitsPerSecond float64
 	// ServiceTime is how long a plain service works on a request, as assumed.
 	ServiceTime time.Duration
-	// ComeBack is when to try again after a refusal that passes by itself.
-	ComeBack time.Duration
-	// InTime is the part of a route's objective within which the first event must
+	// RetryAfter is when to try again after a refusal that passes by itself.
+	RetryAfter time.Duration
+	// ObjectiveFraction is the part of a route's objective within which the first event must
 	// be predicted for a request to be taken.
-	InTime float64
+	ObjectiveFraction float64
 	// Overhead is added to a prediction for what it leaves out: the way to the
 	// caller and the turns of the processes.
 	Overhead time.Duration
@@ -45,15 +45,15 @@
 	h.MaxEjection = 8 * time.Second
 	h.TrialTimeout = 3 * time.Second
 	return Tuning{
-		NearTrip:     time.Millisecond,
-		FarTrip:      4 * time.Millisecond,
-		ServiceTime:  30 * time.Millisecond,
-		ComeBack:     100 * time.Millisecond,
-		InTime:       0.9,
-		Overhead:     15 * time.Millisecond,
-		DirectTokens: 1500,
-		Choices:      3,
-		MaxKV:        0.8,
-		Health:       h,
+		NearTrip:          time.Millisecond,
+		FarTrip:           4 * time.Millisecond,
+		ServiceTime:       30 * time.Millisecond,
+		RetryAfter:        100 * time.Millisecond,
+		ObjectiveFraction: 0.9,
+		Overhead:          15 * time.Millisecond,
+		DirectTokens:      1500,
+		Choices:           3,
+		MaxKV:             0.8,
+		Health:            h,
 	}
 }
