--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -135,7 +135,7 @@
 	freshness *freshness.Tracker
 	// usage is nil where nothing is to be reported.
 	usage  *usage.Ledger
-	roles  *rolechange.Keeper
+	roles  *rolechange.Controller
 	duties *duties.Keeper
 	guard  *poison.Guard
 	// configs, endpoints and vms are where the tables are read from.
@@ -171,14 +171,14 @@
 	g.exchange = loadshare.New(g.exchangeConfig())
 	g.roles = rolechange.New(rolechange.Config{
 		VM: s.VM, Directory: g.directory, Services: g.state.config.Load,
-		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, Open: g.planner.Open, Announce: g.exchange.Spread,
+		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, InFlight: g.planner.Open, PropagationDelay: g.exchange.Spread,
 	})
 	g.duties = duties.NewKeeper(duties.Config{
 		Rows: p.Rows, Epoch: p.Epoch, Apart: s.Lease, Rank: g.exchange.Rank,
 		Self: lease.Identity{VM: s.VM, Process: self.Boot, Address: s.Peers},
 	}, g.listDuties(day)...)
 	g.guard = poison.NewGuard(poison.Config{
-		Down: p.Down, Tell: g.exchange.Tell, Spread: g.exchange.Spread, Directory: g.directory, Rows: p.Rows, Feed: g.verdicts,
+		Down: p.Down, Broadcast: g.exchange.Tell, PropagationDelay: g.exchange.Spread, Directory: g.directory, Rows: p.Rows, Feed: g.verdicts,
 	})
 	g.relay = relay.New(relay.Config{
 		Planner: g.planner, Upstream: p.Upstream, Budget: g.budgets.of, Guard: g.guard,
@@ -208,7 +208,7 @@
 // over are closed at once: they may look open, and a request sent on one is lost.
 func (g *Gateway) setEndpoints(old, now *directory.Snapshot) {
 	g.planner.SetEndpoints(old, now)
-	g.guard.Keep(now)
+	g.guard.Retain(now)
 	g.signals.Keep(now)
 	if restarted(old, now) {
 		g.platform.Forget(now)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -39,7 +39,7 @@
 
 // heardNews takes in what is told to all VMs.
 func (g *Gateway) heardNews(n loadshare.News) {
-	g.guard.Heard(n)
+	g.guard.Receive(n)
 	g.signals.Receive(n.Signals)
 }
 
--- a/poison/guard.go
+++ b/poison/guard.go
@@ -19,9 +19,9 @@
 type Config struct {
 	// Down tells whether nobody listens at an endpoint's address any more.
 	Down func(ctx context.Context, e *directory.Endpoint) bool
-	// Tell makes all other VMs hear of something, and Spread is how long that takes.
-	Tell   func(loadshare.News)
-	Spread func() time.Duration
+	// Broadcast makes all other VMs hear of something, and PropagationDelay is how long that takes.
+	Broadcast        func(loadshare.News)
+	PropagationDelay func() time.Duration
 	// Directory knows the endpoints.
 	Directory *directory.Directory
 	// Rows and Feed are the platform's store.
@@ -49,7 +49,7 @@
 // NewGuard returns a guard that knows nothing yet.
 func NewGuard(cfg Config) *Guard {
 	g := &Guard{cfg: cfg}
-	g.ledger = NewLedger(cfg.Now, func() time.Duration { return cfg.Spread() + settleMargin })
+	g.ledger = NewLedger(cfg.Now, func() time.Duration { return cfg.PropagationDelay() + settleMargin })
 	g.keeper = NewKeeper(g.ledger, cfg.Rows, cfg.Feed)
 	g.runs = NewRuns(RunsConfig{Down: cfg.Down, Crashed: g.crashed, Now: cfg.Now})
 	return g
@@ -58,8 +58,8 @@
 // Run keeps the verdicts in the store until ctx ends.
 func (g *Guard) Run(ctx context.Context) { g.keeper.Run(ctx) }
 
-// Keep forgets endpoints that are no longer registered.
-func (g *Guard) Keep(s *directory.Snapshot) { g.runs.Keep(s) }
+// Retain forgets endpoints that are no longer registered.
+func (g *Guard) Retain(s *directory.Snapshot) { g.runs.Keep(s) }
 
 // Check implements relay.Guard. While nothing is held against any request it costs nothing;
 // otherwise a hash of the request.
@@ -100,7 +100,7 @@
 	for _, s := range cleared {
 		g.keeper.Drop(s)
 	}
-	g.cfg.Tell(loadshare.News{Cleared: [][]byte{key[:]}})
+	g.cfg.Broadcast(loadshare.News{Cleared: [][]byte{key[:]}})
 }
 
 // crashed takes in a crash that this VM saw, and tells the others.
@@ -109,12 +109,12 @@
 	for _, s := range c.Suspects {
 		told.Suspects = append(told.Suspects, &sharepb.Suspect{Key: s.Key[:], Origin: uint32(s.Origin), Streaming: s.Streaming})
 		if len(told.Suspects) == maxTold {
-			g.cfg.Tell(loadshare.News{Crashes: []*sharepb.Crash{told}})
+			g.cfg.Broadcast(loadshare.News{Crashes: []*sharepb.Crash{told}})
 			told = &sharepb.Crash{Id: c.ID}
 		}
 	}
 	if len(told.Suspects) > 0 {
-		g.cfg.Tell(loadshare.News{Crashes: []*sharepb.Crash{told}})
+		g.cfg.Broadcast(loadshare.News{Crashes: []*sharepb.Crash{told}})
 	}
 	g.judgeAfter(g.ledger.Crashed(c), true)
 }
@@ -122,8 +122,8 @@
 // maxTold bounds the suspects in one piece of news: about a kilobyte, which fits a datagram.
 const maxTold = 48
 
-// Heard takes in what another VM told.
-func (g *Guard) Heard(n loadshare.News) {
+// Receive takes in what another VM told.
+func (g *Guard) Receive(n loadshare.News) {
 	for _, c := range n.Crashes {
 		g.heardCrash(c)
 	}
--- a/poison/region_test.go
+++ b/poison/region_test.go
@@ -79,9 +79,9 @@
 			time.Sleep(lookTime)
 			return r.isGone(e)
 		},
-		Tell:      func(n loadshare.News) { r.tell(v, n) },
-		Spread:    func() time.Duration { return 2 * newsTime },
-		Directory: directory.New(nil), Rows: r.store, Feed: r.store,
+		Broadcast:        func(n loadshare.News) { r.tell(v, n) },
+		PropagationDelay: func() time.Duration { return 2 * newsTime },
+		Directory:        directory.New(nil), Rows: r.store, Feed: r.store,
 		Now: func() time.Time { return time.Now().Add(v.clock) },
 	})
 	r.mu.Lock()
@@ -128,7 +128,7 @@
 	time.AfterFunc(newsTime, func() {
 		for _, v := range r.all() {
 			if v != from && !v.cut {
-				v.Heard(n)
+				v.Receive(n)
 			}
 		}
 	})
--- a/rolechange/balance.go
+++ b/rolechange/balance.go
@@ -16,11 +16,11 @@
 
 // BalanceSettings bound a Balancer.
 type BalanceSettings struct {
-	// Share is the part of the engines that prefill before there is any work, and Enough
+	// InitialPrefillShare is the part of the engines that prefill before there is any work, and Enough
 	// the number above which no more are ordered to for that or for MinShare. In a fleet
 	// with little to do each order takes an engine away for seconds for nothing.
-	Share  float64
-	Enough int
+	InitialPrefillShare float64
+	Enough              int
 	// Memory is the time over which the pressure is averaged.
 	Memory time.Duration
 	// Busy is the wait for prefill above which an engine more is wanted there.
@@ -42,16 +42,16 @@
 // docs/POLICY.md.
 func DefaultBalance() BalanceSettings {
 	return BalanceSettings{
-		Share:    0.6,
-		Enough:   enoughPrefill,
-		Memory:   8 * time.Second,
-		Busy:     60 * time.Millisecond,
-		Room:     0.35,
-		Full:     0.8,
-		Drift:    0.08,
-		MinShare: 0.4,
-		MaxShare: 0.67,
-		Pause:    4 * time.Second,
+		InitialPrefillShare: 0.6,
+		Enough:              enoughPrefill,
+		Memory:              8 * time.Second,
+		Busy:                60 * time.Millisecond,
+		Room:                0.35,
+		Full:                0.8,
+		Drift:               0.08,
+		MinShare:            0.4,
+		MaxShare:            0.67,
+		Pause:               4 * time.Second,
 	}
 }
 
@@ -87,7 +87,7 @@
 func (b *Balancer) Target(now time.Time, shape Shape, p Pressure) int {
 	b.observe(now, p)
 	if !b.worked {
-		return b.choose(b.bounded(b.part(b.set.Share, shape), shape), shape)
+		return b.choose(b.bounded(b.part(b.set.InitialPrefillShare, shape), shape), shape)
 	}
 	want := b.bounded(b.restored(shape), shape)
 	if want != shape.Prefill || now.Sub(b.moved) < b.set.Pause {
--- a/rolechange/keeper.go
+++ b/rolechange/keeper.go
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/routes"
 )
 
-// Config is what a Keeper works with.
+// Config is what a Controller works with.
 type Config struct {
 	VM        string
 	Directory *directory.Directory
@@ -26,12 +26,12 @@
 	// of a service have to do.
 	Balance  BalanceSettings
 	Pressure func(service *routes.Service) Pressure
-	// Open returns the requests that run at an engine now. It may ask this package
+	// InFlight returns the requests that run at an engine now. It may ask this package
 	// which engines are changing.
-	Open func(id string) int
-	// Announce is how long all VMs take to learn that an engine is about to
+	InFlight func(id string) int
+	// PropagationDelay is how long all VMs take to learn that an engine is about to
 	// change, and so to send it nothing new.
-	Announce func() time.Duration
+	PropagationDelay func() time.Duration
 	// Now is where decisions take the time from; nil is the VM's clock.
 	Now func() time.Time
 }
@@ -47,9 +47,9 @@
 	changeTimeout = 15 * time.Second
 )
 
-// Keeper changes roles while this VM holds the lease of package duties. It is safe for
+// Controller changes roles while this VM holds the lease of package duties. It is safe for
 // concurrent use; mu is a leaf.
-type Keeper struct {
+type Controller struct {
 	cfg Config
 	// balancers are by service. They belong to the tenure's goroutine.
 	balancers map[string]*Balancer
@@ -60,15 +60,15 @@
 }
 
 // New returns a keeper that has ordered nothing yet.
-func New(cfg Config) *Keeper {
+func New(cfg Config) *Controller {
 	cfg.Now = clock.OrSystem(cfg.Now)
-	return &Keeper{cfg: cfg, changing: map[string]change{}}
+	return &Controller{cfg: cfg, changing: map[string]change{}}
 }
 
-var _ duties.Duty = (*Keeper)(nil)
+var _ duties.Duty = (*Controller)(nil)
 
 // Lead implements duties.Duty.
-func (k *Keeper) Lead(ctx context.Context, l *lease.Lease) {
+func (k *Controller) Lead(ctx context.Context, l *lease.Lease) {
 	k.balancers = map[string]*Balancer{}
 	for loop.Sleep(ctx, period) {
 		config := k.cfg.Services()
@@ -84,7 +84,7 @@
 }
 
 // keep orders what brings the engines of a service nearer to the target.
-func (k *Keeper) keep(ctx context.Context, l *lease.Lease, s *routes.Service) {
+func (k *Controller) keep(ctx context.Context, l *lease.Lease, s *routes.Service) {
 	engines, shape := k.engines(s.Name)
 	if shape.size() == 0 {
 		return
@@ -108,7 +108,7 @@
 		k.note(e, to)
 		chosen = append(chosen, e)
 	}
-	if len(chosen) == 0 || !loop.Sleep(ctx, k.cfg.Announce()) {
+	if len(chosen) == 0 || !loop.Sleep(ctx, k.cfg.PropagationDelay()) {
 		return
 	}
 	for _, e := range chosen {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (k *Keeper) balancer(service string) *Balancer {
+func (k *Controller) balancer(service string) *Balancer {
 	b := k.balancers[service]
 	if b == nil {
 		b = NewBalancer(k.cfg.Balance)
--- a/rolechange/keeper_test.go
+++ b/rolechange/keeper_test.go
@@ -59,14 +59,14 @@
 func (f *fleet) State(_ context.Context, e *directory.Endpoint) (State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return State{Role: f.roles[e.ID], Born: f.born, Taken: f.taken[e.ID]}, nil
+	return State{Role: f.roles[e.ID], StartedAt: f.born, OrdersAccepted: f.taken[e.ID]}, nil
 }
 
 func (f *fleet) ChangeRole(_ context.Context, e *directory.Endpoint, o Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, ordered{e.ID, o, time.Now()})
-	if f.refuse || o.Taken != f.taken[e.ID] {
+	if f.refuse || o.OrdersAccepted != f.taken[e.ID] {
 		return &RefusedError{Status: 409}
 	}
 	f.taken[e.ID]++
@@ -102,13 +102,13 @@
 
 // contender is a VM that contends for the lease, to keep the roles.
 type contender struct {
-	*Keeper
+	*Controller
 	contends *duties.Keeper
 }
 
 func (w *world) keeper(vm string, rank int) contender {
 	config := &routes.Config{Services: []routes.Service{{Name: "llm", Engine: &routes.Engine{Slots: 8}}, {Name: "plain"}}}
-	var k *Keeper
+	var k *Controller
 	k = New(Config{
 		VM: vm, Directory: w.dir, Engines: w.fleet,
 		Services: func() *routes.Config { return config },
@@ -116,8 +116,8 @@
 		Pressure: func(*routes.Service) Pressure { return w.pressure },
 		// A decision on the data path asks for the engines that are changing while
 		// it holds its own lock, so this must not be called under the keeper's.
-		Open:     func(string) int { return len(k.Changing()) },
-		Announce: func() time.Duration { return 100 * time.Millisecond },
+		InFlight:         func(string) int { return len(k.Changing()) },
+		PropagationDelay: func() time.Duration { return 100 * time.Millisecond },
 	})
 	return contender{k, duties.NewKeeper(duties.Config{
 		Rows: w.rows, Apart: 3 * time.Second, Rank: func() int { return rank },
--- a/rolechange/order.go
+++ b/rolechange/order.go
@@ -24,7 +24,7 @@
 
 // Changing returns the engines that were ordered to change and have not done so.
 // That holds also after the lease was lost: the engines change all the same.
-func (k *Keeper) Changing() []string {
+func (k *Controller) Changing() []string {
 	k.settle()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -37,7 +37,7 @@
 
 // settle forgets changes that were carried out, whose engine is gone, or that
 // take too long.
-func (k *Keeper) settle() {
+func (k *Controller) settle() {
 	s, now := k.cfg.Directory.Snapshot(), k.cfg.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // order reads an engine's state and sends it one order.
-func (k *Keeper) order(ctx context.Context, l *lease.Lease, e *directory.Endpoint, to engine.Role) {
+func (k *Controller) order(ctx context.Context, l *lease.Lease, e *directory.Endpoint, to engine.Role) {
 	asking, cancel := clock.WithTimeout(ctx, callTimeout)
 	state, err := k.cfg.Engines.State(asking, e)
 	cancel()
@@ -64,19 +64,19 @@
 		k.drop(e.ID)
 		return
 	}
-	if state.Born != e.Born {
-		klog.InfoS("rolechange: engine has started again, nothing ordered", "endpoint", e.ID, "registered", e.Born, "born", state.Born)
+	if state.StartedAt != e.Born {
+		klog.InfoS("rolechange: engine has started again, nothing ordered", "endpoint", e.ID, "registered", e.Born, "born", state.StartedAt)
 		k.drop(e.ID)
 		return
 	}
-	if state.Busy || state.Role == to {
+	if state.OrderInProgress || state.Role == to {
 		return // its registration lags, or another order is under way
 	}
 	err = duties.Act(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
-		return k.cfg.Engines.ChangeRole(ctx, e, Order{Role: to, Holder: k.cfg.VM, Fence: fence, Taken: state.Taken})
+		return k.cfg.Engines.ChangeRole(ctx, e, Order{Role: to, Holder: k.cfg.VM, Fence: fence, OrdersAccepted: state.OrdersAccepted})
 	})
 	klog.InfoS("rolechange: ordered", "endpoint", e.ID, "zone", e.Zone, "from", state.Role, "to", to,
-		"fence", l.Fence(), "taken", state.Taken, "err", err)
+		"fence", l.Fence(), "taken", state.OrdersAccepted, "err", err)
 	if certainlyNotTaken(err) {
 		k.drop(e.ID)
 	}
@@ -91,13 +91,13 @@
 	return errors.As(err, &refused) || errors.As(err, &lost) || errors.As(err, &late)
 }
 
-func (k *Keeper) note(e *directory.Endpoint, to engine.Role) {
+func (k *Controller) note(e *directory.Endpoint, to engine.Role) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changing[e.ID] = change{to: to, born: e.Born, since: k.cfg.Now()}
 }
 
-func (k *Keeper) drop(id string) {
+func (k *Controller) drop(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.changing, id)
--- a/rolechange/pick.go
+++ b/rolechange/pick.go
@@ -6,7 +6,7 @@
 )
 
 // engines returns a service's engines that stay, with the shape they will have.
-func (k *Keeper) engines(service string) ([]*directory.Endpoint, Shape) {
+func (k *Controller) engines(service string) ([]*directory.Endpoint, Shape) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var list []*directory.Endpoint
@@ -31,12 +31,12 @@
 
 // pick returns the engine to move to a role: one of the zone that has most of
 // the other role, with the fewest requests running.
-func (k *Keeper) pick(engines []*directory.Endpoint, to engine.Role) *directory.Endpoint {
+func (k *Controller) pick(engines []*directory.Endpoint, to engine.Role) *directory.Endpoint {
 	movable, byZone := k.movable(engines, to)
 	var best *directory.Endpoint
 	for _, e := range movable {
 		if best == nil || byZone[e.Zone] > byZone[best.Zone] ||
-			byZone[e.Zone] == byZone[best.Zone] && k.cfg.Open(e.ID) < k.cfg.Open(best.ID) {
+			byZone[e.Zone] == byZone[best.Zone] && k.cfg.InFlight(e.ID) < k.cfg.InFlight(best.ID) {
 			best = e
 		}
 	}
@@ -45,7 +45,7 @@
 
 // movable returns the engines that could be moved to a role, and how many of the
 // other role each zone has.
-func (k *Keeper) movable(engines []*directory.Endpoint, to engine.Role) ([]*directory.Endpoint, map[string]int) {
+func (k *Controller) movable(engines []*directory.Endpoint, to engine.Role) ([]*directory.Endpoint, map[string]int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	byZone := map[string]int{}
--- a/rolechange/rolechange.go
+++ b/rolechange/rolechange.go
@@ -24,19 +24,19 @@
 	// Holder names the VM that orders, Fence its tenure.
 	Holder string
 	Fence  uint64
-	// Taken is the number of orders that the engine must have taken so far.
-	Taken uint64
+	// OrdersAccepted is the number of orders that the engine must have taken so far.
+	OrdersAccepted uint64
 }
 
 // State is what an engine says of itself.
 type State struct {
 	Role engine.Role
-	// Born is the start that answers, as in directory.Registration.
-	Born int64
-	// Busy is set while an order is under way.
-	Busy bool
-	// Taken is the number of orders taken since its start.
-	Taken uint64
+	// StartedAt is the start that answers, as in directory.Registration.
+	StartedAt int64
+	// OrderInProgress is set while an order is under way.
+	OrderInProgress bool
+	// OrdersAccepted is the number of orders taken since its start.
+	OrdersAccepted uint64
 }
 
 // Engines reaches engines. Neither call is repeated by itself.
