--- a/duties/scaling/scaling.go
+++ b/duties/scaling/scaling.go
@@ -226,7 +226,7 @@
 
 // starting tells whether endpoints that were ordered may still be starting.
 func (s *Scaler) starting(service *routes.Service, state *zoneState) bool {
-	return s.cfg.Now().Sub(state.at) <= service.Scale.Boot+bootSlack
+	return s.cfg.Now().Sub(state.at) <= service.Scale.BootDuration+bootSlack
 }
 
 // order asks for a number of one kind, unless that is what there is or what was asked for lately.
--- a/duties/scaling/scaling_test.go
+++ b/duties/scaling/scaling_test.go
@@ -177,7 +177,7 @@
 
 func testService(most int) *routes.Config {
 	return &routes.Config{Services: []routes.Service{{Name: "llm", Scale: &routes.Scale{
-		Min: 1, Max: most, Boot: testBoot, RevocablePrice: 0.15,
+		Min: 1, Max: most, BootDuration: testBoot, RevocablePrice: 0.15,
 		ZonePrices: map[string]float64{"z0": 0.85, "z1": 1.2, "z2": 1},
 	}}}}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -182,7 +182,7 @@
 	})
 	g.relay = relay.New(relay.Config{
 		Planner: g.planner, Upstream: p.Upstream, Budget: g.budgets.of, Guard: g.guard,
-		Router: g.state, Endpoints: g.directory.Snapshot, StopsAt: g.state.stopsAt, Meter: g.meter(),
+		Router: g.state, Endpoints: g.directory.Snapshot, ShutdownAt: g.state.stopsAt, Meter: g.meter(),
 	})
 	return g
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -98,7 +98,7 @@
 		ID: call.ID, Method: r.Method, Target: target(r), Host: r.Host,
 		Header: call.passedOn(config), Body: body, HasBody: r.ContentLength != 0,
 		Caller: withoutPort(r.RemoteAddr), Received: began, Config: config, Route: route, Service: route.Service(rand.Float64()),
-		Credential: call.Credential, Organisation: who, Prompt: call.Prompt, HeldEvents: call.HeldEvents,
+		Credential: call.Credential, Organisation: who, Prompt: call.Prompt, LastEventID: call.HeldEvents,
 	}
 	if limit := sooner(call.Patience, route.Timeout); limit > 0 {
 		req.Deadline = began.Add(limit)
@@ -143,16 +143,16 @@
 func (h *handler) finish(w http.ResponseWriter, r *http.Request, req *relay.Request, result relay.Result) {
 	observe(req, result)
 	klog.InfoS("gateway: request ended", "request", req.ID, "route", req.Route.Name, "config", h.state.version(),
-		"status", result.Status, "begun", result.Begun, "endpoint", result.Endpoint, "attempts", result.Attempts,
-		"events", result.Events, "firstMS", result.First.Milliseconds(), "pauseMS", result.Pause.Milliseconds(), "tookMS", clock.Since(req.Received).Milliseconds(),
-		"failure", codeOf(result.Failed), "cause", causeOf(result.Failed), "ran", ranOf(result.Failed))
+		"status", result.Status, "begun", result.HeadSent, "endpoint", result.Endpoint, "attempts", result.Attempts,
+		"events", result.Events, "firstMS", result.TimeToHead.Milliseconds(), "pauseMS", result.MaxEventGap.Milliseconds(), "tookMS", clock.Since(req.Received).Milliseconds(),
+		"failure", codeOf(result.Failure), "cause", causeOf(result.Failure), "ran", ranOf(result.Failure))
 	switch {
-	case result.Failed == nil:
-	case result.Begun:
+	case result.Failure == nil:
+	case result.HeadSent:
 		// Only a broken connection shows that the answer is not whole.
 		panic(http.ErrAbortHandler)
 	default:
-		h.refuse(w, r, req.ID, result.Failed)
+		h.refuse(w, r, req.ID, result.Failure)
 	}
 }
 
@@ -221,8 +221,8 @@
 	flush   bool
 }
 
-// Begin implements relay.Reply.
-func (p *reply) Begin(status int, header http.Header, length int64) error {
+// WriteHead implements relay.Reply.
+func (p *reply) WriteHead(status int, header http.Header, length int64) error {
 	to := p.w.Header()
 	for name, values := range header {
 		to[name] = values
@@ -251,7 +251,7 @@
 	return nil
 }
 
-var _ relay.Reply = (*reply)(nil)
+var _ relay.ResponseWriter = (*reply)(nil)
 
 // target is the request target as the caller wrote it, without a host.
 func target(r *http.Request) string {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -27,19 +27,19 @@
 	kind := kindNames[req.Route.Kind]
 	outcome := "answered"
 	switch {
-	case result.Failed != nil && result.Begun:
+	case result.Failure != nil && result.HeadSent:
 		outcome = "broken-off"
-	case result.Failed != nil:
+	case result.Failure != nil:
 		outcome = "failed"
 	case result.Status >= http.StatusBadRequest:
 		outcome = "endpoint-error"
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_requests_total{kind=%q,outcome=%q}`, kind, outcome)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`springweir_request_seconds{kind=%q}`, kind)).UpdateDuration(req.Received)
-	if result.Begun {
-		metrics.GetOrCreateHistogram(fmt.Sprintf(`springweir_first_byte_seconds{kind=%q}`, kind)).Update(result.First.Seconds())
+	if result.HeadSent {
+		metrics.GetOrCreateHistogram(fmt.Sprintf(`springweir_first_byte_seconds{kind=%q}`, kind)).Update(result.TimeToHead.Seconds())
 	}
-	if req.Route.Objective > 0 && (!result.Begun || result.First > req.Route.Objective) {
+	if req.Route.Objective > 0 && (!result.HeadSent || result.TimeToHead > req.Route.Objective) {
 		metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_objective_missed_total{kind=%q}`, kind)).Inc()
 	}
 }
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -66,12 +66,12 @@
 }
 
 // causeOf is a signal's reason as a cause for another plan.
-func causeOf(reason signals.Reason) relay.Cause {
+func causeOf(reason signals.Reason) relay.PlanChange {
 	switch reason {
 	case signals.RateLimited:
 		return relay.EndpointRateLimited
 	case signals.BackingOff:
-		return relay.EndpointBacksOff
+		return relay.EndpointBackingOff
 	}
 	return ""
 }
--- a/placement/books_test.go
+++ b/placement/books_test.go
@@ -52,14 +52,14 @@
 		b.planner.Own() // forgets the author
 		b.planner.Heard(&sharepb.Load{Vm: "other"})
 		for range 20 {
-			p := b.plan(b.chat(), relay.Try{})
+			p := b.plan(b.chat(), relay.AttemptState{})
 			if p.Serve.ID == "d1" {
 				t.Fatal("a request goes to an engine whose change was ordered by a VM that is gone")
 			}
 			b.done(p)
 		}
 		b.dir.Put(directory.Registration{ID: "d1", Service: "llm", Zone: "a", Slots: 4, Role: engine.Prefill})
-		if p := b.plan(b.letter("s"), relay.Try{}); p.Prefill == nil || p.Prefill.ID != "d1" {
+		if p := b.plan(b.letter("s"), relay.AttemptState{}); p.Prefill == nil || p.Prefill.ID != "d1" {
 			t.Errorf("the changed engine gets no work: %v", p.Prefill)
 		}
 	})
@@ -72,7 +72,7 @@
 		b.engine("d1", "a", engine.Decode)
 		b.engine("d2", "a", engine.Decode)
 		for range 2 {
-			b.plan(b.chat(), relay.Try{Tried: []string{"d2"}}).Watch.Finished(refusedAttempt(), false)
+			b.plan(b.chat(), relay.AttemptState{Tried: []string{"d2"}}).Watch.Finished(refusedAttempt(), false)
 			time.Sleep(pauseMin)
 		}
 		told := b.planner.Own()
@@ -84,13 +84,13 @@
 		c.engine("d2", "a", engine.Decode)
 		c.planner.Heard(&sharepb.Load{Vm: "other", Refusing: told.Refusing})
 		for range 20 {
-			p := c.plan(c.chat(), relay.Try{})
+			p := c.plan(c.chat(), relay.AttemptState{})
 			if p.Serve.ID == "d1" {
 				t.Fatal("a request goes to an engine that keeps refusing another VM")
 			}
 			c.done(p)
 		}
-		if p := c.plan(c.chat(), relay.Try{Tried: []string{"d2"}}); p.Serve.ID != "d1" {
+		if p := c.plan(c.chat(), relay.AttemptState{Tried: []string{"d2"}}); p.Serve.ID != "d1" {
 			t.Errorf("with no other engine the request goes to %s", p.Serve.ID)
 		}
 		time.Sleep(pauseMax)
@@ -110,10 +110,10 @@
 func TestRestartedEngineIsNotTakenForTheOneBefore(t *testing.T) {
 	inTime(t, func(t *testing.T, b *bed) {
 		b.restart("d1", 1, engine.Decode)
-		open := b.plan(b.letter("s"), relay.Try{Number: 1, Whole: true})
+		open := b.plan(b.letter("s"), relay.AttemptState{Number: 1, Colocated: true})
 		for range 3 {
 			time.Sleep(pauseMax)
-			b.plan(b.letter("s"), relay.Try{Number: 1, Whole: true}).Watch.Finished(refusedAttempt(), false)
+			b.plan(b.letter("s"), relay.AttemptState{Number: 1, Colocated: true}).Watch.Finished(refusedAttempt(), false)
 		}
 		b.planner.Heard(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("d1@1"), PrefillTokens: 20_000}}})
 		if !b.planner.KnowsCache("d1") || len(b.planner.Own().Refusing) != 1 {
@@ -157,7 +157,7 @@
 		b.restart("d1", 1, engine.Decode)
 		b.restart("d2", 1, engine.Decode)
 		for range 3 {
-			b.plan(b.letter("s"), relay.Try{Number: 1, Whole: true, Tried: []string{"d2"}}).Watch.Finished(broke(), false)
+			b.plan(b.letter("s"), relay.AttemptState{Number: 1, Colocated: true, Tried: []string{"d2"}}).Watch.Finished(broke(), false)
 		}
 		usable := func() int { return len((&decision{p: b.planner, r: b.chat(), now: b.planner.now()}).usable(nil)) }
 		if usable() != 1 {
--- a/placement/commit.go
+++ b/placement/commit.go
@@ -23,7 +23,7 @@
 	predicted := d.now.Sub(d.r.Received) + best.first + d.p.tuning.Overhead
 	limit := d.inTime()
 	if predicted-best.wait > limit {
-		limit = time.Duration(d.p.tuning.InTime * float64(d.r.Left(d.r.Received)))
+		limit = time.Duration(d.p.tuning.InTime * float64(d.r.Remaining(d.r.Received)))
 	}
 	if predicted <= limit || limit == 0 {
 		return nil
@@ -69,7 +69,7 @@
 		d.p.books.place(w.serve.book, chunks, w.serve.readyAt())
 	}
 	d.log(o, w)
-	return relay.Plan{Serve: o.serve, Prefill: o.prefill, CopyFrom: o.copyFrom, Backup: d.backup(o.serve, tokens), Expect: o.first, Watch: w}, nil
+	return relay.Plan{Serve: o.serve, Prefill: o.prefill, CopyFrom: o.copyFrom, Backup: d.backup(o.serve, tokens), ExpectedLatency: o.first, Watch: w}, nil
 }
 
 // log tells of a choice and what decided it.
--- a/placement/direct.go
+++ b/placement/direct.go
@@ -12,7 +12,7 @@
 	for _, e := range d.drawn(d.role(engine.Decode)) {
 		o := d.prefillOn(e, chunks, tokens)
 		open := d.p.books.open(d.p.books.of(e))
-		if !d.try.Whole && open.prefill.tokens+o.uncached > d.p.tuning.DirectTokens {
+		if !d.try.Colocated && open.prefill.tokens+o.uncached > d.p.tuning.DirectTokens {
 			continue
 		}
 		wait := d.decodeWait(e, open, tokens)
--- a/placement/direct_test.go
+++ b/placement/direct_test.go
@@ -34,12 +34,12 @@
 			inTime(t, func(t *testing.T, b *bed) {
 				b.engine("p", "a", engine.Prefill)
 				b.engine("d", "a", engine.Decode)
-				b.done(b.plan(b.chat(), relay.Try{})) // the books of all engines are made
+				b.done(b.plan(b.chat(), relay.AttemptState{})) // the books of all engines are made
 				b.occupies("p", 0, 20_000)
 				b.occupies("d", 0, tc.open)
 				r := b.letter("s")
 				r.Prompt.Tokens, r.Prompt.Parts = tc.tokens, nil
-				if p := b.plan(r, relay.Try{}); (p.Prefill == nil) != tc.prefillsSelf {
+				if p := b.plan(r, relay.AttemptState{}); (p.Prefill == nil) != tc.prefillsSelf {
 					t.Errorf("prefilled by %v, by the engine that decodes itself %t wanted", p.Prefill, tc.prefillsSelf)
 				}
 			})
@@ -53,10 +53,10 @@
 		b.engine("p", "a", engine.Prefill)
 		b.engine("d1", "a", engine.Decode)
 		b.engine("d2", "a", engine.Decode)
-		b.done(b.plan(b.chat(), relay.Try{}))
+		b.done(b.plan(b.chat(), relay.AttemptState{}))
 		b.occupies("d1", 0, 4000)
 		for range 8 {
-			p := b.plan(b.letter("s"), relay.Try{})
+			p := b.plan(b.letter("s"), relay.AttemptState{})
 			if p.Prefill == nil || p.Serve.ID != "d2" {
 				t.Errorf("imported by %v, prefilled by %v", p.Serve.ID, p.Prefill)
 			}
--- a/placement/engines.go
+++ b/placement/engines.go
@@ -39,7 +39,7 @@
 		best = d.resumed()
 	case d.try.Handle != nil:
 		best = d.imported()
-	case d.try.Whole:
+	case d.try.Colocated:
 		best = d.direct(chunks, tokens)
 	default:
 		best = sooner(d.direct(chunks, tokens), d.split(chunks, tokens))
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -52,14 +52,14 @@
 }
 
 // Recheck implements relay.Watch.
-func (w *watch) Recheck(e *directory.Endpoint) relay.Cause {
+func (w *watch) Recheck(e *directory.Endpoint) relay.PlanChange {
 	h := w.serve
 	if w.prefill != nil && w.prefill.book.id == e.ID {
 		h = w.prefill
 	}
 	switch {
 	case w.p.changesRole(h):
-		return relay.EndpointChangesRole
+		return relay.EndpointChangingRole
 	case !w.p.health.Holds(w.p.now().Sub(w.p.start), h.ticket):
 		return relay.EndpointEjected
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -73,7 +73,7 @@
 	return r
 }
 
-func (b *bed) plan(r *relay.Request, try relay.Try) relay.Plan {
+func (b *bed) plan(r *relay.Request, try relay.AttemptState) relay.Plan {
 	b.t.Helper()
 	plan, failed := b.planner.Plan(r, try)
 	if failed != nil {
@@ -110,7 +110,7 @@
 		counts := map[string]int{}
 		var open []relay.Plan
 		for range 8 {
-			p := b.plan(b.call(), relay.Try{})
+			p := b.plan(b.call(), relay.AttemptState{})
 			counts[p.Serve.ID]++
 			open = append(open, p)
 		}
@@ -120,13 +120,13 @@
 		for _, p := range open {
 			p.Watch.Finished(nil, false)
 		}
-		if p := b.plan(b.call(), relay.Try{}); p.Serve.ID != "near" {
+		if p := b.plan(b.call(), relay.AttemptState{}); p.Serve.ID != "near" {
 			t.Errorf("an idle service's request goes to %s", p.Serve.ID)
 		}
-		if p := b.plan(b.call(), relay.Try{Tried: []string{"near"}}); p.Serve.ID != "far" {
+		if p := b.plan(b.call(), relay.AttemptState{Tried: []string{"near"}}); p.Serve.ID != "far" {
 			t.Errorf("a second try goes to %s", p.Serve.ID)
 		}
-		if _, failed := b.planner.Plan(b.call(), relay.Try{Tried: []string{"near", "far"}}); failed == nil || failed.Ran != failure.NotRun {
+		if _, failed := b.planner.Plan(b.call(), relay.AttemptState{Tried: []string{"near", "far"}}); failed == nil || failed.Ran != failure.NotRun {
 			t.Errorf("a third try: %v", failed)
 		}
 	})
@@ -138,18 +138,18 @@
 			b.engine("p-"+zone, zone, engine.Prefill)
 			b.engine("d-"+zone, zone, engine.Decode)
 		}
-		p := b.plan(b.letter("s1"), relay.Try{})
+		p := b.plan(b.letter("s1"), relay.AttemptState{})
 		if p.Prefill == nil || p.Prefill.ID != "p-a" || p.Serve.ID != "d-a" {
 			t.Errorf("a letter goes to %v and %v", p.Prefill, p.Serve)
 		}
-		if p := b.plan(b.chat(), relay.Try{}); p.Prefill != nil || p.Serve.Role != engine.Decode {
+		if p := b.plan(b.chat(), relay.AttemptState{}); p.Prefill != nil || p.Serve.Role != engine.Decode {
 			t.Errorf("a chat goes to %v and %v", p.Prefill, p.Serve)
 		}
-		if p := b.plan(b.letter("s2"), relay.Try{Number: 1, Whole: true}); p.Prefill != nil {
+		if p := b.plan(b.letter("s2"), relay.AttemptState{Number: 1, Colocated: true}); p.Prefill != nil {
 			t.Error("a prompt that must be read by the engine that serves is read elsewhere")
 		}
 		handle := &relay.KVHandle{Endpoint: b.dir.Snapshot().Endpoint("p-b"), Tokens: 9000}
-		if p := b.plan(b.letter("s3"), relay.Try{Number: 1, Handle: handle}); p.Prefill != nil || p.Serve.ID != "d-b" {
+		if p := b.plan(b.letter("s3"), relay.AttemptState{Number: 1, Handle: handle}); p.Prefill != nil || p.Serve.ID != "d-b" {
 			t.Errorf("a cache in zone b goes to %v and %v", p.Prefill, p.Serve)
 		}
 	})
@@ -163,10 +163,10 @@
 			b.engine(fmt.Sprint("p", i), "a", engine.Prefill)
 		}
 		b.engine("d", "a", engine.Decode)
-		first := b.plan(b.letter("s1"), relay.Try{})
+		first := b.plan(b.letter("s1"), relay.AttemptState{})
 		b.done(first)
 		for range 5 {
-			p := b.plan(b.letter("s1"), relay.Try{})
+			p := b.plan(b.letter("s1"), relay.AttemptState{})
 			b.done(p)
 			if p.Prefill.ID != first.Prefill.ID {
 				t.Errorf("the same subject goes to %s after %s", p.Prefill.ID, first.Prefill.ID)
@@ -176,7 +176,7 @@
 			Endpoint: loadshare.Hash("p7"),
 			Part:     []uint32{loadshare.Hash("all"), loadshare.Hash("s2")}, Tokens: []uint32{2500, 3500},
 		}}})
-		if p := b.plan(b.letter("s2"), relay.Try{}); p.Prefill.ID != "p7" {
+		if p := b.plan(b.letter("s2"), relay.AttemptState{}); p.Prefill.ID != "p7" {
 			t.Errorf("a subject that another VM placed on p7 goes to %s", p.Prefill.ID)
 		}
 	})
@@ -194,7 +194,7 @@
 		other.engine("d", "a", engine.Decode)
 		counts := map[string]int{}
 		for _, d := range []*bed{b, other} {
-			d.done(d.plan(d.letter("warm"), relay.Try{}))
+			d.done(d.plan(d.letter("warm"), relay.AttemptState{}))
 			// Every engine holds the part that all letters share.
 			for i := range 12 {
 				d.planner.Heard(&sharepb.Load{Vm: "warm", Placed: []*sharepb.Placed{{
@@ -204,7 +204,7 @@
 		}
 		for i := range 60 {
 			subject := fmt.Sprint("s", i)
-			p, q := b.plan(b.letter(subject), relay.Try{}), other.plan(other.letter(subject), relay.Try{})
+			p, q := b.plan(b.letter(subject), relay.AttemptState{}), other.plan(other.letter(subject), relay.AttemptState{})
 			b.done(p)
 			other.done(q)
 			if p.Prefill.ID != q.Prefill.ID {
@@ -229,7 +229,7 @@
 		taken := 0
 		var refused *failure.Request
 		for i := range 20 {
-			if _, failed := b.planner.Plan(b.letter(fmt.Sprint("s", i)), relay.Try{}); failed != nil {
+			if _, failed := b.planner.Plan(b.letter(fmt.Sprint("s", i)), relay.AttemptState{}); failed != nil {
 				refused = failed
 				break
 			}
@@ -242,7 +242,7 @@
 			t.Errorf("refused with %v, again after %v", refused, refused.RetryAfter)
 		}
 		late := b.letter("t")
-		if _, failed := b.planner.Plan(late, relay.Try{Number: 1}); failed != nil {
+		if _, failed := b.planner.Plan(late, relay.AttemptState{Number: 1}); failed != nil {
 			t.Errorf("a second try is refused for its time: %v", failed)
 		}
 	})
@@ -256,7 +256,7 @@
 		b.engine("d", "a", engine.Decode)
 		b.planner.Heard(&sharepb.Load{Vm: "other", Work: []*sharepb.Work{{Endpoint: loadshare.Hash("p1"), PrefillTokens: 20_000}}})
 		for i := range 3 {
-			p := b.plan(b.letter(fmt.Sprint("s", i)), relay.Try{})
+			p := b.plan(b.letter(fmt.Sprint("s", i)), relay.AttemptState{})
 			if p.Prefill.ID != "p2" {
 				t.Errorf("a letter goes to the engine that another VM keeps busy")
 			}
@@ -279,23 +279,23 @@
 	inTime(t, func(t *testing.T, b *bed) {
 		b.plain("near", "a")
 		b.plain("far", "b")
-		b.plan(b.call(), relay.Try{}).Watch.Finished(refusedAttempt(), false)
-		if p := b.plan(b.call(), relay.Try{}); p.Serve.ID != "far" {
+		b.plan(b.call(), relay.AttemptState{}).Watch.Finished(refusedAttempt(), false)
+		if p := b.plan(b.call(), relay.AttemptState{}); p.Serve.ID != "far" {
 			t.Error("an endpoint that has just refused gets the next request")
 		} else {
 			p.Watch.Finished(nil, false)
 		}
 		time.Sleep(pauseMin)
-		if p := b.plan(b.call(), relay.Try{}); p.Serve.ID != "near" {
+		if p := b.plan(b.call(), relay.AttemptState{}); p.Serve.ID != "near" {
 			t.Error("an endpoint is left alone for too long")
 		}
 		b.ordered = []string{"near"}
-		if p := b.plan(b.call(), relay.Try{}); p.Serve.ID != "far" {
+		if p := b.plan(b.call(), relay.AttemptState{}); p.Serve.ID != "far" {
 			t.Error("an endpoint that was ordered to change gets a request")
 		}
 		b.ordered = nil
 		b.planner.Heard(&sharepb.Load{Vm: "other", Changing: []uint32{loadshare.Hash("near")}})
-		if p := b.plan(b.call(), relay.Try{}); p.Serve.ID != "far" {
+		if p := b.plan(b.call(), relay.AttemptState{}); p.Serve.ID != "far" {
 			t.Error("an endpoint that another VM has ordered to change gets a request")
 		}
 	})
@@ -307,16 +307,16 @@
 		b.plain("far", "b")
 		b.plain("far2", "b")
 		for range 3 {
-			b.plan(b.call(), relay.Try{}).Watch.Finished(broke(), false)
+			b.plan(b.call(), relay.AttemptState{}).Watch.Finished(broke(), false)
 		}
 		for range 5 {
-			if p := b.plan(b.call(), relay.Try{}); p.Serve.ID == "near" {
+			if p := b.plan(b.call(), relay.AttemptState{}); p.Serve.ID == "near" {
 				t.Error("an endpoint that failed three times in a row gets the next request")
 			}
 		}
 		// A request that was given up here says nothing of its endpoint.
 		for range 10 {
-			p := b.plan(b.call(), relay.Try{})
+			p := b.plan(b.call(), relay.AttemptState{})
 			p.Watch.Finished(broke(), true)
 		}
 		if n := len((&decision{p: b.planner, r: b.call(), now: b.planner.now()}).usable(nil)); n != 2 {
@@ -342,7 +342,7 @@
 		}
 		for i := range 200 {
 			r := []*relay.Request{b.letter(fmt.Sprint("s", i%7)), b.chat(), b.call()}[i%3]
-			plan, failed := b.planner.Plan(r, relay.Try{})
+			plan, failed := b.planner.Plan(r, relay.AttemptState{})
 			if failed == nil {
 				ends[i%len(ends)](plan)
 			}
@@ -394,17 +394,17 @@
 		for _, id := range []string{"d1", "d2", "d3", "d4"} {
 			b.engine(id, "a", engine.Decode)
 		}
-		p := b.plan(b.chat(), relay.Try{})
+		p := b.plan(b.chat(), relay.AttemptState{})
 		if cause := p.Watch.Recheck(p.Serve); cause != "" {
 			t.Errorf("at once: %q", cause)
 		}
 		b.ordered = []string{p.Serve.ID}
-		if cause := p.Watch.Recheck(p.Serve); cause != relay.EndpointChangesRole {
+		if cause := p.Watch.Recheck(p.Serve); cause != relay.EndpointChangingRole {
 			t.Errorf("ordered by this VM: %q", cause)
 		}
 		b.ordered = nil
 		b.planner.Heard(&sharepb.Load{Vm: "other", Changing: []uint32{loadshare.Hash(p.Serve.Incarnation())}})
-		if cause := p.Watch.Recheck(p.Serve); cause != relay.EndpointChangesRole {
+		if cause := p.Watch.Recheck(p.Serve); cause != relay.EndpointChangingRole {
 			t.Errorf("ordered by another VM: %q", cause)
 		}
 		time.Sleep(changeMemory)
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -160,7 +160,7 @@
 }
 
 // Plan implements relay.Planner.
-func (p *Planner) Plan(r *relay.Request, try relay.Try) (relay.Plan, *failure.Request) {
+func (p *Planner) Plan(r *relay.Request, try relay.AttemptState) (relay.Plan, *failure.Request) {
 	config := p.config()
 	service := config.Service(r.Service)
 	ordered := p.ordered() // takes the lock of its owner, so not under mu
@@ -221,7 +221,7 @@
 type decision struct {
 	p         *Planner
 	r         *relay.Request
-	try       relay.Try
+	try       relay.AttemptState
 	now       time.Time
 	service   *routes.Service
 	endpoints []*directory.Endpoint
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -146,12 +146,12 @@
 	}
 	n := len(r.served)
 	r.served = append(r.served, outcome{at: r.now, objective: objective})
-	plan, failed := r.vms[vm].planner.Plan(req, relay.Try{})
+	plan, failed := r.vms[vm].planner.Plan(req, relay.AttemptState{})
 	if failed != nil {
 		r.served[n].refused = true
 		return
 	}
-	r.served[n].predicted = plan.Expect
+	r.served[n].predicted = plan.ExpectedLatency
 	if plan.Prefill != nil && r.refuse(n, plan.Prefill.ID, func(f *failure.Request) { plan.Watch.Prefilled(f, false); plan.Watch.Finished(nil, true) }) {
 		return
 	}
--- a/placement/reuse_test.go
+++ b/placement/reuse_test.go
@@ -32,19 +32,19 @@
 	for _, tc := range []struct {
 		name    string
 		prepare func(b *bed)
-		try     relay.Try
+		try     relay.AttemptState
 		want    string
 	}{
-		{"nobody holds it", func(*bed) {}, relay.Try{}, ""},
-		{"a crowded engine holds it", func(b *bed) { b.holds("near", all, subject) }, relay.Try{}, "near"},
-		{"one that decodes holds it", func(b *bed) { b.holds("d", all, subject) }, relay.Try{}, "d"},
-		{"one of the own zone and one of another", func(b *bed) { b.holds("far", all, subject); b.holds("near", all, subject) }, relay.Try{}, "near"},
-		{"another zone's holds more", func(b *bed) { b.holds("far", all, subject); b.holds("near", all) }, relay.Try{}, "far"},
+		{"nobody holds it", func(*bed) {}, relay.AttemptState{}, ""},
+		{"a crowded engine holds it", func(b *bed) { b.holds("near", all, subject) }, relay.AttemptState{}, "near"},
+		{"one that decodes holds it", func(b *bed) { b.holds("d", all, subject) }, relay.AttemptState{}, "d"},
+		{"one of the own zone and one of another", func(b *bed) { b.holds("far", all, subject); b.holds("near", all, subject) }, relay.AttemptState{}, "near"},
+		{"another zone's holds more", func(b *bed) { b.holds("far", all, subject); b.holds("near", all) }, relay.AttemptState{}, "far"},
 		{"the engine itself holds nearly as much", func(b *bed) {
 			b.holds("free", all, subject)
 			b.holds("near", all, subject, small)
-		}, relay.Try{}, ""},
-		{"the holder failed", func(b *bed) { b.holds("near", all, subject) }, relay.Try{Number: 1, Tried: []string{"near"}}, ""},
+		}, relay.AttemptState{}, ""},
+		{"the holder failed", func(b *bed) { b.holds("near", all, subject) }, relay.AttemptState{Number: 1, Tried: []string{"near"}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inTime(t, func(t *testing.T, b *bed) {
@@ -52,10 +52,10 @@
 				b.engine("near", "a", engine.Prefill)
 				b.engine("far", "b", engine.Prefill)
 				b.engine("d", "a", engine.Decode)
-				b.done(b.plan(b.chat(), relay.Try{})) // the books of all engines are made
+				b.done(b.plan(b.chat(), relay.AttemptState{})) // the books of all engines are made
 				warm := b.letter("warm")
 				warm.Prompt.Parts[0].ID = "other"
-				b.done(b.plan(warm, relay.Try{}))
+				b.done(b.plan(warm, relay.AttemptState{}))
 				tc.prepare(b) // what is told before the other work has been read by now
 				b.busy("near")
 				r := b.letter("s")
@@ -80,15 +80,15 @@
 		b.engine("reader", "a", engine.Prefill)
 		b.engine("free", "a", engine.Prefill)
 		b.engine("d", "a", engine.Decode)
-		b.done(b.plan(b.chat(), relay.Try{}))
+		b.done(b.plan(b.chat(), relay.AttemptState{}))
 		first := b.letter("s")
 		first.Prompt.Tokens = 46_000
 		first.Prompt.Parts[1].Tokens = 40_500
-		p := b.plan(first, relay.Try{})
+		p := b.plan(first, relay.AttemptState{})
 		second := b.letter("s")
 		second.Prompt.Parts[1].Tokens = 40_500
 		second.Prompt.Tokens = 46_000
-		q := b.plan(second, relay.Try{})
+		q := b.plan(second, relay.AttemptState{})
 		if q.CopyFrom != nil {
 			t.Errorf("copied from %s, which has not read it yet", q.CopyFrom.ID)
 		}
@@ -97,7 +97,7 @@
 		third := b.letter("s")
 		third.Prompt.Parts[1].Tokens = 40_500
 		third.Prompt.Tokens = 46_000
-		if q := b.plan(third, relay.Try{}); q.Prefill.ID != p.Prefill.ID && q.CopyFrom != p.Prefill {
+		if q := b.plan(third, relay.AttemptState{}); q.Prefill.ID != p.Prefill.ID && q.CopyFrom != p.Prefill {
 			t.Errorf("a prompt that %s has read goes to %s, copied from %v", p.Prefill.ID, q.Prefill.ID, q.CopyFrom)
 		}
 	})
--- a/placement/uplink_test.go
+++ b/placement/uplink_test.go
@@ -33,23 +33,23 @@
 			b.engine(id, "a", engine.Prefill)
 		}
 		b.engine("d1", "a", engine.Decode)
-		free := b.plan(b.heavyLetter("x"), relay.Try{})
+		free := b.plan(b.heavyLetter("x"), relay.AttemptState{})
 		b.slowLink()
-		first := b.plan(b.heavyLetter("y"), relay.Try{})
-		if got := first.Expect - free.Expect; got < 30*time.Millisecond || got > 60*time.Millisecond {
+		first := b.plan(b.heavyLetter("y"), relay.AttemptState{})
+		if got := first.ExpectedLatency - free.ExpectedLatency; got < 30*time.Millisecond || got > 60*time.Millisecond {
 			t.Errorf("a slow link adds %v to a request that goes to two engines, want about 48 ms", got)
 		}
-		second := b.plan(b.heavyLetter("z"), relay.Try{})
-		if got := second.Expect - first.Expect; got < 30*time.Millisecond {
+		second := b.plan(b.heavyLetter("z"), relay.AttemptState{})
+		if got := second.ExpectedLatency - first.ExpectedLatency; got < 30*time.Millisecond {
 			t.Errorf("the request behind it is predicted %v later, want 48 ms or more", got)
 		}
 		first.Watch.Finished(nil, true)
 		second.Watch.Finished(nil, true)
 		free.Watch.Finished(nil, true)
 		time.Sleep(200 * time.Millisecond)
-		third := b.plan(b.heavyLetter("y"), relay.Try{})
-		if third.Expect > first.Expect {
-			t.Errorf("%v predicted on a link that is free again, %v before", third.Expect, first.Expect)
+		third := b.plan(b.heavyLetter("y"), relay.AttemptState{})
+		if third.ExpectedLatency > first.ExpectedLatency {
+			t.Errorf("%v predicted on a link that is free again, %v before", third.ExpectedLatency, first.ExpectedLatency)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 		b.engine("d1", "a", engine.Decode)
 		b.slowLink()
 		for range 10 {
-			plan, failed := b.planner.Plan(b.heavyLetter("x"), relay.Try{})
+			plan, failed := b.planner.Plan(b.heavyLetter("x"), relay.AttemptState{})
 			if failed != nil {
 				if failed.Code != failure.DeadlineUnreachable || failed.Ran != failure.NotRun || failed.RetryAfter == 0 {
 					t.Errorf("refused with %+v", failed)
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -24,7 +24,7 @@
 		}
 		fail := func() (failed int) {
 			for i := range 200 {
-				p := b.plan(b.chat(), relay.Try{})
+				p := b.plan(b.chat(), relay.AttemptState{})
 				if p.Serve.Zone == "a" {
 					p.Watch.Finished(nil, false)
 					continue
@@ -39,7 +39,7 @@
 			t.Errorf("%d of 200 requests went to a zone that is cut off", n)
 		}
 		time.Sleep(cutFor + pauseMax)
-		p := b.plan(b.chat(), relay.Try{Tried: []string{"near0", "near1", "near2", "near3", "near4", "near5"}})
+		p := b.plan(b.chat(), relay.AttemptState{Tried: []string{"near0", "near1", "near2", "near3", "near4", "near5"}})
 		p.Watch.FirstEvent()
 		p.Watch.Finished(nil, false)
 		if b.planner.zones.cut(time.Now(), "b") {
@@ -54,7 +54,7 @@
 		b.plain("far1", "b")
 		b.plain("far2", "b")
 		for range 4 {
-			b.plan(b.call(), relay.Try{}).Watch.Finished(unreachableAttempt(), false)
+			b.plan(b.call(), relay.AttemptState{}).Watch.Finished(unreachableAttempt(), false)
 			time.Sleep(pauseMax)
 		}
 	})
--- a/poison/costs_test.go
+++ b/poison/costs_test.go
@@ -56,7 +56,7 @@
 		if e == nil {
 			return false, false
 		}
-		if l.run(v, q, e, work) == relay.RunAnswered {
+		if l.run(v, q, e, work) == relay.RunCompleted {
 			return true, false
 		}
 	}
--- a/poison/guard.go
+++ b/poison/guard.go
@@ -88,7 +88,7 @@
 // Ended implements relay.Guard.
 func (g *Guard) Ended(r *relay.Request, e *directory.Endpoint, end relay.RunEnd) {
 	g.runs.Ended(r, e, end)
-	if end.Outcome != relay.RunAnswered || g.ledger.Empty() {
+	if end.Outcome != relay.RunCompleted || g.ledger.Empty() {
 		return
 	}
 	key := KeyOf(r)
--- a/poison/region_test.go
+++ b/poison/region_test.go
@@ -164,7 +164,7 @@
 	r.gone[e.ID] = true
 	r.lost++
 	for run := range r.atWork[e] {
-		run.ended <- relay.RunBroke
+		run.ended <- relay.RunInterrupted
 	}
 	clear(r.atWork[e])
 }
@@ -180,7 +180,7 @@
 	}
 	r.mu.Unlock()
 	began := time.Now()
-	outcome := relay.RunAnswered
+	outcome := relay.RunCompleted
 	select {
 	case outcome = <-run.ended:
 	case <-time.After(work):
--- a/poison/runs.go
+++ b/poison/runs.go
@@ -102,7 +102,7 @@
 // Ended takes in the end of a run. If the run broke off, it returns once it is known whether
 // its endpoint crashed, or after lookWait.
 func (r *Runs) Ended(request *relay.Request, e *directory.Endpoint, end relay.RunEnd) {
-	if end.Outcome == relay.RunAnswered || end.Outcome == relay.RunRefused {
+	if end.Outcome == relay.RunCompleted || end.Outcome == relay.RunRefused {
 		return
 	}
 	now := r.cfg.Now()
@@ -116,13 +116,13 @@
 	}
 	s.ended = append(s.ended, run)
 	s.ended = s.ended[max(0, len(s.ended)-maxEnded):]
-	if end.Outcome == relay.RunBroke && s.look == nil {
+	if end.Outcome == relay.RunInterrupted && s.look == nil {
 		s.look = make(chan struct{})
 		go r.probe(e, s.look)
 	}
 	look := s.look
 	r.mu.Unlock()
-	if end.Outcome == relay.RunBroke {
+	if end.Outcome == relay.RunInterrupted {
 		await(look)
 	}
 }
--- a/poison/runs_test.go
+++ b/poison/runs_test.go
@@ -58,8 +58,8 @@
 		after   time.Duration
 		relay.RunEnd
 	}
-	broke := relay.RunEnd{Outcome: relay.RunBroke}
-	streaming := relay.RunEnd{Outcome: relay.RunBroke, Streaming: true}
+	broke := relay.RunEnd{Outcome: relay.RunInterrupted}
+	streaming := relay.RunEnd{Outcome: relay.RunInterrupted, Streaming: true}
 	left := relay.RunEnd{Outcome: relay.RunAbandoned}
 	for _, tc := range []struct {
 		name  string
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -17,18 +17,18 @@
 
 // spareAnswer is an answer that was read to its end.
 type spareAnswer struct {
-	answer Answer
+	answer Response
 	body   []byte
 }
 
 // whole reads an answer to its end before any of it is passed on, so that a
 // caller never gets half of one.
-func (j *job) whole(ctx context.Context, answer Answer) *failure.Request {
+func (j *job) whole(ctx context.Context, answer Response) *failure.Request {
 	body, failed := j.readAll(answer)
 	if failed != nil {
 		return failed
 	}
-	if j.result.Begun {
+	if j.result.HeadSent {
 		return &failure.Request{
 			Code: failure.EndpointFailed, Ran: failure.Unknown,
 			Message: fmt.Sprintf("the endpoint answered %d in the middle of a stream", answer.Status()),
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func (j *job) readAll(answer Answer) ([]byte, *failure.Request) {
+func (j *job) readAll(answer Response) ([]byte, *failure.Request) {
 	limit := j.relay.cfg.MaxAnswer
 	body, err := io.ReadAll(io.LimitReader(answer, limit+1))
 	switch {
@@ -88,7 +88,7 @@
 
 // stream passes the events on as they come, each whole. The head goes out with
 // the first, so that an attempt that breaks before it leaves no trace.
-func (j *job) stream(answer Answer, watch Watch, dog *watchdog.Watchdog) *failure.Request {
+func (j *job) stream(answer Response, watch Watch, dog *watchdog.Watchdog) *failure.Request {
 	events := newEventReader(answer)
 	for {
 		e, err := events.next()
@@ -117,25 +117,25 @@
 
 // streamEnded ends a stream that came to its true end. One without any event is
 // a whole answer all the same.
-func (j *job) streamEnded(answer Answer) *failure.Request {
-	if j.result.Begun {
+func (j *job) streamEnded(answer Response) *failure.Request {
+	if j.result.HeadSent {
 		return nil
 	}
 	return j.begin(answer, 0)
 }
 
 // begin sends the head of the answer to the caller.
-func (j *job) begin(answer Answer, length int64) *failure.Request {
-	j.result.Begun, j.result.Status = true, answer.Status()
-	j.result.First = clock.Since(j.req.Received)
-	if err := j.reply.Begin(answer.Status(), answer.Header(), length); err != nil {
+func (j *job) begin(answer Response, length int64) *failure.Request {
+	j.result.HeadSent, j.result.Status = true, answer.Status()
+	j.result.TimeToHead = clock.Since(j.req.Received)
+	if err := j.reply.WriteHead(answer.Status(), answer.Header(), length); err != nil {
 		return callerGone(err)
 	}
 	return nil
 }
 
 // pass gives one event to the caller.
-func (j *job) pass(answer Answer, e event, watch Watch) *failure.Request {
+func (j *job) pass(answer Response, e event, watch Watch) *failure.Request {
 	if e.id != 0 && e.id <= j.held {
 		return &failure.Request{
 			Code: failure.AnswerMismatch, Ran: failure.Unknown,
@@ -146,7 +146,7 @@
 		watch.FirstEvent()
 		j.began()
 	}
-	if !j.result.Begun {
+	if !j.result.HeadSent {
 		if failed := j.begin(answer, -1); failed != nil {
 			return failed
 		}
@@ -156,7 +156,7 @@
 	}
 	now := clock.Now()
 	if j.result.Events++; j.result.Events > 1 {
-		j.result.Pause = max(j.result.Pause, now.Sub(j.heldAt))
+		j.result.MaxEventGap = max(j.result.MaxEventGap, now.Sub(j.heldAt))
 	}
 	j.heldAt = now
 	if e.id != 0 {
--- a/relay/config.go
+++ b/relay/config.go
@@ -21,9 +21,9 @@
 	Router Router
 	// Endpoints returns the newest picture of the endpoints.
 	Endpoints func() *directory.Snapshot
-	// StopsAt returns when this VM's planned stop cuts off what is still open; zero, or nil,
+	// ShutdownAt returns when this VM's planned stop cuts off what is still open; zero, or nil,
 	// is none.
-	StopsAt func() time.Time
+	ShutdownAt func() time.Time
 	// MaxAnswer bounds an answer that is no stream, in bytes (default 16 MiB).
 	MaxAnswer int64
 	// MaxPlaces bounds the endpoints tried for one request, those that could
@@ -63,8 +63,8 @@
 	if cfg.Router == nil {
 		cfg.Router = unrouted{}
 	}
-	if cfg.StopsAt == nil {
-		cfg.StopsAt = func() time.Time { return time.Time{} }
+	if cfg.ShutdownAt == nil {
+		cfg.ShutdownAt = func() time.Time { return time.Time{} }
 	}
 	if cfg.MaxAnswer == 0 {
 		cfg.MaxAnswer = DefaultMaxAnswer
--- a/relay/guard.go
+++ b/relay/guard.go
@@ -24,12 +24,12 @@
 type RunOutcome int
 
 const (
-	// RunAnswered gave a whole answer, be it a failure of the endpoint's own.
-	RunAnswered RunOutcome = iota
+	// RunCompleted gave a whole answer, be it a failure of the endpoint's own.
+	RunCompleted RunOutcome = iota
 	// RunRefused did not run.
 	RunRefused
-	// RunBroke lost its connection.
-	RunBroke
+	// RunInterrupted lost its connection.
+	RunInterrupted
 	// RunAbandoned was given up by this side, or the endpoint fell silent. The endpoint may
 	// still be at work on it.
 	RunAbandoned
@@ -59,13 +59,13 @@
 func outcomeOf(ctx context.Context, failed *failure.Request) RunOutcome {
 	switch {
 	case failed == nil || failed.Ran == failure.Done:
-		return RunAnswered
+		return RunCompleted
 	case failed.Ran == failure.NotRun:
 		return RunRefused
 	case gaveUp(ctx, failed):
 		return RunAbandoned
 	case connectionEnded(failed.Cause):
-		return RunBroke
+		return RunInterrupted
 	}
 	return RunAbandoned
 }
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -62,7 +62,7 @@
 // that an endpoint made is delivered rather than a failure of our own, unless another
 // endpoint's answer has begun: what follows would look like its end.
 func (j *job) end(ctx context.Context, failed *failure.Request) {
-	if j.spare != nil && !j.result.Begun && ctx.Err() == nil {
+	if j.spare != nil && !j.result.HeadSent && ctx.Err() == nil {
 		if failed = j.deliver(j.spare); failed == nil {
 			return
 		}
@@ -76,7 +76,7 @@
 		}
 		out.Cause = failed
 	}
-	j.result.Failed = &out
+	j.result.Failure = &out
 }
 
 // gaveUp tells whether a failure is this side's doing.
--- a/relay/prefill.go
+++ b/relay/prefill.go
@@ -25,7 +25,7 @@
 	defer dog.Stop()
 	read, began := *a, clock.Now()
 	read.Endpoint, read.CopyFrom = plan.Prefill, plan.CopyFrom
-	read.Ready = func() *failure.Request { return j.recheck(ctx, plan, plan.Prefill) }
+	read.BeforeSend = func() *failure.Request { return j.recheck(ctx, plan, plan.Prefill) }
 	handle, failed := j.relay.cfg.Upstream.Prefill(limited, &read)
 	if j.withdrawn != nil {
 		plan.Watch.Prefilled(j.withdrawn, true)
@@ -63,7 +63,7 @@
 	if j.result.Attempts+1 >= j.req.Route.MaxAttempts || j.req.Route.Objective == 0 {
 		return 0
 	}
-	return max(prefillPatience*plan.Expect, j.req.Route.Objective)
+	return max(prefillPatience*plan.ExpectedLatency, j.req.Route.Objective)
 }
 
 // free drops a KV cache that was not imported, without holding up the caller.
--- a/relay/recheck.go
+++ b/relay/recheck.go
@@ -15,38 +15,38 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Cause is what has changed between a decision and the sending of what was decided.
-type Cause string
+// PlanChange is what has changed between a decision and the sending of what was decided.
+type PlanChange string
 
 // The causes. With the first group another plan is made; the second ends the request.
 const (
-	// EndpointDrains is an endpoint that drains, by its row or by its own response.
-	EndpointDrains Cause = "endpoint-drains"
-	// EndpointGone is an endpoint that is no longer registered.
-	EndpointGone Cause = "endpoint-gone"
+	// EndpointDraining is an endpoint that drains, by its row or by its own response.
+	EndpointDraining PlanChange = "endpoint-drains"
+	// EndpointDeregistered is an endpoint that is no longer registered.
+	EndpointDeregistered PlanChange = "endpoint-gone"
 	// EndpointRestarted is an endpoint that has started again under its ID.
-	EndpointRestarted Cause = "endpoint-restarted"
-	// EndpointChangesRole is an engine that has, or is about to have, another role.
-	EndpointChangesRole Cause = "endpoint-changes-role"
+	EndpointRestarted PlanChange = "endpoint-restarted"
+	// EndpointChangingRole is an engine that has, or is about to have, another role.
+	EndpointChangingRole PlanChange = "endpoint-changes-role"
 	// EndpointEjected is an endpoint that is left alone because it fails.
-	EndpointEjected Cause = "endpoint-ejected"
+	EndpointEjected PlanChange = "endpoint-ejected"
 	// EndpointRateLimited is an endpoint whose rate limit leaves this VM nothing now.
-	EndpointRateLimited Cause = "endpoint-rate-limited"
-	// EndpointBacksOff is an endpoint that has asked this VM to send it nothing for a time.
-	EndpointBacksOff Cause = "endpoint-backs-off"
+	EndpointRateLimited PlanChange = "endpoint-rate-limited"
+	// EndpointBackingOff is an endpoint that has asked this VM to send it nothing for a time.
+	EndpointBackingOff PlanChange = "endpoint-backs-off"
 	// CacheLost is a KV cache whose holder has started again since it was made.
-	CacheLost Cause = "cache-lost"
+	CacheLost PlanChange = "cache-lost"
 	// RouteChanged is a request that the configuration in force routes otherwise.
-	RouteChanged Cause = "route-changed"
+	RouteChanged PlanChange = "route-changed"
 
 	// CallerLeft is a caller that is gone or whose time is over.
-	CallerLeft Cause = "caller-left"
+	CallerLeft PlanChange = "caller-left"
 	// CallerNotAdmitted is a caller whose key was taken away, or may have been.
-	CallerNotAdmitted Cause = "caller-not-admitted"
+	CallerNotAdmitted PlanChange = "caller-not-admitted"
 	// RequestRefused is a request that the guard turns away by now.
-	RequestRefused Cause = "request-refused"
+	RequestRefused PlanChange = "request-refused"
 	// VMStops is a VM whose planned stop leaves too little time for an answer.
-	VMStops Cause = "vm-stops"
+	VMStops PlanChange = "vm-stops"
 )
 
 // maxReplans bounds how often one request is planned again because what it was planned on has
@@ -55,7 +55,7 @@
 
 // change is why an attempt is not sent as planned.
 type change struct {
-	cause Cause
+	cause PlanChange
 	// now is the endpoint as it is registered now, or nil.
 	now *directory.Endpoint
 	// final ends the request; nil means that it is planned again.
@@ -96,7 +96,7 @@
 }
 
 // planChanged is the failure of an attempt that is to be planned again.
-func planChanged(c Cause) *failure.Request {
+func planChanged(c PlanChange) *failure.Request {
 	return &failure.Request{Code: failure.PlanChanged, Ran: failure.NotRun, RetryAfter: replanAfter, Message: "what the request was planned on has changed: " + string(c)}
 }
 
@@ -136,18 +136,18 @@
 }
 
 // endpointChange tells what has become of an endpoint since it was planned for.
-func endpointChange(planned, now *directory.Endpoint) Cause {
+func endpointChange(planned, now *directory.Endpoint) PlanChange {
 	switch {
 	case now == planned:
 		return ""
 	case now == nil:
-		return EndpointGone
+		return EndpointDeregistered
 	case now.Incarnation() != planned.Incarnation():
 		return EndpointRestarted
 	case !now.Usable():
-		return EndpointDrains
+		return EndpointDraining
 	case now.Role != planned.Role:
-		return EndpointChangesRole
+		return EndpointChangingRole
 	}
 	return ""
 }
@@ -173,11 +173,11 @@
 // stops refuses an attempt whose answer would be cut off by this VM's own planned stop: another VM
 // can give it whole.
 func (j *job) stops(plan Plan) *failure.Request {
-	end := j.relay.cfg.StopsAt()
+	end := j.relay.cfg.ShutdownAt()
 	if end.IsZero() {
 		return nil
 	}
-	need := plan.Expect
+	need := plan.ExpectedLatency
 	if need == 0 {
 		need = j.req.Route.Objective
 	}
--- a/relay/recheck_test.go
+++ b/relay/recheck_test.go
@@ -26,7 +26,7 @@
 	return func(s *surroundings) { s.planner.dir.Put(r) }
 }
 
-func unfit(id string, c Cause) func(*surroundings) {
+func unfit(id string, c PlanChange) func(*surroundings) {
 	return func(s *surroundings) {
 		s.planner.mu.Lock()
 		defer s.planner.mu.Unlock()
@@ -44,7 +44,7 @@
 	{"it is gone", func(s *surroundings) { s.planner.dir.Remove("a") }},
 	{"it starts again under its ID", put(directory.Registration{ID: "a", Version: 2, Born: 7})},
 	{"it has another role", put(directory.Registration{ID: "a", Version: 2, Role: engine.Prefill})},
-	{"it is about to have another role", unfit("a", EndpointChangesRole)},
+	{"it is about to have another role", unfit("a", EndpointChangingRole)},
 	{"it is ejected", unfit("a", EndpointEjected)},
 }
 
@@ -375,7 +375,7 @@
 
 // Plans that never hold end the request after a few, as not run.
 func TestPlansThatNeverHold(t *testing.T) {
-	w := world{route: letter, unfit: map[string]Cause{}}
+	w := world{route: letter, unfit: map[string]PlanChange{}}
 	for n := range maxReplans + 2 {
 		id := fmt.Sprint("a", n)
 		w.plans = append(w.plans, id)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -16,11 +16,11 @@
 
 // Result is how a request ended.
 type Result struct {
-	// Failed is nil when the caller got a whole answer of an endpoint.
-	Failed *failure.Request
-	// Begun tells that the head of an answer went to the caller. A failure after
+	// Failure is nil when the caller got a whole answer of an endpoint.
+	Failure *failure.Request
+	// HeadSent tells that the head of an answer went to the caller. A failure after
 	// that can only be shown by breaking off the connection.
-	Begun bool
+	HeadSent bool
 	// Status is the answer's status, if one was begun.
 	Status int
 	// Endpoint is the ID of the last endpoint tried.
@@ -29,18 +29,18 @@
 	Attempts int
 	// Events counts the events passed on.
 	Events int
-	// First is when the head of the answer went to the caller, from Received.
-	First time.Duration
-	// Pause is the longest time between two events.
-	Pause time.Duration
+	// TimeToHead is when the head of the answer went to the caller, from Received.
+	TimeToHead time.Duration
+	// MaxEventGap is the longest time between two events.
+	MaxEventGap time.Duration
 }
 
 // Serve carries out one request and passes its answer to reply. A result with a
-// failure and without Begun leaves the refusal to be written by the caller of Serve.
-func (r *Relay) Serve(ctx context.Context, req *Request, reply Reply) Result {
+// failure and without HeadSent leaves the refusal to be written by the caller of Serve.
+func (r *Relay) Serve(ctx context.Context, req *Request, reply ResponseWriter) Result {
 	ctx, cancel := req.context(ctx)
 	defer cancel()
-	job := &job{relay: r, req: req, reply: reply, held: req.HeldEvents, ran: failure.NotRun}
+	job := &job{relay: r, req: req, reply: reply, held: req.LastEventID, ran: failure.NotRun}
 	job.run(ctx)
 	return job.result
 }
@@ -51,7 +51,7 @@
 type job struct {
 	relay  *Relay
 	req    *Request
-	reply  Reply
+	reply  ResponseWriter
 	result Result
 	// held is the number of the last event that the caller holds, and heldAt
 	// when this process passed it on.
@@ -123,13 +123,13 @@
 // try describes the next attempt. Once an engine has read the prompt and its
 // cache is lost, the serving engine reads it itself: a second prefill elsewhere
 // would count as an attempt, and as a retry, of its own.
-func (j *job) try() Try {
+func (j *job) try() AttemptState {
 	if j.cacheLost() {
 		j.handle = nil
 	}
-	try := Try{
+	try := AttemptState{
 		Number: len(j.tried) + j.replans, Tried: j.tried, Handle: j.handle,
-		Whole: j.prefilled && j.handle == nil,
+		Colocated: j.prefilled && j.handle == nil,
 	}
 	if j.copied != nil {
 		try.Resume = j.copied.Endpoint
@@ -139,8 +139,8 @@
 
 // attempt makes one attempt, with its prefill elsewhere if the plan has one.
 func (j *job) attempt(ctx context.Context, plan Plan) *failure.Request {
-	a := &Attempt{Request: j.req, Endpoint: plan.Serve, HeldEvents: j.held}
-	a.Ready = func() *failure.Request {
+	a := &Attempt{Request: j.req, Endpoint: plan.Serve, LastEventID: j.held}
+	a.BeforeSend = func() *failure.Request {
 		failed := j.recheck(ctx, plan, plan.Serve)
 		if failed == nil {
 			j.sent()
@@ -210,7 +210,7 @@
 func (j *job) stall(plan Plan) time.Duration {
 	route := j.req.Route
 	if j.spare != nil {
-		return max(2*plan.Expect, route.Objective)
+		return max(2*plan.ExpectedLatency, route.Objective)
 	}
 	if plan.Backup != nil {
 		return j.backupStall()
@@ -219,7 +219,7 @@
 		return 0
 	}
 	limit := time.Duration(j.relay.cfg.Stall * float64(route.Objective))
-	return max(limit, 2*plan.Expect, j.relay.cfg.MinStall)
+	return max(limit, 2*plan.ExpectedLatency, j.relay.cfg.MinStall)
 }
 
 // gap is how long a stream that could be continued elsewhere may pause. A pause
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -76,7 +76,7 @@
 	s.calls = append(s.calls, fmt.Sprintf(format, args...))
 }
 
-func (s *script) Send(ctx context.Context, a *Attempt) (Answer, *failure.Request) {
+func (s *script) Send(ctx context.Context, a *Attempt) (Response, *failure.Request) {
 	s.mu.Lock()
 	call := "send " + a.Endpoint.ID
 	if a.CopyFrom != nil {
@@ -85,8 +85,8 @@
 	if a.Import != nil {
 		call += " import " + a.Import.ID
 	}
-	if a.HeldEvents > 0 {
-		call += fmt.Sprint(" after ", a.HeldEvents)
+	if a.LastEventID > 0 {
+		call += fmt.Sprint(" after ", a.LastEventID)
 	}
 	if a.Backup != nil {
 		call += " backed up by " + a.Backup.ID
@@ -94,7 +94,7 @@
 	next := s.sends[0]
 	s.mu.Unlock()
 	time.Sleep(next.connect)
-	if failed := a.Ready(); failed != nil {
+	if failed := a.BeforeSend(); failed != nil {
 		return nil, failed
 	}
 	s.mu.Lock()
@@ -128,7 +128,7 @@
 	next := s.prefills[0]
 	s.mu.Unlock()
 	time.Sleep(next.connect)
-	if failed := a.Ready(); failed != nil {
+	if failed := a.BeforeSend(); failed != nil {
 		return nil, failed
 	}
 	s.mu.Lock()
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// scripted is an Answer.
+// scripted is a Response.
 type scripted struct {
 	step
 	ctx context.Context
@@ -190,13 +190,13 @@
 // plus.
 type plans struct {
 	list  []string
-	tries []Try
+	tries []AttemptState
 	open  int
 	// dir knows the endpoints, which are registered when first planned for.
 	dir *directory.Directory
 	// mu guards unfit, the endpoints that are ejected or about to change their role by now.
 	mu    sync.Mutex
-	unfit map[string]Cause
+	unfit map[string]PlanChange
 }
 
 func (p *plans) endpoint(id string) *directory.Endpoint {
@@ -206,7 +206,7 @@
 	return p.dir.Snapshot().Endpoint(id)
 }
 
-func (p *plans) Plan(_ *Request, try Try) (Plan, *failure.Request) {
+func (p *plans) Plan(_ *Request, try AttemptState) (Plan, *failure.Request) {
 	p.tries = append(p.tries, try)
 	if len(p.list) == 0 {
 		return Plan{}, &failure.Request{Code: failure.NoEndpoint, Ran: failure.NotRun, RetryAfter: time.Second}
@@ -226,7 +226,7 @@
 	}
 	if read, serve, split := strings.Cut(next, "/"); split {
 		next = serve
-		if !try.Whole {
+		if !try.Colocated {
 			plan.Prefill = p.endpoint(read)
 		}
 	}
@@ -236,7 +236,7 @@
 
 type planWatch plans
 
-func (w *planWatch) Recheck(e *directory.Endpoint) Cause {
+func (w *planWatch) Recheck(e *directory.Endpoint) PlanChange {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.unfit[e.ID]
@@ -259,14 +259,14 @@
 	return true
 }
 
-// caller is a Reply that keeps what it was given.
+// caller is a ResponseWriter that keeps what it was given.
 type caller struct {
 	status int
 	body   bytes.Buffer
 	gone   bool
 }
 
-func (c *caller) Begin(status int, _ http.Header, _ int64) error {
+func (c *caller) WriteHead(status int, _ http.Header, _ int64) error {
 	c.status = status
 	return c.err()
 }
@@ -296,7 +296,7 @@
 	// then are things that happen while the request is under way, each after some time.
 	then []happening
 	// unfit are the endpoints that are not fit to be sent to from the beginning.
-	unfit map[string]Cause
+	unfit map[string]PlanChange
 	// guard, router and stops are what else may change; nil is nothing.
 	guard  Guard
 	router Router
@@ -350,7 +350,7 @@
 		up := &script{sends: w.sends, prefills: w.reads}
 		planner := &plans{list: w.plans, dir: directory.New(nil), unfit: w.unfit}
 		if planner.unfit == nil {
-			planner.unfit = map[string]Cause{}
+			planner.unfit = map[string]PlanChange{}
 		}
 		budget, others := &counter{left: w.budget}, &counter{left: w.budget}
 		relay := New(Config{
@@ -360,9 +360,9 @@
 				}
 				return others
 			},
-			Guard: w.guard, Router: w.router, Endpoints: planner.dir.Snapshot, StopsAt: w.stops,
+			Guard: w.guard, Router: w.router, Endpoints: planner.dir.Snapshot, ShutdownAt: w.stops,
 		})
-		req := &Request{ID: "r", Route: &w.route, Service: "s", Received: time.Now(), HeldEvents: w.held}
+		req := &Request{ID: "r", Route: &w.route, Service: "s", Received: time.Now(), LastEventID: w.held}
 		if w.within > 0 {
 			req.Deadline = time.Now().Add(w.within)
 		}
@@ -376,9 +376,9 @@
 		result := relay.Serve(ctx, req, reply)
 		out.Took = time.Since(began)
 		synctest.Wait()
-		out.Status, out.Body, out.Begun = reply.status, reply.body.String(), result.Begun
-		if result.Failed != nil {
-			out.Code, out.Ran = result.Failed.Code, result.Failed.Ran
+		out.Status, out.Body, out.Begun = reply.status, reply.body.String(), result.HeadSent
+		if result.Failure != nil {
+			out.Code, out.Ran = result.Failure.Code, result.Failure.Ran
 		}
 		out.Calls, out.Freed, out.Taken, out.Attempts = up.calls, up.freed, budget.taken, result.Attempts
 		if up.open != 0 || planner.open != 0 || budget.first != 1 {
--- a/relay/request.go
+++ b/relay/request.go
@@ -53,13 +53,13 @@
 	Organisation *organisation.Organisation
 	// Prompt is set when the caller described a generation.
 	Prompt *prompt.Prompt
-	// HeldEvents is the number of the last event of the stream that the caller
+	// LastEventID is the number of the last event of the stream that the caller
 	// holds already; zero starts anew.
-	HeldEvents int
+	LastEventID int
 }
 
-// Left is the time until the deadline, or zero when there is none.
-func (r *Request) Left(now time.Time) time.Duration {
+// Remaining is the time until the deadline, or zero when there is none.
+func (r *Request) Remaining(now time.Time) time.Duration {
 	if r.Deadline.IsZero() {
 		return 0
 	}
@@ -87,8 +87,8 @@
 type Attempt struct {
 	Request  *Request
 	Endpoint *directory.Endpoint
-	// HeldEvents is the number of the last event that the caller holds.
-	HeldEvents int
+	// LastEventID is the number of the last event that the caller holds.
+	LastEventID int
 	// Import names the KV cache that the endpoint is to fetch, or is nil.
 	Import *KVHandle
 	// CopyFrom is an engine from which the endpoint first copies what it lacks of the
@@ -96,10 +96,10 @@
 	CopyFrom *directory.Endpoint
 	// Backup is an engine to which the endpoint sends what it holds of the run as that grows, or nil.
 	Backup *directory.Endpoint
-	// Ready is called by the Upstream when all that is left is to write: once there is a
+	// BeforeSend is called by the Upstream when all that is left is to write: once there is a
 	// connection, just before the first byte. With a failure nothing is written, and that is the
 	// attempt's failure.
-	Ready func() *failure.Request
+	BeforeSend func() *failure.Request
 }
 
 // KVHandle names a prompt's KV cache that an engine holds for a short time.
@@ -112,9 +112,9 @@
 	Tokens int
 }
 
-// Answer is an endpoint's answer whose head was read. Read returns io.EOF only
+// Response is an endpoint's answer whose head was read. Read returns io.EOF only
 // at its true end. Close drops what was not read and must be called once.
-type Answer interface {
+type Response interface {
 	Status() int
 	// Header holds what is passed back to the caller.
 	Header() http.Header
@@ -129,18 +129,18 @@
 // endpoint fails with reason EndpointUnreachable.
 type Upstream interface {
 	// Send makes the attempt and returns once the answer's head was read.
-	Send(ctx context.Context, a *Attempt) (Answer, *failure.Request)
+	Send(ctx context.Context, a *Attempt) (Response, *failure.Request)
 	// Prefill has the prompt read and its KV cache held for an importer.
 	Prefill(ctx context.Context, a *Attempt) (*KVHandle, *failure.Request)
 	// Free tells an engine to drop a KV cache that nobody will import.
 	Free(ctx context.Context, h *KVHandle) error
 }
 
-// Reply takes an answer on its way to the caller. Methods return an error once
+// ResponseWriter takes an answer on its way to the caller. Methods return an error once
 // the caller is gone.
-type Reply interface {
-	// Begin sends the head. Length is -1 when only the end of the body shows it.
-	Begin(status int, header http.Header, length int64) error
+type ResponseWriter interface {
+	// WriteHead sends the head. Length is -1 when only the end of the body shows it.
+	WriteHead(status int, header http.Header, length int64) error
 	// Write sends a piece of the body at once.
 	Write(p []byte) error
 }
@@ -155,8 +155,8 @@
 	CopyFrom *directory.Endpoint
 	// Backup, if set, is to hold a copy of the run, from which it goes on if Serve is lost.
 	Backup *directory.Endpoint
-	// Expect is when the first sign of an answer is predicted, from now.
-	Expect time.Duration
+	// ExpectedLatency is when the first sign of an answer is predicted, from now.
+	ExpectedLatency time.Duration
 	// Watch follows the attempt.
 	Watch Watch
 }
@@ -166,7 +166,7 @@
 type Watch interface {
 	// Recheck tells why an endpoint of the plan may no longer be sent to, as far as its health
 	// and its role are concerned; empty if it may.
-	Recheck(e *directory.Endpoint) Cause
+	Recheck(e *directory.Endpoint) PlanChange
 	// Prefilled is called when the prefill engine has read the prompt, or failed to.
 	Prefilled(failed *failure.Request, abandoned bool)
 	// FirstEvent is called when the first event or the answer's head has come.
@@ -175,16 +175,16 @@
 	Finished(failed *failure.Request, abandoned bool)
 }
 
-// Try is what a plan is wanted for.
-type Try struct {
+// AttemptState is what a plan is wanted for.
+type AttemptState struct {
 	// Number counts the plans made before.
 	Number int
 	// Tried names the endpoints that attempts of the request have failed on.
 	Tried []string
 	// Handle is a KV cache of the prompt that was made already, or nil.
 	Handle *KVHandle
-	// Whole asks for an engine that prefills and decodes.
-	Whole bool
+	// Colocated asks for an engine that prefills and decodes.
+	Colocated bool
 	// Resume, if set, is the engine that holds a copy of the run, which is to go on there.
 	Resume *directory.Endpoint
 }
@@ -192,5 +192,5 @@
 // Planner decides where an attempt goes. The error is a *failure.Request with
 // outcome NotRun.
 type Planner interface {
-	Plan(r *Request, try Try) (Plan, *failure.Request)
+	Plan(r *Request, try AttemptState) (Plan, *failure.Request)
 }
--- a/relay/reroute.go
+++ b/relay/reroute.go
@@ -28,7 +28,7 @@
 // route returns the request as it is routed now. A stream that has begun goes on where its
 // events came from.
 func (j *job) route() (*Request, *failure.Request) {
-	if j.result.Begun {
+	if j.result.HeadSent {
 		return j.req, nil
 	}
 	return j.relay.cfg.Router.Route(j.req)
--- a/relay/suspension_test.go
+++ b/relay/suspension_test.go
@@ -25,7 +25,7 @@
 		ctx, cancel := r.context(t.Context())
 		defer cancel()
 		suspended.Store(int64(3 * time.Second))
-		if got := r.Left(clock.Now()); got != time.Second {
+		if got := r.Remaining(clock.Now()); got != time.Second {
 			t.Errorf("%v are left, want 1s", got)
 		}
 		suspended.Store(int64(5 * time.Second))
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -95,8 +95,8 @@
 	LinkBitsPerSecond float64
 	// HandleTTL is how long an exported KV cache is held for its importer.
 	HandleTTL time.Duration
-	// RoleChange is how long an engine is away when it changes its role.
-	RoleChange time.Duration
+	// RoleChangeDuration is how long an engine is away when it changes its role.
+	RoleChangeDuration time.Duration
 	// Backups tells that an engine can send what it holds of a run to another one as that grows.
 	Backups bool
 	// Models are the names of the models served.
@@ -107,8 +107,8 @@
 type Scale struct {
 	// Min and Max bound the endpoints of one zone, revocable ones included.
 	Min, Max int
-	// Boot is how long it takes from an order until a new endpoint serves.
-	Boot time.Duration
+	// BootDuration is how long it takes from an order until a new endpoint serves.
+	BootDuration time.Duration
 	// RevocablePrice is what a second of a revocable endpoint costs, as a part of another's; zero
 	// where there are none.
 	RevocablePrice float64
