--- a/directory/announced.go
+++ b/directory/announced.go
@@ -16,13 +16,13 @@
 // Invariant: a drain that was announced holds for as long as the incarnation lasts. A row that still
 // says that the endpoint is ready was written before it, or by another part of the endpoint.
 func (d *Directory) Drain(e *Endpoint) bool {
-	if now := d.Snapshot().Endpoint(e.ID); now == nil || now.Draining || now.Born != e.Born {
+	if now := d.Snapshot().Endpoint(e.ID); now == nil || now.Draining || now.StartedAt != e.StartedAt {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.byID[e.ID]
-	if now == nil || now.Draining || now.Born != e.Born {
+	if now == nil || now.Draining || now.StartedAt != e.StartedAt {
 		return false
 	}
 	d.announced[now.Incarnation()] = clock.Now()
--- a/directory/announced_test.go
+++ b/directory/announced_test.go
@@ -7,7 +7,7 @@
 )
 
 func row(id string, born int64, version int, draining bool) Registration {
-	return Registration{ID: id, Born: born, Version: table.Version(version), Service: "llm", Draining: draining}
+	return Registration{ID: id, StartedAt: born, Version: table.Version(version), Service: "llm", Draining: draining}
 }
 
 // A drain that an endpoint has announced holds against rows that say that it is ready, against an outage
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -18,9 +18,9 @@
 type Registration struct {
 	// ID names the endpoint. One that starts again may keep it.
 	ID string
-	// Born is when this start of the endpoint began, in Unix milliseconds by its own
+	// StartedAt is when this start of the endpoint began, in Unix milliseconds by its own
 	// clock; zero if it does not say. Of two starts under one ID the larger is the later.
-	Born int64
+	StartedAt int64
 	// Version is that of the row.
 	Version table.Version
 	// Service is what it serves.
@@ -33,8 +33,8 @@
 	Slots int
 	// Draining endpoints take no new work: their row says so, or a response of theirs has.
 	Draining bool
-	// WarmIn is how long it is still slow after its start, when the row was written.
-	WarmIn time.Duration
+	// WarmupRemaining is how long it is still slow after its start, when the row was written.
+	WarmupRemaining time.Duration
 	// Revocable endpoints cost less and may be taken away at short notice, all of a zone at once.
 	Revocable bool
 	// Role is an engine's role; empty for a plain service.
@@ -47,21 +47,21 @@
 // (its cache, open work, refusals, role orders, connections) is kept under it, so that
 // a start that remembers nothing is not taken for the one before.
 func (r *Registration) Incarnation() string {
-	if r.Born == 0 {
+	if r.StartedAt == 0 {
 		return r.ID
 	}
-	return r.ID + "@" + strconv.FormatInt(r.Born, 10)
+	return r.ID + "@" + strconv.FormatInt(r.StartedAt, 10)
 }
 
 // Endpoint is one endpoint as last registered. It is immutable.
 type Endpoint struct {
 	Registration
-	// Since is when this VM came to know of the registration.
-	Since time.Time
-	// Lapsed is set while the row is missing but may come back: the store has
-	// just returned from an outage, at LapsedSince.
-	Lapsed      bool
-	LapsedSince time.Time
+	// ReceivedAt is when this VM came to know of the registration.
+	ReceivedAt time.Time
+	// Expired is set while the row is missing but may come back: the store has
+	// just returned from an outage, at ExpiredAt.
+	Expired   bool
+	ExpiredAt time.Time
 }
 
 // Usable tells whether new work may be sent.
@@ -75,8 +75,8 @@
 	inZone map[string]int
 }
 
-// InZone is the number of endpoints of a zone that take new work.
-func (s *Snapshot) InZone(zone string) int { return s.inZone[zone] }
+// UsableInZone is the number of endpoints of a zone that take new work.
+func (s *Snapshot) UsableInZone(zone string) int { return s.inZone[zone] }
 
 // Endpoint returns an endpoint by ID, or nil.
 func (s *Snapshot) Endpoint(id string) *Endpoint { return s.byID[id] }
@@ -104,7 +104,7 @@
 	mu   sync.Mutex
 	byID map[string]*Endpoint
 	// departed are the endpoints that have been dropped lately, and disputed are rows that the store
-	// holds and that do not count: see StepBack.
+	// holds and that do not count: see ReplaceFromRestore.
 	departed map[string]departure
 	disputed map[string]Registration
 	// announced are the incarnations that have announced a drain, and when they were last registered.
@@ -150,12 +150,12 @@
 	known := d.byID[r.ID]
 	switch {
 	case known == nil:
-	case known.Born > r.Born:
+	case known.StartedAt > r.StartedAt:
 		return known
 	case known.Version == r.Version:
-		now = known.Since
+		now = known.ReceivedAt
 	}
-	return &Endpoint{Registration: r, Since: now}
+	return &Endpoint{Registration: r, ReceivedAt: now}
 }
 
 // Remove drops endpoints whose rows are gone.
@@ -172,13 +172,13 @@
 func (d *Directory) drop(id string) {
 	delete(d.disputed, id)
 	if e := d.byID[id]; e != nil {
-		d.departed[id] = departure{born: e.Born, at: clock.Now()}
+		d.departed[id] = departure{born: e.StartedAt, at: clock.Now()}
 	}
 	delete(d.byID, id)
 }
 
-// Lapse marks an endpoint whose row is missing but may come back.
-func (d *Directory) Lapse(id string) {
+// MarkExpired marks an endpoint whose row is missing but may come back.
+func (d *Directory) MarkExpired(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if old := d.byID[id]; old != nil {
@@ -225,17 +225,17 @@
 // lapsed returns an endpoint whose row is missing as of now.
 func (e *Endpoint) lapsed() *Endpoint {
 	kept := *e
-	kept.Lapsed, kept.LapsedSince = true, clock.Now()
+	kept.Expired, kept.ExpiredAt = true, clock.Now()
 	return &kept
 }
 
-// RemoveLapsed drops those of ids whose rows have been missing since a time. One whose row was
+// RemoveExpired drops those of ids whose rows have been missing since a time. One whose row was
 // back since, and is missing again after another outage, has its time anew.
-func (d *Directory) RemoveLapsed(ids []string, since time.Time) (removed []string) {
+func (d *Directory) RemoveExpired(ids []string, since time.Time) (removed []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, id := range ids {
-		if e := d.byID[id]; e != nil && e.Lapsed && !e.LapsedSince.After(since) {
+		if e := d.byID[id]; e != nil && e.Expired && !e.ExpiredAt.After(since) {
 			d.drop(id)
 			removed = append(removed, id)
 		}
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -59,14 +59,14 @@
 	}
 	want(t, d, "s", "a", "b", "c")
 	d.Put(registration("a", "s", false)) // its row is back
-	if gone := d.RemoveLapsed(lapsed, time.Now()); len(gone) != 1 || gone[0] != "b" {
+	if gone := d.RemoveExpired(lapsed, time.Now()); len(gone) != 1 || gone[0] != "b" {
 		t.Errorf("gone: %v", gone)
 	}
 	want(t, d, "s", "a", "c")
-	d.Lapse("a")
-	d.Lapse("unknown")
+	d.MarkExpired("a")
+	d.MarkExpired("unknown")
 	want(t, d, "s", "a", "c")
-	d.RemoveLapsed([]string{"a", "unknown"}, time.Now())
+	d.RemoveExpired([]string{"a", "unknown"}, time.Now())
 	want(t, d, "s", "c")
 	if lapsed := d.Replace(nil, false); lapsed != nil {
 		t.Errorf("lapsed without an outage: %v", lapsed)
@@ -78,7 +78,7 @@
 // next one, which keeps its ID.
 func TestEarlierStartChangesNothing(t *testing.T) {
 	start := func(born int64, address string) Registration {
-		return Registration{ID: "a", Born: born, Service: "s", Address: address}
+		return Registration{ID: "a", StartedAt: born, Service: "s", Address: address}
 	}
 	d := New(nil)
 	d.Put(start(5, "old"))
--- a/directory/stepback.go
+++ b/directory/stepback.go
@@ -17,12 +17,12 @@
 // and as long again.
 const departureMemory = time.Minute
 
-// StepBack takes in the whole list of a store that has come back from a copy. What was known stands
+// ReplaceFromRestore takes in the whole list of a store that has come back from a copy. What was known stands
 // against what the copy says of the same start of an endpoint, and a row of one that has left since
 // does not bring it back: such rows are disputed, and returned. They count once the endpoint writes
-// its row again, or with Settle. Endpoints that the copy lacks are marked as lapsed, as with
+// its row again, or with ResolveDisputed. Endpoints that the copy lacks are marked as lapsed, as with
 // Replace.
-func (d *Directory) StepBack(list []Registration) (lapsed []string, disputed []Registration) {
+func (d *Directory) ReplaceFromRestore(list []Registration) (lapsed []string, disputed []Registration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.forgetDepartures() // before they decide
@@ -53,11 +53,11 @@
 // endpoint that leaves is it never believed that it does not. The caller holds mu.
 func (d *Directory) outdated(r Registration) bool {
 	if known := d.byID[r.ID]; known != nil {
-		same := known.Born == r.Born
+		same := known.StartedAt == r.StartedAt
 		return same && (known.Version.Number() > r.Version.Number() || known.Draining && !r.Draining)
 	}
 	left, is := d.departed[r.ID]
-	return is && left.born == r.Born
+	return is && left.born == r.StartedAt
 }
 
 // isDisputed tells whether a row is one that does not count yet. The caller holds mu.
@@ -66,10 +66,10 @@
 	return is && known.Version == r.Version
 }
 
-// Settle lets those rows count that are still disputed, and returns their IDs: had the endpoints said
+// ResolveDisputed lets those rows count that are still disputed, and returns their IDs: had the endpoints said
 // otherwise, or gone, the store would know it by now. A row of a later step back is another dispute,
 // which has its own time.
-func (d *Directory) Settle(rows []Registration) (settled []string) {
+func (d *Directory) ResolveDisputed(rows []Registration) (settled []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, row := range rows {
--- a/directory/stepback_test.go
+++ b/directory/stepback_test.go
@@ -37,10 +37,10 @@
 		{"the same", []Registration{{ID: "a", Service: "s"}}, []Registration{{ID: "a", Service: "s"}}, []string{"a"}, nil, nil, nil, []string{"a"}},
 		{"it leaves since", []Registration{{ID: "a", Service: "s"}, {ID: "a", Service: "s", Draining: true}}, []Registration{{ID: "a", Service: "s"}}, nil, []string{"a"}, nil, []string{"a"}, []string{"a"}},
 		{"it is gone since", []Registration{{ID: "a", Service: "s"}, {ID: "a"}}, []Registration{{ID: "a", Service: "s"}}, nil, nil, nil, []string{"a"}, []string{"a"}},
-		{"it has started again since", []Registration{{ID: "a", Service: "s", Born: 1}, {ID: "a", Service: "s", Born: 2}}, []Registration{{ID: "a", Service: "s", Born: 1}}, []string{"a"}, nil, nil, nil, []string{"a"}},
+		{"it has started again since", []Registration{{ID: "a", Service: "s", StartedAt: 1}, {ID: "a", Service: "s", StartedAt: 2}}, []Registration{{ID: "a", Service: "s", StartedAt: 1}}, []string{"a"}, nil, nil, nil, []string{"a"}},
 		{"it joined since", []Registration{{ID: "a", Service: "s"}}, nil, []string{"a"}, nil, []string{"a"}, nil, []string{"a"}},
 		{"it left and this VM was cut off", []Registration{{ID: "a", Service: "s"}}, []Registration{{ID: "a", Service: "s", Draining: true, Version: 90}}, nil, []string{"a"}, nil, nil, nil},
-		{"another start takes the place of one that is gone", []Registration{{ID: "a", Service: "s", Born: 1}, {ID: "a"}}, []Registration{{ID: "a", Service: "s", Born: 2}}, []string{"a"}, nil, nil, nil, []string{"a"}},
+		{"another start takes the place of one that is gone", []Registration{{ID: "a", Service: "s", StartedAt: 1}, {ID: "a"}}, []Registration{{ID: "a", Service: "s", StartedAt: 2}}, []string{"a"}, nil, nil, nil, []string{"a"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := New(nil)
@@ -56,7 +56,7 @@
 				number := max(10, uint64(tc.copy[i].Version))
 				tc.copy[i].Version = version(t, 2, number)
 			}
-			lapsed, disputed := d.StepBack(tc.copy)
+			lapsed, disputed := d.ReplaceFromRestore(tc.copy)
 			if diff := cmp.Diff(tc.lapsed, lapsed); diff != "" {
 				t.Errorf("lapsed: %s", diff)
 			}
@@ -75,7 +75,7 @@
 			if diff := cmp.Diff(tc.leaving, leaving); diff != "" {
 				t.Errorf("leaving: %s", diff)
 			}
-			d.Settle(disputed)
+			d.ResolveDisputed(disputed)
 			if diff := cmp.Diff(tc.settled, ids(d, "s")); diff != "" {
 				t.Errorf("settled: %s", diff)
 			}
@@ -88,9 +88,9 @@
 	for _, draining := range []bool{true, false} {
 		d := New(nil)
 		d.Put(Registration{ID: "a", Service: "s", Version: version(t, 1, 10), Draining: true})
-		_, disputed := d.StepBack([]Registration{{ID: "a", Service: "s", Version: version(t, 2, 5)}})
+		_, disputed := d.ReplaceFromRestore([]Registration{{ID: "a", Service: "s", Version: version(t, 2, 5)}})
 		d.Put(Registration{ID: "a", Service: "s", Version: version(t, 2, 6), Draining: draining})
-		if settled := d.Settle(disputed); len(settled) != 0 {
+		if settled := d.ResolveDisputed(disputed); len(settled) != 0 {
 			t.Errorf("settled %v", settled)
 		}
 		if got := d.Snapshot().Endpoint("a").Draining; got != draining {
@@ -107,7 +107,7 @@
 	left := d.departed["a"]
 	left.at = left.at.Add(-departureMemory - time.Second)
 	d.departed["a"] = left
-	d.StepBack([]Registration{{ID: "a", Service: "s", Version: version(t, 2, 10)}})
+	d.ReplaceFromRestore([]Registration{{ID: "a", Service: "s", Version: version(t, 2, 10)}})
 	if len(d.Snapshot().Service("s")) != 1 {
 		t.Error("a row is disputed for a departure of long ago")
 	}
@@ -136,18 +136,18 @@
 	copied := func(epoch uint64) []Registration {
 		return []Registration{{ID: "left", Service: "s", Version: version(t, epoch, 10)}}
 	}
-	lapsed, first := d.StepBack(copied(2))
+	lapsed, first := d.ReplaceFromRestore(copied(2))
 	firstLapse := clock.Now()
 	d.Put(Registration{ID: "joined", Service: "s", Version: version(t, 2, 11)})
 	time.Sleep(time.Millisecond)
-	_, second := d.StepBack(copied(3))
-	d.Settle(first)
-	if removed := d.RemoveLapsed(lapsed, firstLapse); len(removed) != 0 {
+	_, second := d.ReplaceFromRestore(copied(3))
+	d.ResolveDisputed(first)
+	if removed := d.RemoveExpired(lapsed, firstLapse); len(removed) != 0 {
 		t.Errorf("removed for the first step back: %v", removed)
 	}
 	want(t, d, "s", "joined")
-	d.Settle(second)
-	d.RemoveLapsed(lapsed, clock.Now())
+	d.ResolveDisputed(second)
+	d.RemoveExpired(lapsed, clock.Now())
 	want(t, d, "s", "left")
 }
 
@@ -159,7 +159,7 @@
 	d.Put(Registration{ID: "leaving", Service: "s", Version: version(t, 1, 20), Draining: true})
 	d.Remove("gone")
 	rows := []Registration{{ID: "leaving", Service: "s", Version: version(t, 2, 10)}, {ID: "gone", Service: "s", Version: version(t, 2, 11)}}
-	_, disputed := d.StepBack(rows)
+	_, disputed := d.ReplaceFromRestore(rows)
 	d.Replace(rows, false)
 	want(t, d, "s")
 	if e := d.Snapshot().Endpoint("leaving"); e == nil || !e.Draining {
@@ -169,7 +169,7 @@
 	again.Version = version(t, 2, 30)
 	d.Replace([]Registration{rows[0], again}, false)
 	want(t, d, "s", "gone")
-	d.Settle(disputed)
+	d.ResolveDisputed(disputed)
 	want(t, d, "s", "gone", "leaving")
 }
 
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -53,7 +53,7 @@
 	var lapsed []string
 	var disputed []directory.Registration
 	if l.NewEpoch {
-		lapsed, disputed = g.directory.StepBack(list)
+		lapsed, disputed = g.directory.ReplaceFromRestore(list)
 	} else {
 		lapsed = g.directory.Replace(list, l.AfterOutage)
 	}
@@ -87,7 +87,7 @@
 		puts = nil
 		id := c.Row.Key.Row
 		if c.Deleted && afterOutage {
-			g.directory.Lapse(id)
+			g.directory.MarkExpired(id)
 			lapsed = append(lapsed, id)
 			continue
 		}
@@ -117,7 +117,7 @@
 }
 
 func logEndpoint(r directory.Registration) {
-	klog.InfoS("gateway: endpoint registered", "endpoint", r.ID, "born", r.Born, "service", r.Service, "address", r.Address,
+	klog.InfoS("gateway: endpoint registered", "endpoint", r.ID, "born", r.StartedAt, "service", r.Service, "address", r.Address,
 		"zone", r.Zone, "draining", r.Draining, "role", r.Role, "version", r.Version.String())
 }
 
@@ -146,7 +146,7 @@
 	}
 	klog.InfoS("gateway: the copy of the store is older than what is known of endpoints, which stands", "endpoints", idsOf(rows))
 	time.AfterFunc(disputeBeats*g.settings.EndpointHeartbeat, func() {
-		if settled := g.directory.Settle(rows); len(settled) > 0 {
+		if settled := g.directory.ResolveDisputed(rows); len(settled) > 0 {
 			klog.InfoS("gateway: endpoints are as the copy of the store says", "endpoints", settled)
 		}
 	})
@@ -168,7 +168,7 @@
 	klog.InfoS("gateway: endpoints missing after an outage, used a little longer", "endpoints", ids)
 	since := clock.Now()
 	time.AfterFunc(lapseGrace, func() {
-		if gone := g.directory.RemoveLapsed(ids, since); len(gone) > 0 {
+		if gone := g.directory.RemoveExpired(ids, since); len(gone) > 0 {
 			klog.InfoS("gateway: endpoints gone", "endpoints", gone)
 		}
 	})
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -85,7 +85,7 @@
 	forgotten := 0
 	g := New(Settings{VM: "vm", Zone: "a", Peers: "127.0.0.1:0"}, Platform{Forget: func(*directory.Snapshot) { forgotten++ }}, network.TCP())
 	put := func(born int64) {
-		g.directory.Put(directory.Registration{ID: "e", Service: "s", Born: born})
+		g.directory.Put(directory.Registration{ID: "e", Service: "s", StartedAt: born})
 	}
 	put(1)
 	put(1)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -127,7 +127,7 @@
 	state     *state
 	directory *directory.Directory
 	planner   *placement.Planner
-	signals   *signals.Board
+	signals   *signals.Tracker
 	budgets   *budgets
 	relay     *relay.Relay
 	roster    *roster.Roster
@@ -153,7 +153,7 @@
 		Drain: func(e *directory.Endpoint) bool { return g.directory.Drain(e) },
 	})
 	if p.Observe != nil {
-		p.Observe(g.signals.Learn)
+		p.Observe(g.signals.Observe)
 	}
 	g.directory = directory.New(g.setEndpoints)
 	g.planner = placement.New(placement.Config{
@@ -209,7 +209,7 @@
 func (g *Gateway) setEndpoints(old, now *directory.Snapshot) {
 	g.planner.SetEndpoints(old, now)
 	g.guard.Keep(now)
-	g.signals.Keep(now)
+	g.signals.Retain(now)
 	if restarted(old, now) {
 		g.platform.Forget(now)
 	}
@@ -218,8 +218,8 @@
 // restarted tells whether an endpoint has started again under its ID.
 func restarted(old, now *directory.Snapshot) bool {
 	for _, e := range now.All() {
-		if before := old.Endpoint(e.ID); before != nil && before.Born != e.Born {
-			klog.InfoS("gateway: endpoint has started again", "endpoint", e.ID, "before", before.Born, "born", e.Born)
+		if before := old.Endpoint(e.ID); before != nil && before.StartedAt != e.StartedAt {
+			klog.InfoS("gateway: endpoint has started again", "endpoint", e.ID, "before", before.StartedAt, "born", e.StartedAt)
 			return true
 		}
 	}
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -21,8 +21,8 @@
 		}
 		return false
 	}
-	if d.blocked == 0 || block.For < d.blockedFor {
-		d.blockedFor = block.For
+	if d.blocked == 0 || block.RetryAfter < d.blockedFor {
+		d.blockedFor = block.RetryAfter
 	}
 	d.blocked++
 	return true
--- a/placement/books.go
+++ b/placement/books.go
@@ -135,11 +135,11 @@
 // else sees.
 func (b *books) of(e *directory.Endpoint) *book {
 	k := b.byID[e.ID]
-	if k != nil && k.born == e.Born {
+	if k != nil && k.born == e.StartedAt {
 		return k
 	}
-	fresh := &book{id: e.ID, born: e.Born, hash: loadshare.Hash(e.Incarnation())}
-	if k != nil && k.born > e.Born {
+	fresh := &book{id: e.ID, born: e.StartedAt, hash: loadshare.Hash(e.Incarnation())}
+	if k != nil && k.born > e.StartedAt {
 		return fresh
 	}
 	if k != nil {
--- a/placement/books_test.go
+++ b/placement/books_test.go
@@ -102,7 +102,7 @@
 
 // restart registers an engine that started again under its ID.
 func (b *bed) restart(id string, born int64, role engine.Role) {
-	b.dir.Put(directory.Registration{ID: id, Born: born, Service: "llm", Zone: "a", Slots: 4, Role: role})
+	b.dir.Put(directory.Registration{ID: id, StartedAt: born, Service: "llm", Zone: "a", Slots: 4, Role: role})
 }
 
 // An engine that starts again under its ID holds nothing and has nothing to do: the work
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -163,7 +163,7 @@
 	case failed == nil, failed.Ran == failure.NotRun && failed.Code != failure.EndpointUnreachable:
 		p.zones.reached(h.zone)
 	case failed.Code == failure.EndpointUnreachable, result == health.Silent:
-		if p.zones.missed(p.now(), h.zone, h.book.id, p.directory.Snapshot().InZone(h.zone)) {
+		if p.zones.missed(p.now(), h.zone, h.book.id, p.directory.Snapshot().UsableInZone(h.zone)) {
 			klog.InfoS("placement: zone seems cut off", "zone", h.zone, "endpoint", h.book.id, "reason", failed.Code, "for", cutFor)
 		}
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -34,7 +34,7 @@
 	random    *rand.Rand
 	start     time.Time
 	health    *health.Tracker
-	signals   *signals.Board
+	signals   *signals.Tracker
 
 	mu     sync.Mutex
 	tuning Tuning
@@ -54,7 +54,7 @@
 	// Ordered names the engines that this VM has ordered to change their role.
 	Ordered func() []string
 	// Signals is what endpoints said of their own state; nil is nothing.
-	Signals *signals.Board
+	Signals *signals.Tracker
 	Tuning  Tuning
 	// Now and Random are where decisions take the time and their draws from, so that
 	// a load can be replayed on them. Nil is the VM's clock and a seed of its own.
@@ -283,7 +283,7 @@
 
 // take reserves work at an endpoint, and the VM's link for the way there.
 func (d *decision) take(e *directory.Endpoint, w work) (*hold, bool) {
-	permit, block := d.p.signals.Take(e)
+	permit, block := d.p.signals.Acquire(e)
 	if block.Reason != "" {
 		d.outrun = true
 		return nil, false
--- a/poison/runs.go
+++ b/poison/runs.go
@@ -185,7 +185,7 @@
 		crash.Suspects = append(crash.Suspects, Suspect{Key: KeyOf(run.request), Origin: OriginOf(run.request), Request: run.request.ID, Streaming: run.streaming})
 	}
 	crashesSeen.Inc()
-	klog.InfoS("poison: endpoint crashed", "endpoint", e.ID, "born", e.Born, "service", e.Service, "crash", crash.ID, "suspects", describe(crash.Suspects))
+	klog.InfoS("poison: endpoint crashed", "endpoint", e.ID, "born", e.StartedAt, "service", e.Service, "crash", crash.ID, "suspects", describe(crash.Suspects))
 	r.cfg.Crashed(crash)
 }
 
--- a/poison/runs_test.go
+++ b/poison/runs_test.go
@@ -16,7 +16,7 @@
 )
 
 func endpoint(id string) *directory.Endpoint {
-	return &directory.Endpoint{Registration: directory.Registration{ID: id, Born: 1, Service: "llm"}}
+	return &directory.Endpoint{Registration: directory.Registration{ID: id, StartedAt: 1, Service: "llm"}}
 }
 
 func request(caller, id, body string) *relay.Request {
--- a/relay/recheck.go
+++ b/relay/recheck.go
@@ -92,7 +92,7 @@
 	if e == nil {
 		return 0, 0
 	}
-	return e.Version, clock.Since(e.Since).Milliseconds()
+	return e.Version, clock.Since(e.ReceivedAt).Milliseconds()
 }
 
 // planChanged is the failure of an attempt that is to be planned again.
--- a/relay/recheck_test.go
+++ b/relay/recheck_test.go
@@ -42,7 +42,7 @@
 }{
 	{"it leaves", put(directory.Registration{ID: "a", Version: 2, Draining: true})},
 	{"it is gone", func(s *surroundings) { s.planner.dir.Remove("a") }},
-	{"it starts again under its ID", put(directory.Registration{ID: "a", Version: 2, Born: 7})},
+	{"it starts again under its ID", put(directory.Registration{ID: "a", Version: 2, StartedAt: 7})},
 	{"it has another role", put(directory.Registration{ID: "a", Version: 2, Role: engine.Prefill})},
 	{"it is about to have another role", unfit("a", EndpointChangesRole)},
 	{"it is ejected", unfit("a", EndpointEjected)},
@@ -357,7 +357,7 @@
 	}{
 		{"it leaves", put(directory.Registration{ID: "p", Version: 2, Draining: true}), "send a import kv1"},
 		{"its row is gone", func(s *surroundings) { s.planner.dir.Remove("p") }, "send a import kv1"},
-		{"it starts again", put(directory.Registration{ID: "p", Version: 2, Born: 7}), "send a"},
+		{"it starts again", put(directory.Registration{ID: "p", Version: 2, StartedAt: 7}), "send a"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := world{
--- a/rolechange/keeper_test.go
+++ b/rolechange/keeper_test.go
@@ -307,7 +307,7 @@
 		w := newWorld(t, 1)
 		k := w.keeper("vm", 0)
 		e := func(born int64) *directory.Endpoint {
-			w.dir.Put(directory.Registration{ID: "e0", Born: born, Service: "llm", Zone: "z0", Role: engine.Decode, Slots: 8})
+			w.dir.Put(directory.Registration{ID: "e0", StartedAt: born, Service: "llm", Zone: "z0", Role: engine.Decode, Slots: 8})
 			return w.dir.Snapshot().Endpoint("e0")
 		}
 		k.note(e(1), engine.Prefill)
--- a/rolechange/order.go
+++ b/rolechange/order.go
@@ -44,7 +44,7 @@
 	for id, c := range k.changing {
 		e := s.Endpoint(id)
 		switch {
-		case e == nil, e.Role == c.to, e.Born != c.born:
+		case e == nil, e.Role == c.to, e.StartedAt != c.born:
 			klog.InfoS("rolechange: change settled", "endpoint", id, "role", c.to, "took", now.Sub(c.since), "gone", e == nil)
 			delete(k.changing, id)
 		case now.Sub(c.since) > changeTimeout:
@@ -64,8 +64,8 @@
 		k.drop(e.ID)
 		return
 	}
-	if state.Born != e.Born {
-		klog.InfoS("rolechange: engine has started again, nothing ordered", "endpoint", e.ID, "registered", e.Born, "born", state.Born)
+	if state.Born != e.StartedAt {
+		klog.InfoS("rolechange: engine has started again, nothing ordered", "endpoint", e.ID, "registered", e.StartedAt, "born", state.Born)
 		k.drop(e.ID)
 		return
 	}
@@ -94,7 +94,7 @@
 func (k *Keeper) note(e *directory.Endpoint, to engine.Role) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.changing[e.ID] = change{to: to, born: e.Born, since: k.cfg.Now()}
+	k.changing[e.ID] = change{to: to, born: e.StartedAt, since: k.cfg.Now()}
 }
 
 func (k *Keeper) drop(id string) {
--- a/rolechange/pick.go
+++ b/rolechange/pick.go
@@ -12,7 +12,7 @@
 	var list []*directory.Endpoint
 	var shape Shape
 	for _, e := range k.cfg.Directory.Snapshot().Service(service) {
-		if e.Lapsed {
+		if e.Expired {
 			continue
 		}
 		list = append(list, e)
--- a/signals/backoff_test.go
+++ b/signals/backoff_test.go
@@ -7,27 +7,27 @@
 
 // bench is a board with a clock of the test's.
 type bench struct {
-	*Board
+	*Tracker
 	now time.Time
 }
 
 func newBench() *bench {
 	b := &bench{now: time.Unix(1000, 0)}
-	b.Board = New(Config{VM: "vm", Now: func() time.Time { return b.now }})
+	b.Tracker = New(Config{VM: "vm", Now: func() time.Time { return b.now }})
 	return b
 }
 
 func (b *bench) pass(d time.Duration) { b.now = b.now.Add(d) }
 
 func (b *bench) refused(id string, born int64, backoff time.Duration) {
-	b.Learn(Response{Endpoint: endpoint(id, born), Sent: b.now, Signal: Signal{Backoff: backoff}})
+	b.Observe(Response{Endpoint: endpoint(id, born), Sent: b.now, Signal: Signal{Backoff: backoff}})
 }
 
 // sends tells how many of so many requests would go now.
 func (b *bench) sends(n int, id string, born int64) int {
 	sent := 0
 	for range n {
-		if _, block := b.Take(endpoint(id, born)); block.Reason == "" {
+		if _, block := b.Acquire(endpoint(id, born)); block.Reason == "" {
 			sent++
 		}
 	}
@@ -78,12 +78,12 @@
 // A request that was placed before the response is not sent after it.
 func TestBackoffStopsRequestsUnderWay(t *testing.T) {
 	b := newBench()
-	permit, _ := b.Take(endpoint("e1", 1))
+	permit, _ := b.Acquire(endpoint("e1", 1))
 	if block := permit.Recheck(); block.Reason != "" {
 		t.Fatal(block)
 	}
 	b.refused("e1", 1, time.Second)
-	if block := permit.Recheck(); block != (Block{Reason: BackingOff, For: time.Second}) {
+	if block := permit.Recheck(); block != (Block{Reason: BackingOff, RetryAfter: time.Second}) {
 		t.Errorf("%+v", block)
 	}
 	b.pass(1100 * time.Millisecond)
@@ -97,9 +97,9 @@
 func TestPermitsAreTakenAnew(t *testing.T) {
 	b := newBench()
 	e := endpoint("e1", 1)
-	early, _ := b.Take(e)
-	late, _ := b.Take(e)
-	b.Learn(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Named, PerSecond: 1}}})
+	early, _ := b.Acquire(e)
+	late, _ := b.Acquire(e)
+	b.Observe(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 1}}})
 	if block := early.Recheck(); block.Reason != RateLimited {
 		t.Errorf("%+v although the limit has just begun", block)
 	}
@@ -118,7 +118,7 @@
 		t.Errorf("%+v after the first was not sent", block)
 	}
 	b.pass(permitTTL + time.Millisecond)
-	other, block := b.Take(e)
+	other, block := b.Acquire(e)
 	if block.Reason != RateLimited {
 		t.Errorf("%+v within a second", block)
 	}
--- a/signals/block.go
+++ b/signals/block.go
@@ -19,14 +19,14 @@
 // Block is why an endpoint takes nothing from this VM now, and for how long it does from none, as far as
 // this one can tell. The zero value is none.
 type Block struct {
-	Reason Reason
-	For    time.Duration
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
 // Check tells whether a request of a priority (0 is the most urgent) may be planned for an endpoint, and
 // whether the endpoint has a limit. draw, which returns numbers from 0 to 1, decides between requests
 // of different priorities.
-func (b *Board) Check(e *directory.Endpoint, priority int, draw func() float64) (block Block, limited bool) {
+func (b *Tracker) Check(e *directory.Endpoint, priority int, draw func() float64) (block Block, limited bool) {
 	if b.quiet(e) {
 		return Block{}, false
 	}
@@ -40,7 +40,7 @@
 	b.lapse(now)
 	block = s.block(now)
 	if block.Reason == "" && s.yields(now, priority, draw) {
-		block = Block{Reason: RateLimited, For: yieldFor}
+		block = Block{Reason: RateLimited, RetryAfter: yieldFor}
 	}
 	if block.Reason == RateLimited {
 		s.deny(now, priority)
@@ -51,20 +51,20 @@
 // block is why the endpoint takes nothing from this VM now.
 func (s *state) block(now time.Time) Block {
 	if wait := s.backoff.wait(now); wait > 0 {
-		return Block{Reason: BackingOff, For: wait}
+		return Block{Reason: BackingOff, RetryAfter: wait}
 	}
 	if !s.limit.limited {
 		return Block{}
 	}
 	if s.limit.wait(now) > 0 {
-		return Block{Reason: RateLimited, For: s.limit.freeIn(now)}
+		return Block{Reason: RateLimited, RetryAfter: s.limit.freeIn(now)}
 	}
 	return Block{}
 }
 
 // Active returns how many endpoints have a rate limit, and how many want nothing from this VM for a
 // time.
-func (b *Board) Active() (limits, backoffs int) {
+func (b *Tracker) Active() (limits, backoffs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
--- a/signals/board.go
+++ b/signals/board.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// Config is what a Board works with.
+// Config is what a Tracker works with.
 type Config struct {
 	// VM is this VM's name.
 	VM string
@@ -29,9 +29,9 @@
 	Drain func(*directory.Endpoint) bool
 }
 
-// Board holds the signals of all endpoints. It is safe for concurrent use; its lock is a leaf, and
+// Tracker holds the signals of all endpoints. It is safe for concurrent use; its lock is a leaf, and
 // Publish and Drain are called without it.
-type Board struct {
+type Tracker struct {
 	cfg Config
 	now func() time.Time
 	// known are the IDs of the endpoints that have a state, so that all others cost no lock. It is
@@ -63,8 +63,8 @@
 }
 
 // New returns a board that knows nothing, of a VM that knows no other.
-func New(c Config) *Board {
-	b := &Board{cfg: c, now: clock.OrSystem(c.Now), states: map[uint64]*state{}}
+func New(c Config) *Tracker {
+	b := &Tracker{cfg: c, now: clock.OrSystem(c.Now), states: map[uint64]*state{}}
 	b.known.Store(&map[string]bool{})
 	b.members = loadshare.Membership{Live: []loadshare.Member{{Name: c.VM}}, Registered: 1}
 	b.membersAt = b.now()
@@ -75,13 +75,13 @@
 func Hash(e *directory.Endpoint) uint64 { return xxhash.Sum64String(e.Incarnation()) }
 
 // quiet tells whether an endpoint has sent no signal.
-func (b *Board) quiet(e *directory.Endpoint) bool { return !(*b.known.Load())[e.ID] }
+func (b *Tracker) quiet(e *directory.Endpoint) bool { return !(*b.known.Load())[e.ID] }
 
 // stateOf returns the state of an endpoint, or nil. The caller holds mu.
-func (b *Board) stateOf(e *directory.Endpoint) *state { return b.states[Hash(e)] }
+func (b *Tracker) stateOf(e *directory.Endpoint) *state { return b.states[Hash(e)] }
 
 // add makes a state, of an endpoint that may not be registered here yet: nil. The caller holds mu.
-func (b *Board) add(endpoint uint64, e *directory.Endpoint) *state {
+func (b *Tracker) add(endpoint uint64, e *directory.Endpoint) *state {
 	s := &state{}
 	b.states[endpoint] = s
 	if e != nil {
@@ -91,14 +91,14 @@
 }
 
 // bind names the endpoint of a state. The caller holds mu.
-func (b *Board) bind(endpoint uint64, s *state, e *directory.Endpoint) {
+func (b *Tracker) bind(endpoint uint64, s *state, e *directory.Endpoint) {
 	s.id, s.zone = e.ID, e.Zone
 	b.share(endpoint, s, 0)
 	b.noteKnown()
 }
 
 // noteKnown takes in which endpoints have a state. The caller holds mu.
-func (b *Board) noteKnown() {
+func (b *Tracker) noteKnown() {
 	ids := make(map[string]bool, len(b.states))
 	for _, s := range b.states {
 		ids[s.id] = true
@@ -106,8 +106,8 @@
 	b.known.Store(&ids)
 }
 
-// Learn takes in a response.
-func (b *Board) Learn(r Response) {
+// Observe takes in a response.
+func (b *Tracker) Observe(r Response) {
 	if r.Signal == (Signal{}) && b.quiet(r.Endpoint) {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // learnState takes in what a response says that is kept here, and returns what the other VMs are to
 // know.
-func (b *Board) learnState(r Response) []*sharepb.EndpointSignal {
+func (b *Tracker) learnState(r Response) []*sharepb.EndpointSignal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(r.Endpoint)
@@ -139,7 +139,7 @@
 
 // learnLimit takes in what a response says of the rate limit, and returns what the other VMs are to
 // know. The caller holds mu.
-func (b *Board) learnLimit(s *state, r Response) []*sharepb.EndpointSignal {
+func (b *Tracker) learnLimit(s *state, r Response) []*sharepb.EndpointSignal {
 	if r.Signal.Limit.Kind == Malformed {
 		count("limit", "malformed")
 		klog.InfoS("signals: rate limit not understood, the known one stands", "endpoint", r.Endpoint.ID, "request", r.Request)
@@ -155,7 +155,7 @@
 
 // drain makes an endpoint a draining one, and tells whether it was not yet. The caller does not hold
 // mu.
-func (b *Board) drain(e *directory.Endpoint, from string, value any) bool {
+func (b *Tracker) drain(e *directory.Endpoint, from string, value any) bool {
 	if b.cfg.Drain == nil || !b.cfg.Drain(e) {
 		return false
 	}
@@ -166,7 +166,7 @@
 
 // Receive takes in what another VM published. A drain of an endpoint that is not registered here yet is
 // left to its next response.
-func (b *Board) Receive(list []*sharepb.EndpointSignal) {
+func (b *Tracker) Receive(list []*sharepb.EndpointSignal) {
 	for _, update := range list {
 		if update.Version > 0 {
 			b.receiveLimit(update)
@@ -180,7 +180,7 @@
 	}
 }
 
-func (b *Board) receiveLimit(update *sharepb.EndpointSignal) {
+func (b *Tracker) receiveLimit(update *sharepb.EndpointSignal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.states[update.Endpoint]
@@ -195,7 +195,7 @@
 }
 
 // lookUp finds an endpoint by its hash; nil if it is not known yet.
-func (b *Board) lookUp(endpoint uint64) *directory.Endpoint {
+func (b *Tracker) lookUp(endpoint uint64) *directory.Endpoint {
 	if b.cfg.Endpoints == nil {
 		return nil
 	}
@@ -209,7 +209,7 @@
 
 // limitChanged follows a new version of a limit: a share for it, a line and a counter if it is another
 // limit than before. The caller holds mu.
-func (b *Board) limitChanged(endpoint uint64, s *state, before limit, from string, value any) {
+func (b *Tracker) limitChanged(endpoint uint64, s *state, before limit, from string, value any) {
 	now := s.limit
 	if now.limited == before.limited && now.perSecond == before.perSecond {
 		return
--- a/signals/board_test.go
+++ b/signals/board_test.go
@@ -8,10 +8,10 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-var limited = Signal{Limit: Limit{Kind: Named, PerSecond: 4}}
+var limited = Signal{Limit: Limit{Kind: Limited, PerSecond: 4}}
 
 func endpoint(id string, born int64) *directory.Endpoint {
-	return &directory.Endpoint{Registration: directory.Registration{ID: id, Born: born, Service: "llm", Zone: "a"}}
+	return &directory.Endpoint{Registration: directory.Registration{ID: id, StartedAt: born, Service: "llm", Zone: "a"}}
 }
 
 // snapshot holds the given endpoints as ready.
@@ -26,7 +26,7 @@
 // A response without any signal leaves no state behind: most endpoints never send one.
 func TestPlainResponsesKeepNoState(t *testing.T) {
 	b := New(Config{})
-	b.Learn(Response{Endpoint: endpoint("e1", 1), Sent: time.Now()})
+	b.Observe(Response{Endpoint: endpoint("e1", 1), Sent: time.Now()})
 	if len(b.states) != 0 {
 		t.Errorf("%d states", len(b.states))
 	}
@@ -35,9 +35,9 @@
 // An endpoint that has started again, or is gone, leaves nothing behind.
 func TestSignalsOfAnEarlierIncarnationAreForgotten(t *testing.T) {
 	b := New(Config{})
-	b.Learn(Response{Endpoint: endpoint("e1", 1), Sent: time.Now(), Signal: limited})
-	b.Learn(Response{Endpoint: endpoint("e2", 1), Sent: time.Now(), Signal: limited})
-	b.Keep(snapshot(endpoint("e1", 2), endpoint("e2", 1)))
+	b.Observe(Response{Endpoint: endpoint("e1", 1), Sent: time.Now(), Signal: limited})
+	b.Observe(Response{Endpoint: endpoint("e2", 1), Sent: time.Now(), Signal: limited})
+	b.Retain(snapshot(endpoint("e1", 2), endpoint("e2", 1)))
 	if len(b.states) != 1 || b.states[Hash(endpoint("e2", 1))] == nil {
 		t.Errorf("states: %v", b.states)
 	}
@@ -51,7 +51,7 @@
 	if _, limited := b.Check(e, 0, func() float64 { return 0 }); limited {
 		t.Error("an endpoint that is not registered is named")
 	}
-	b.Keep(snapshot(e, endpoint("e2", 1)))
+	b.Retain(snapshot(e, endpoint("e2", 1)))
 	block, limited := b.Check(e, 0, func() float64 { return 0 })
 	if !limited || block.Reason != RateLimited {
 		t.Errorf("%+v, limited %v", block, limited)
@@ -64,7 +64,7 @@
 // Signals of an endpoint do not keep the next incarnation from work, also while its row is on its way.
 func TestNextIncarnationIsNotLimited(t *testing.T) {
 	b := newBench()
-	b.Learn(Response{Endpoint: endpoint("e1", 1), Sent: b.now, Signal: limited})
+	b.Observe(Response{Endpoint: endpoint("e1", 1), Sent: b.now, Signal: limited})
 	if n := b.sends(3, "e1", 2); n != 3 {
 		t.Errorf("%d of 3 requests went to the next incarnation", n)
 	}
--- a/signals/fleet_test.go
+++ b/signals/fleet_test.go
@@ -30,7 +30,7 @@
 
 type vm struct {
 	name, zone string
-	board      *Board
+	board      *Tracker
 	// perSecond is the load of the VM.
 	perSecond float64
 	// dead VMs send nothing, suspended ones not until then.
@@ -216,7 +216,7 @@
 }
 
 func (f *fleet) send(v *vm, e *server) bool {
-	permit, block := v.board.Take(e.Endpoint)
+	permit, block := v.board.Acquire(e.Endpoint)
 	if block.Reason != "" || permit.Recheck().Reason != "" {
 		return false
 	}
@@ -226,7 +226,7 @@
 	e.byVM[v.name]++
 	f.at(f.answer, func() {
 		if f.works(v) {
-			v.board.Learn(Response{Endpoint: e.Endpoint, Sent: sent, Signal: e.signal()})
+			v.board.Observe(Response{Endpoint: e.Endpoint, Sent: sent, Signal: e.signal()})
 		}
 	})
 	return true
--- a/signals/keep.go
+++ b/signals/keep.go
@@ -19,9 +19,9 @@
 // its way.
 const keepUnknown = 10 * time.Second
 
-// Keep forgets endpoints that are gone or have started again, and names those that have registered since
+// Retain forgets endpoints that are gone or have started again, and names those that have registered since
 // another VM published signals of them.
-func (b *Board) Keep(snapshot *directory.Snapshot) {
+func (b *Tracker) Retain(snapshot *directory.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.states) == 0 {
--- a/signals/limit.go
+++ b/signals/limit.go
@@ -43,7 +43,7 @@
 // observe takes in a response to this VM. It reports whether to publish the new version.
 func (l *limit) observe(now time.Time, named Limit, sent time.Time) (publish bool) {
 	switch named.Kind {
-	case Named:
+	case Limited:
 		return l.name(now, min(named.PerSecond, mostPerSecond))
 	case Unlimited:
 		return l.miss(now, sent)
--- a/signals/limit_test.go
+++ b/signals/limit_test.go
@@ -23,7 +23,7 @@
 // limitAll makes all endpoints of a fleet, or the first n, name a limit.
 func (f *fleet) limitAll(n int, perSecond float64) {
 	for _, e := range f.endpoints[:n] {
-		e.limit = Limit{Kind: Named, PerSecond: perSecond}
+		e.limit = Limit{Kind: Limited, PerSecond: perSecond}
 	}
 }
 
@@ -245,18 +245,18 @@
 func TestUrgentRequestsComeFirst(t *testing.T) {
 	b := newBench()
 	e := endpoint("e1", 1)
-	b.Learn(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Named, PerSecond: 10}}})
+	b.Observe(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 10}}})
 	random := rand.New(rand.NewPCG(1, 1))
 	sent := [2]int{}
 	const requests = 4000
 	for range requests {
 		b.pass(10 * time.Millisecond)
-		b.Learn(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Named, PerSecond: 10}}})
+		b.Observe(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 10}}})
 		priority := random.IntN(2)
 		if block, _ := b.Check(e, priority, random.Float64); block.Reason != "" {
 			continue
 		}
-		if _, block := b.Take(e); block.Reason == "" {
+		if _, block := b.Acquire(e); block.Reason == "" {
 			sent[priority]++
 		}
 	}
--- a/signals/members.go
+++ b/signals/members.go
@@ -8,7 +8,7 @@
 )
 
 // share gives this VM its part of a limit. The caller holds mu.
-func (b *Board) share(endpoint uint64, s *state, handover time.Duration) {
+func (b *Tracker) share(endpoint uint64, s *state, handover time.Duration) {
 	if !s.limit.limited {
 		return
 	}
@@ -22,7 +22,7 @@
 
 // SetMembers takes in which VMs are there. It is called several times in membershipTTL, also when
 // nothing has changed.
-func (b *Board) SetMembers(m loadshare.Membership) {
+func (b *Tracker) SetMembers(m loadshare.Membership) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -44,7 +44,7 @@
 
 // lapse drops all shares once the members have not been confirmed for membershipTTL: the VM was
 // suspended, and others may hold them by now. The caller holds mu.
-func (b *Board) lapse(now time.Time) {
+func (b *Tracker) lapse(now time.Time) {
 	if now.Sub(b.membersAt) <= membershipTTL || b.members.Registered == 1 {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // dropShares gives all shares up. The caller holds mu.
-func (b *Board) dropShares() {
+func (b *Tracker) dropShares() {
 	for _, s := range b.states {
 		s.limit.dropShare()
 	}
--- a/signals/model_test.go
+++ b/signals/model_test.go
@@ -56,7 +56,7 @@
 func modelName(i int) string { return string(rune('a' + i)) }
 
 // board builds the board of a VM in a state.
-func (v *modelVM) board(i int, now time.Time) *Board {
+func (v *modelVM) board(i int, now time.Time) *Tracker {
 	b := New(Config{VM: modelName(i), Now: func() time.Time { return now }})
 	s := b.add(Hash(modelEndpoint), modelEndpoint)
 	s.limit.limited, s.limit.perSecond, s.limit.namedAt = true, modelLimit, now
--- a/signals/permit.go
+++ b/signals/permit.go
@@ -14,7 +14,7 @@
 
 // Permit lets one request go to an endpoint. It belongs to one attempt.
 type Permit struct {
-	board    *Board
+	board    *Tracker
 	endpoint *directory.Endpoint
 	// taken is when the permit was taken out of the limit; zero for an endpoint without one.
 	taken time.Time
@@ -22,8 +22,8 @@
 	every time.Duration
 }
 
-// Take returns a permit for a request to an endpoint, or why there is none.
-func (b *Board) Take(e *directory.Endpoint) (*Permit, Block) {
+// Acquire returns a permit for a request to an endpoint, or why there is none.
+func (b *Tracker) Acquire(e *directory.Endpoint) (*Permit, Block) {
 	p := &Permit{board: b, endpoint: e}
 	if b.quiet(e) {
 		return p, Block{}
--- a/signals/signal.go
+++ b/signals/signal.go
@@ -23,7 +23,7 @@
 // Limit is what a response says of the rate limit of its endpoint.
 type Limit struct {
 	Kind LimitKind
-	// PerSecond is the rate of a limit that is Named, in requests a second from all VMs together.
+	// PerSecond is the rate of a limit that is Limited, in requests a second from all VMs together.
 	PerSecond float64
 }
 
@@ -33,8 +33,8 @@
 const (
 	// Unlimited is a response that names none.
 	Unlimited LimitKind = iota
-	// Named is a response that names one.
-	Named
+	// Limited is a response that names one.
+	Limited
 	// Malformed is a response whose limit cannot be understood. What was known stands.
 	Malformed
 )
