--- a/controller/loadbudget.go
+++ b/controller/loadbudget.go
@@ -36,7 +36,7 @@
 // hold adopts what a predecessor left, renews what is held, and forgets what
 // was lost.
 func (l *loadPlanner) hold(ctx context.Context, view loads.View, seen *picture, now time.Duration) {
-	own, orphans := l.budget.Own(view)
+	own, orphans := l.budget.HeldSlots(view)
 	for _, s := range orphans {
 		if err := l.budget.Adopt(ctx, s); err != nil {
 			countLoad("adopt-failed")
@@ -54,7 +54,7 @@
 			delete(l.running, number)
 		}
 	}
-	if clock.Since(l.renewed) < loads.RenewEvery {
+	if clock.Since(l.renewed) < loads.RenewInterval {
 		return
 	}
 	l.renewed = clock.Now()
@@ -67,9 +67,9 @@
 
 // adopted is a load that a predecessor began: it counts from now.
 func (l *loadPlanner) adopted(s loads.Slot, seen *picture, now time.Duration) loads.Running {
-	w := loads.Want{Engine: s.Share.Engine, Artifact: s.Share.Artifact, Bytes: l.sizes[s.Share.Artifact]}
+	w := loads.Load{Engine: s.Allocation.Engine, Artifact: s.Allocation.Artifact, Bytes: l.sizes[s.Allocation.Artifact]}
 	if e := seen.endpoint(w.Engine); e != nil {
 		w.Incarnation = e.Incarnation
 	}
-	return loads.Running{Want: w, Slot: s.Number, Began: now, Phase: loads.Ordered}
+	return loads.Running{Load: w, Slot: s.Number, StartedAt: now, Phase: loads.Ordered}
 }
--- a/controller/loads.go
+++ b/controller/loads.go
@@ -44,7 +44,7 @@
 // round plans once. Without the store's limits or the budget nothing is begun.
 func (l *loadPlanner) round(ctx context.Context, tree *settings.Tree, pool settings.Pool, seen *picture, asked map[weightstore.Artifact]float64) {
 	wants := l.wants(ctx, tree, pool, seen, asked)
-	if len(wants) == 0 && len(l.running) == 0 && l.budget != nil && clock.Since(l.renewed) < loads.RenewEvery {
+	if len(wants) == 0 && len(l.running) == 0 && l.budget != nil && clock.Since(l.renewed) < loads.RenewInterval {
 		return
 	}
 	if err := l.readLimits(ctx, tree); err != nil {
@@ -59,17 +59,17 @@
 	}
 	l.hold(ctx, view, seen, now)
 	decision, history := loads.Plan(loads.Snapshot{
-		Wants:    wants,
-		Running:  l.runningNow(),
-		Engines:  l.observed(seen),
-		Free:     view.FreeSlots(),
-		Rivals:   view.Rivals,
-		SlotRate: loads.SlotRate(l.limits),
+		Desired:         wants,
+		Running:         l.runningNow(),
+		Engines:         l.observed(seen),
+		FreeSlots:       view.FreeSlots(),
+		CompetingDemand: view.CompetingDemand,
+		SlotRate:        loads.SlotRate(l.limits),
 	}, now, loads.Defaults(), l.history)
 	l.history = history
 	l.end(ctx, view, decision.Ends)
 	l.start(ctx, view, decision.Starts, now)
-	l.wish(ctx, decision.Held)
+	l.wish(ctx, decision.Deferred)
 }
 
 // runningNow are the loads with their orders' phases, in the order of slots.
@@ -80,7 +80,7 @@
 	}
 	list := make([]loads.Running, 0, len(l.running))
 	for _, r := range l.running {
-		if failed[r.Want.Engine] {
+		if failed[r.Load.Engine] {
 			r.Phase = loads.Failed
 		}
 		list = append(list, r)
@@ -90,16 +90,16 @@
 }
 
 // observed is what the engines say of themselves.
-func (l *loadPlanner) observed(seen *picture) []loads.Observed {
+func (l *loadPlanner) observed(seen *picture) []loads.EngineState {
 	away := l.p.away()
-	var list []loads.Observed
+	var list []loads.EngineState
 	for _, e := range seen.fleet.Endpoints {
 		if e.Pool != l.p.pool {
 			continue
 		}
-		list = append(list, loads.Observed{
+		list = append(list, loads.EngineState{
 			Engine: e.Name, Incarnation: e.Incarnation, Loaded: artifactsOf(e),
-			Busy: away[e.Name] || e.Withheld, Missing: !e.Known || e.Leaving,
+			Busy: away[e.Name] || e.Withheld, Unavailable: !e.Known || e.Leaving,
 		})
 	}
 	return list
@@ -109,20 +109,20 @@
 // refused gives its slot back through the next round's plan.
 func (l *loadPlanner) start(ctx context.Context, view loads.View, starts []loads.Start, now time.Duration) {
 	for _, s := range starts {
-		err := l.budget.Claim(ctx, view.Slots[s.Slot], writeID(), s.Want)
+		err := l.budget.Claim(ctx, view.Slots[s.Slot], writeID(), s.Load)
 		if err != nil {
 			countClaim(err)
 			continue
 		}
-		l.running[s.Slot] = loads.Running{Want: s.Want, Slot: s.Slot, Began: now, Phase: loads.Ordered}
-		artifact := s.Want.Artifact
-		if err := l.p.executor.Submit(order.Change{Engine: s.Want.Engine, Kind: engine.LoadOrder, Artifact: &artifact}); err != nil {
-			klog.V(1).Infof("controller: load of %v on %s refused: %v", artifact, s.Want.Engine, err)
+		l.running[s.Slot] = loads.Running{Load: s.Load, Slot: s.Slot, StartedAt: now, Phase: loads.Ordered}
+		artifact := s.Load.Artifact
+		if err := l.p.executor.Submit(order.Change{Engine: s.Load.Engine, Kind: engine.LoadOrder, Artifact: &artifact}); err != nil {
+			klog.V(1).Infof("controller: load of %v on %s refused: %v", artifact, s.Load.Engine, err)
 			countLoad("order-refused")
 			continue
 		}
 		countLoad(string(loads.Wanted))
-		klog.Infof("controller: engine %s loads %v", s.Want.Engine, artifact)
+		klog.Infof("controller: engine %s loads %v", s.Load.Engine, artifact)
 	}
 }
 
@@ -140,10 +140,10 @@
 	for _, e := range ends {
 		countLoad(string(e.Reason))
 		r := e.Running
-		if e.Undo {
-			artifact := r.Want.Artifact
-			if err := l.p.executor.Submit(order.Change{Engine: r.Want.Engine, Kind: engine.Unload, Artifact: &artifact}); err != nil {
-				klog.V(1).Infof("controller: load of %v on %s not undone yet: %v", artifact, r.Want.Engine, err)
+		if e.Unload {
+			artifact := r.Load.Artifact
+			if err := l.p.executor.Submit(order.Change{Engine: r.Load.Engine, Kind: engine.Unload, Artifact: &artifact}); err != nil {
+				klog.V(1).Infof("controller: load of %v on %s not undone yet: %v", artifact, r.Load.Engine, err)
 			}
 		}
 		if !e.Release {
@@ -154,23 +154,23 @@
 			continue
 		}
 		delete(l.running, r.Slot)
-		klog.Infof("controller: load of %v on %s ended: %s", r.Want.Artifact, r.Want.Engine, e.Reason)
+		klog.Infof("controller: load of %v on %s ended: %s", r.Load.Artifact, r.Load.Engine, e.Reason)
 	}
 }
 
 // wish tells other zones of the most wanted load that has no slot.
-func (l *loadPlanner) wish(ctx context.Context, held []loads.Held) {
+func (l *loadPlanner) wish(ctx context.Context, held []loads.Deferred) {
 	weight := 0.0
 	for _, h := range held {
 		if h.Reason == loads.NoSlot || h.Reason == loads.Outranked {
-			weight = max(weight, h.Want.Weight)
+			weight = max(weight, h.Load.Weight)
 		}
 	}
-	fresh := clock.Since(l.wishedAt) < loads.RenewEvery
+	fresh := clock.Since(l.wishedAt) < loads.RenewInterval
 	if weight == l.wished && (fresh || weight == 0) {
 		return
 	}
-	if err := l.budget.Wish(ctx, writeID(), weight); err != nil {
+	if err := l.budget.PostDemand(ctx, writeID(), weight); err != nil {
 		countLoad("wish-failed")
 		return
 	}
--- a/controller/wants.go
+++ b/controller/wants.go
@@ -21,8 +21,8 @@
 
 // wants lists the loads that would be useful: what the models' copies ask for,
 // and what replacements lack.
-func (l *loadPlanner) wants(ctx context.Context, tree *settings.Tree, pool settings.Pool, seen *picture, asked map[weightstore.Artifact]float64) []loads.Want {
-	var wants []loads.Want
+func (l *loadPlanner) wants(ctx context.Context, tree *settings.Tree, pool settings.Pool, seen *picture, asked map[weightstore.Artifact]float64) []loads.Load {
+	var wants []loads.Load
 	for i, name := range pool.In(l.p.c.process.Zone).Models {
 		model, found := tree.Model(name)
 		if !found {
@@ -35,7 +35,7 @@
 	}
 	for _, r := range l.p.replacements(tree, seen) {
 		for _, a := range r.lacking() {
-			wants = append(wants, loads.Want{Engine: r.by.Name, Incarnation: r.by.Incarnation, Artifact: a, Weight: replaceWeight})
+			wants = append(wants, loads.Load{Engine: r.by.Name, Incarnation: r.by.Incarnation, Artifact: a, Weight: replaceWeight})
 		}
 	}
 	return l.sized(ctx, wants)
@@ -53,8 +53,8 @@
 // copies wants an artifact on as many engines as are short of the copies. An
 // adapter goes only where its base model is. Engines with the fewest artifacts
 // come first, then by name, so that each round wants the same.
-func (l *loadPlanner) copies(seen *picture, a weightstore.Artifact, copies int, weight float64) []loads.Want {
-	var without []loads.Want
+func (l *loadPlanner) copies(seen *picture, a weightstore.Artifact, copies int, weight float64) []loads.Load {
+	var without []loads.Load
 	have := 0
 	counts := map[string]int{}
 	for _, e := range seen.fleet.Endpoints {
@@ -67,10 +67,10 @@
 		case slices.Contains(loaded, a):
 			have++
 		case a.Adapter == "" || hasBase(loaded, a.Model):
-			without = append(without, loads.Want{Engine: e.Name, Incarnation: e.Incarnation, Artifact: a, Weight: weight})
+			without = append(without, loads.Load{Engine: e.Name, Incarnation: e.Incarnation, Artifact: a, Weight: weight})
 		}
 	}
-	slices.SortStableFunc(without, func(x, y loads.Want) int { return counts[x.Engine] - counts[y.Engine] })
+	slices.SortStableFunc(without, func(x, y loads.Load) int { return counts[x.Engine] - counts[y.Engine] })
 	return without[:max(0, min(len(without), copies-have))]
 }
 
@@ -79,7 +79,7 @@
 }
 
 // sized fills in the sizes and leaves out what the store does not describe.
-func (l *loadPlanner) sized(ctx context.Context, wants []loads.Want) []loads.Want {
+func (l *loadPlanner) sized(ctx context.Context, wants []loads.Load) []loads.Load {
 	kept := wants[:0]
 	for _, w := range wants {
 		size, known := l.sizes[w.Artifact]
--- a/gateway/duties.go
+++ b/gateway/duties.go
@@ -47,7 +47,7 @@
 // keepers are the addresses of the VMs that hold accounts of usage.
 func (g *Gateway) keepers() []string {
 	var list []string
-	for _, p := range g.exchange.Keepers() {
+	for _, p := range g.exchange.UsageReplicas() {
 		list = append(list, p.Address.String())
 	}
 	return list
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -149,7 +149,7 @@
 	g := &Gateway{settings: s, platform: p, network: n, started: time.Now(), freshness: freshness.New(nil)}
 	g.state = &state{freshness: g.freshness, revoke: newRevokeBudget(s.RevokeWithin), applyWithin: s.ApplyWithin}
 	g.signals = signals.New(signals.Config{
-		VM: s.VM, Publish: func(n loadshare.News) { g.exchange.Tell(n) }, Endpoints: func() *directory.Snapshot { return g.directory.Snapshot() },
+		VM: s.VM, Publish: func(n loadshare.Announcement) { g.exchange.Broadcast(n) }, Endpoints: func() *directory.Snapshot { return g.directory.Snapshot() },
 		Drain: func(e *directory.Endpoint) bool { return g.directory.Drain(e) },
 	})
 	if p.Observe != nil {
@@ -171,14 +171,14 @@
 	g.exchange = loadshare.New(g.exchangeConfig())
 	g.roles = rolechange.New(rolechange.Config{
 		VM: s.VM, Directory: g.directory, Services: g.state.config.Load,
-		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, Open: g.planner.Open, Announce: g.exchange.Spread,
+		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, Open: g.planner.Open, Announce: g.exchange.PropagationDelay,
 	})
 	g.duties = duties.NewKeeper(duties.Config{
 		Rows: p.Rows, Epoch: p.Epoch, Apart: s.Lease, Rank: g.exchange.Rank,
 		Self: lease.Identity{VM: s.VM, Process: self.Boot, Address: s.Peers},
 	}, g.listDuties(day)...)
 	g.guard = poison.NewGuard(poison.Config{
-		Down: p.Down, Tell: g.exchange.Tell, Spread: g.exchange.Spread, Directory: g.directory, Rows: p.Rows, Feed: g.verdicts,
+		Down: p.Down, Tell: g.exchange.Broadcast, Spread: g.exchange.PropagationDelay, Directory: g.directory, Rows: p.Rows, Feed: g.verdicts,
 	})
 	g.relay = relay.New(relay.Config{
 		Planner: g.planner, Upstream: p.Upstream, Budget: g.budgets.of, Guard: g.guard,
@@ -192,14 +192,14 @@
 func (g *Gateway) exchangeConfig() loadshare.Config {
 	s := g.settings
 	c := loadshare.Config{
-		VM: s.VM, Zone: s.Zone, Address: s.Peers, Strength: s.Strength, LinkBitsPerSecond: s.Placement.LinkBitsPerSecond,
-		Own: g.planner.Own, Heard: g.heard, News: g.heardNews,
+		VM: s.VM, Zone: s.Zone, Address: s.Peers, Capacity: s.Strength, LinkBitsPerSecond: s.Placement.LinkBitsPerSecond,
+		LocalReport: g.planner.Own, OnLoad: g.heard, OnAnnouncement: g.heardNews,
 	}
 	if g.usage != nil {
 		c.Usage = g.usage
 	}
 	if g.state.revoke.bounded() {
-		c.Confirmation, c.Confirmed = g.freshness.Newest, g.freshness.Confirm
+		c.Confirmation, c.OnConfirmation = g.freshness.Newest, g.freshness.Confirm
 	}
 	return c
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -23,7 +23,7 @@
 			klog.ErrorS(err, "gateway: VM without a usable address", "vm", vm.Name)
 			continue
 		}
-		peers = append(peers, loadshare.Peer{Name: vm.Name, Zone: vm.Zone, Strength: vm.Strength, Address: address})
+		peers = append(peers, loadshare.Peer{Name: vm.Name, Zone: vm.Zone, Capacity: vm.Strength, Address: address})
 	}
 	g.exchange.SetPeers(peers)
 	g.budgets.setVMs(len(vms) + 1)
@@ -38,7 +38,7 @@
 }
 
 // heardNews takes in what is told to all VMs.
-func (g *Gateway) heardNews(n loadshare.News) {
+func (g *Gateway) heardNews(n loadshare.Announcement) {
 	g.guard.Heard(n)
 	g.signals.Receive(n.Signals)
 }
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -46,11 +46,11 @@
 // place tells which VMs of the zone this one may ask.
 func (g *Gateway) place() feedshare.Place {
 	var place feedshare.Place
-	for _, p := range g.exchange.Before(readersBefore) {
+	for _, p := range g.exchange.PrecedingPeers(readersBefore) {
 		place.Before = append(place.Before, p.Address.String())
 	}
-	place.First, place.Rank = g.exchange.Collects(), g.exchange.Rank()
-	for _, p := range g.exchange.Elsewhere(readersElsewhere) {
+	place.First, place.Rank = g.exchange.IsCollector(), g.exchange.Rank()
+	for _, p := range g.exchange.PeersOutsideZone(readersElsewhere) {
 		place.Elsewhere = append(place.Elsewhere, p.Address.String())
 	}
 	return place
--- a/loads/budget.go
+++ b/loads/budget.go
@@ -27,8 +27,8 @@
 	maxWishes = 64
 )
 
-// Share is the value of a slot's row. The zero Share is a free slot.
-type Share struct {
+// Allocation is the value of a slot's row. The zero Allocation is a free slot.
+type Allocation struct {
 	// ID is the id of the write that claimed it.
 	ID string `json:"id,omitempty"`
 	// Holder is the planner's process instance, Zone its zone.
@@ -50,9 +50,9 @@
 
 // Slot is a slot as last read.
 type Slot struct {
-	Number  int
-	Version table.Version
-	Share   Share
+	Number     int
+	Version    table.Version
+	Allocation Allocation
 	// Free is set when nobody holds it, or when its holder has not renewed it
 	// for the whole expiry.
 	Free bool
@@ -61,8 +61,8 @@
 // View is the budget as last read.
 type View struct {
 	Slots []Slot
-	// Rivals are the weights that other zones have posted and renewed lately.
-	Rivals []float64
+	// CompetingDemand are the weights that other zones have posted and renewed lately.
+	CompetingDemand []float64
 }
 
 // FreeSlots returns the numbers of the free slots.
@@ -118,11 +118,11 @@
 	at      time.Duration
 }
 
-// DefaultExpiry is how long an unchanged share counts as held; RenewEvery is
+// DefaultExpiry is how long an unchanged share counts as held; RenewInterval is
 // how often a holder renews.
 const (
 	DefaultExpiry = 30 * time.Second
-	RenewEvery    = 8 * time.Second
+	RenewInterval = 8 * time.Second
 )
 
 // NewBudget returns the budget as the process instance holder sees it.
@@ -158,13 +158,13 @@
 	}
 	for i, row := range rows {
 		slot := Slot{Number: i, Version: row.Version}
-		if err := decode(row, &slot.Share); err != nil {
+		if err := decode(row, &slot.Allocation); err != nil {
 			return v, err
 		}
-		slot.Free = slot.Share.Holder == "" || slot.Share.Holder != b.holder && b.expired(now, row)
+		slot.Free = slot.Allocation.Holder == "" || slot.Allocation.Holder != b.holder && b.expired(now, row)
 		v.Slots = append(v.Slots, slot)
 	}
-	v.Rivals, err = b.rivals(ctx, now)
+	v.CompetingDemand, err = b.rivals(ctx, now)
 	return v, err
 }
 
@@ -212,50 +212,50 @@
 
 // Claim takes a free slot for w, under the write id. After any error but
 // *table.ConflictError the slot may be held: the next Read tells.
-func (b *Budget) Claim(ctx context.Context, s Slot, id string, w Want) error {
-	return b.write(ctx, s, Share{ID: id, Holder: b.holder, Zone: b.zone, Engine: w.Engine, Artifact: w.Artifact})
+func (b *Budget) Claim(ctx context.Context, s Slot, id string, w Load) error {
+	return b.write(ctx, s, Allocation{ID: id, Holder: b.holder, Zone: b.zone, Engine: w.Engine, Artifact: w.Artifact})
 }
 
 // Renew tells others that an own slot is still in use.
 func (b *Budget) Renew(ctx context.Context, s Slot) error {
-	share := s.Share
+	share := s.Allocation
 	share.Beat++
 	return b.write(ctx, s, share)
 }
 
 // Release gives an own slot back.
-func (b *Budget) Release(ctx context.Context, s Slot) error { return b.write(ctx, s, Share{}) }
+func (b *Budget) Release(ctx context.Context, s Slot) error { return b.write(ctx, s, Allocation{}) }
 
 // Adopt takes over a slot that an earlier planner of the same zone holds, so
 // that its load is resumed or undone. The zone's lease allows only one planner.
 func (b *Budget) Adopt(ctx context.Context, s Slot) error {
-	share := s.Share
+	share := s.Allocation
 	share.Holder = b.holder
 	share.Beat++
 	return b.write(ctx, s, share)
 }
 
-// Own returns the slots that this planner holds, and Orphans those of other
+// HeldSlots returns the slots that this planner holds, and Orphans those of other
 // planners of its zone, whose place it has taken.
-func (b *Budget) Own(v View) (own, orphans []Slot) {
+func (b *Budget) HeldSlots(v View) (own, orphans []Slot) {
 	for _, s := range v.Slots {
 		switch {
-		case s.Share.Holder == b.holder:
+		case s.Allocation.Holder == b.holder:
 			own = append(own, s)
-		case s.Share.Zone == b.zone && s.Share.Holder != "":
+		case s.Allocation.Zone == b.zone && s.Allocation.Holder != "":
 			orphans = append(orphans, s)
 		}
 	}
 	return own, orphans
 }
 
-func (b *Budget) write(ctx context.Context, s Slot, share Share) error {
+func (b *Budget) write(ctx context.Context, s Slot, share Allocation) error {
 	return b.commit(ctx, slotKey(s.Number), s.Version, share)
 }
 
-// Wish posts the weight of the most wanted load that has no slot; zero takes
+// PostDemand posts the weight of the most wanted load that has no slot; zero takes
 // it back. It is posted again at each renewal, or it expires.
-func (b *Budget) Wish(ctx context.Context, id string, weight float64) error {
+func (b *Budget) PostDemand(ctx context.Context, id string, weight float64) error {
 	rows, err := b.table.Get(ctx, wishKey(b.zone))
 	if err != nil {
 		return eris.Wrap(err, "read the zone's wish")
--- a/loads/budget_test.go
+++ b/loads/budget_test.go
@@ -60,7 +60,7 @@
 	claim(t, dead, read(t, dead, 0), 0)
 	claim(t, live, read(t, live, 0), 1)
 	const first = time.Hour // The observer comes late: what went before does not count.
-	for at := time.Duration(0); at <= DefaultExpiry; at += RenewEvery {
+	for at := time.Duration(0); at <= DefaultExpiry; at += RenewInterval {
 		if free := read(t, observer, first+at).FreeSlots(); len(free) != 0 {
 			t.Fatalf("free after %v: %v", at, free)
 		}
@@ -74,7 +74,7 @@
 	}
 	claim(t, observer, v, 0)
 	// The first holder wakes up: its row has moved on, and it sees so.
-	own, _ := dead.Own(read(t, dead, 0))
+	own, _ := dead.HeldSlots(read(t, dead, 0))
 	if len(own) != 0 {
 		t.Errorf("the woken holder still counts %v as its own", own)
 	}
@@ -92,7 +92,7 @@
 			t.Fatal("the fault was not injected")
 		}
 		rows.SetFault(memtable.Fault{})
-		own, _ := b.Own(read(t, b, 0))
+		own, _ := b.HeldSlots(read(t, b, 0))
 		if held := len(own) == 1; held != applied {
 			t.Errorf("applied %v: held %v", applied, held)
 		}
@@ -105,18 +105,18 @@
 	rows := memtable.New()
 	dead, next, other := budgetOf(rows, "p1", "a"), budgetOf(rows, "p2", "a"), budgetOf(rows, "p3", "b")
 	claim(t, dead, read(t, dead, 0), 1)
-	if _, orphans := other.Own(read(t, other, 0)); len(orphans) != 0 {
+	if _, orphans := other.HeldSlots(read(t, other, 0)); len(orphans) != 0 {
 		t.Errorf("another zone's planner sees orphans %v", orphans)
 	}
-	_, orphans := next.Own(read(t, next, 0))
+	_, orphans := next.HeldSlots(read(t, next, 0))
 	if len(orphans) != 1 {
 		t.Fatalf("orphans: %v", orphans)
 	}
 	if err := next.Adopt(context.Background(), orphans[0]); err != nil {
 		t.Fatal(err)
 	}
-	own, _ := next.Own(read(t, next, 0))
-	if len(own) != 1 || own[0].Share.Engine != "e" {
+	own, _ := next.HeldSlots(read(t, next, 0))
+	if len(own) != 1 || own[0].Allocation.Engine != "e" {
 		t.Fatalf("after adopting: %+v", own)
 	}
 	if err := next.Release(context.Background(), own[0]); err != nil {
@@ -133,22 +133,22 @@
 	rows := memtable.New()
 	a, b := budgetOf(rows, "p1", "a"), budgetOf(rows, "p2", "b")
 	post := func(weight float64) {
-		if err := a.Wish(context.Background(), "w", weight); err != nil {
+		if err := a.PostDemand(context.Background(), "w", weight); err != nil {
 			t.Fatal(err)
 		}
 	}
 	post(3)
-	if diff := cmp.Diff([]float64{3}, read(t, b, 0).Rivals); diff != "" {
+	if diff := cmp.Diff([]float64{3}, read(t, b, 0).CompetingDemand); diff != "" {
 		t.Error(diff)
 	}
-	if own := read(t, a, 0).Rivals; own != nil {
+	if own := read(t, a, 0).CompetingDemand; own != nil {
 		t.Errorf("a zone rivals itself: %v", own)
 	}
-	if old := read(t, b, DefaultExpiry).Rivals; old != nil {
+	if old := read(t, b, DefaultExpiry).CompetingDemand; old != nil {
 		t.Errorf("a silent zone still rivals: %v", old)
 	}
 	post(0)
-	if none := read(t, b, DefaultExpiry).Rivals; none != nil {
+	if none := read(t, b, DefaultExpiry).CompetingDemand; none != nil {
 		t.Errorf("a wish taken back still rivals: %v", none)
 	}
 }
--- a/loads/loads.go
+++ b/loads/loads.go
@@ -13,8 +13,8 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Want is a load that would be useful.
-type Want struct {
+// Load is a load that would be useful.
+type Load struct {
 	// Engine is the engine's name, Incarnation the one that the want is about.
 	Engine, Incarnation string
 	Artifact            weightstore.Artifact
@@ -37,31 +37,31 @@
 
 // Running is a load that this zone has a share for.
 type Running struct {
-	Want  Want
-	Slot  int
-	Began time.Duration
-	Phase Phase
+	Load      Load
+	Slot      int
+	StartedAt time.Duration
+	Phase     Phase
 }
 
-// Observed is what an engine says of itself. It is never assumed from orders.
-type Observed struct {
+// EngineState is what an engine says of itself. It is never assumed from orders.
+type EngineState struct {
 	Engine, Incarnation string
 	Loaded              []weightstore.Artifact
 	// Busy is set while the engine carries out any order, or may not be sent one.
 	Busy bool
-	// Missing is set when the engine cannot be reached or has left.
-	Missing bool
+	// Unavailable is set when the engine cannot be reached or has left.
+	Unavailable bool
 }
 
 // Snapshot is what Plan decides on. It is never modified.
 type Snapshot struct {
-	Wants   []Want
+	Desired []Load
 	Running []Running
-	Engines []Observed
-	// Free are the numbers of the free slots of the budget.
-	Free []int
-	// Rivals are the weights of what other zones want and have no slot for.
-	Rivals []float64
+	Engines []EngineState
+	// FreeSlots are the numbers of the free slots of the budget.
+	FreeSlots []int
+	// CompetingDemand are the weights of what other zones want and have no slot for.
+	CompetingDemand []float64
 	// SlotRate is the bytes a second that one slot stands for.
 	SlotRate float64
 }
@@ -120,7 +120,7 @@
 
 // Start is a load to order, with the slot to claim first.
 type Start struct {
-	Want Want
+	Load Load
 	Slot int
 }
 
@@ -128,24 +128,24 @@
 type End struct {
 	Running Running
 	Reason  Reason
-	// Undo is set when the engine may hold part of the artifact: an unload order
+	// Unload is set when the engine may hold part of the artifact: an unload order
 	// goes first, so that nothing routes to it.
-	Undo bool
+	Unload bool
 	// Release is set when the slot may be given back. It is not while the
 	// bytes fetched are ahead of the slot's rate; the load then stays in
 	// Snapshot.Running and ends again in a later round.
 	Release bool
 }
 
-// Held is a want that was not started.
-type Held struct {
-	Want   Want
+// Deferred is a want that was not started.
+type Deferred struct {
+	Load   Load
 	Reason Reason
 }
 
 // Decision is what Plan decided.
 type Decision struct {
-	Starts []Start
-	Ends   []End
-	Held   []Held
+	Starts   []Start
+	Ends     []End
+	Deferred []Deferred
 }
--- a/loads/plan.go
+++ b/loads/plan.go
@@ -39,12 +39,12 @@
 			h = h.after(e, now, set)
 		}
 	}
-	wants := slices.Clone(snap.Wants)
+	wants := slices.Clone(snap.Desired)
 	slices.SortStableFunc(wants, mostWanted)
-	p := picker{snap: snap, set: set, h: h, now: now, running: running, free: snap.Free}
+	p := picker{snap: snap, set: set, h: h, now: now, running: running, free: snap.FreeSlots}
 	for _, w := range wants {
 		if reason := p.pick(w); reason != Wanted {
-			d.Held = append(d.Held, Held{w, reason})
+			d.Deferred = append(d.Deferred, Deferred{w, reason})
 		}
 	}
 	d.Starts = p.starts
@@ -52,25 +52,25 @@
 }
 
 // mostWanted orders by weight, then smaller first, then by name.
-func mostWanted(a, b Want) int {
+func mostWanted(a, b Load) int {
 	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Bytes, b.Bytes), cmp.Compare(a.Engine, b.Engine))
 }
 
 // ending tells whether a load is over, from what its engine says.
 func ending(snap Snapshot, r Running, now time.Duration, set Settings) (End, bool) {
-	end := End{Running: r, Release: now-r.Began >= expected(r.Want, snap.SlotRate)}
-	o, known := observed(snap.Engines, r.Want.Engine)
+	end := End{Running: r, Release: now-r.StartedAt >= expected(r.Load, snap.SlotRate)}
+	o, known := observed(snap.Engines, r.Load.Engine)
 	switch {
-	case !known || o.Missing:
+	case !known || o.Unavailable:
 		end.Reason, end.Release = Gone, true
-	case slices.Contains(o.Loaded, r.Want.Artifact) && r.Phase != Failed:
+	case slices.Contains(o.Loaded, r.Load.Artifact) && r.Phase != Failed:
 		end.Reason = Done
-	case o.Incarnation != r.Want.Incarnation:
+	case o.Incarnation != r.Load.Incarnation:
 		end.Reason, end.Release = Crashed, true
 	case r.Phase == Failed:
-		end.Reason, end.Undo = OrderFailed, true
-	case now-r.Began > allowed(r.Want, snap.SlotRate, set):
-		end.Reason, end.Undo, end.Release = TooSlow, true, true
+		end.Reason, end.Unload = OrderFailed, true
+	case now-r.StartedAt > allowed(r.Load, snap.SlotRate, set):
+		end.Reason, end.Unload, end.Release = TooSlow, true, true
 	default:
 		return End{}, false
 	}
@@ -78,7 +78,7 @@
 }
 
 // expected is the time of a fetch at the rate that a slot stands for.
-func expected(w Want, rate float64) time.Duration {
+func expected(w Load, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
@@ -86,23 +86,23 @@
 }
 
 // allowed is the time after which a load counts as stuck.
-func allowed(w Want, rate float64, set Settings) time.Duration {
+func allowed(w Load, rate float64, set Settings) time.Duration {
 	return set.Grace + time.Duration(set.Overdue*float64(expected(w, rate)))
 }
 
-func observed(engines []Observed, name string) (Observed, bool) {
+func observed(engines []EngineState, name string) (EngineState, bool) {
 	for _, o := range engines {
 		if o.Engine == name {
 			return o, true
 		}
 	}
-	return Observed{}, false
+	return EngineState{}, false
 }
 
 // after notes how a load ended: a failure waits longer each time, a success
 // forgets the failures.
 func (h History) after(e End, now time.Duration, set Settings) History {
-	w := e.Running.Want
+	w := e.Running.Load
 	t := Tries{Engine: w.Engine, Artifact: w.Artifact}
 	if i := h.find(w); i >= 0 {
 		t = h.Tries[i]
@@ -121,7 +121,7 @@
 // maxDoublings keeps the backoff from overflowing.
 const maxDoublings = 16
 
-func (h History) find(w Want) int {
+func (h History) find(w Load) int {
 	return slices.IndexFunc(h.Tries, func(t Tries) bool {
 		return t.Engine == w.Engine && t.Artifact == w.Artifact
 	})
@@ -139,10 +139,10 @@
 }
 
 // pick starts w if it may begin now, and tells why not otherwise.
-func (p *picker) pick(w Want) Reason {
+func (p *picker) pick(w Load) Reason {
 	o, known := observed(p.snap.Engines, w.Engine)
 	switch {
-	case !known || o.Missing:
+	case !known || o.Unavailable:
 		return Gone
 	case slices.Contains(o.Loaded, w.Artifact):
 		return Done
@@ -157,7 +157,7 @@
 	case p.outranked(w):
 		return Outranked
 	}
-	p.starts = append(p.starts, Start{Want: w, Slot: p.free[0]})
+	p.starts = append(p.starts, Start{Load: w, Slot: p.free[0]})
 	p.free = p.free[1:]
 	p.running++
 	return Wanted
@@ -166,28 +166,28 @@
 // taken tells whether the engine has a load already.
 func (p *picker) taken(engine string) bool {
 	for _, r := range p.snap.Running {
-		if r.Want.Engine == engine {
+		if r.Load.Engine == engine {
 			return true
 		}
 	}
 	for _, s := range p.starts {
-		if s.Want.Engine == engine {
+		if s.Load.Engine == engine {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *picker) waits(w Want) bool {
+func (p *picker) waits(w Load) bool {
 	i := p.h.find(w)
 	return i >= 0 && p.now < p.h.Tries[i].NotBefore
 }
 
 // outranked tells whether other zones want as many loads more than w as there
 // are free slots.
-func (p *picker) outranked(w Want) bool {
+func (p *picker) outranked(w Load) bool {
 	above := 0
-	for _, weight := range p.snap.Rivals {
+	for _, weight := range p.snap.CompetingDemand {
 		if weight > w.Weight {
 			above++
 		}
--- a/loadshare/datagrams.go
+++ b/loadshare/datagrams.go
@@ -68,5 +68,5 @@
 	x.sequence++
 	load.Vm, load.Zone, load.Address = x.cfg.VM, x.cfg.Zone, x.cfg.Address
 	load.Boot, load.Sequence = x.boot, x.sequence
-	load.Leaving, load.Strength = x.leaving, uint32(x.cfg.Strength)
+	load.Leaving, load.Strength = x.leaving, uint32(x.cfg.Capacity)
 }
--- a/loadshare/echo.go
+++ b/loadshare/echo.go
@@ -65,7 +65,7 @@
 
 // takeConfirmation takes in what a datagram tells of the configuration's age.
 func (x *Exchange) takeConfirmation(load *sharepb.Load) {
-	if x.cfg.Confirmed == nil || load.Stamp == 0 {
+	if x.cfg.OnConfirmation == nil || load.Stamp == 0 {
 		return
 	}
 	x.mu.Lock()
@@ -73,7 +73,7 @@
 	c, confirmed := x.confirmation(load)
 	x.mu.Unlock()
 	if confirmed {
-		x.cfg.Confirmed(c)
+		x.cfg.OnConfirmation(c)
 	}
 }
 
--- a/loadshare/echo_test.go
+++ b/loadshare/echo_test.go
@@ -18,7 +18,7 @@
 func newVM(name string) vm {
 	tr := freshness.New(nil)
 	tr.InForce(1)
-	x := New(Config{VM: name, Zone: "z", Confirmation: tr.Newest, Confirmed: tr.Confirm, Heard: func(*sharepb.Load) {}})
+	x := New(Config{VM: name, Zone: "z", Confirmation: tr.Newest, OnConfirmation: tr.Confirm, OnLoad: func(*sharepb.Load) {}})
 	return vm{Exchange: x, Tracker: tr}
 }
 
@@ -108,7 +108,7 @@
 
 // A region in which nothing is bounded by the age of knowledge tells nothing of it.
 func TestNothingIsToldWithoutABound(t *testing.T) {
-	x := New(Config{VM: "x", Heard: func(*sharepb.Load) {}})
+	x := New(Config{VM: "x", OnLoad: func(*sharepb.Load) {}})
 	load := x.load(Report{}, ofVM)
 	x.confirm(load, []Peer{{Name: "y"}})
 	if load.Stamp != 0 || load.Echoes != nil || load.Confirmation != nil {
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -64,31 +64,31 @@
 // Peer is another VM that takes datagrams.
 type Peer struct {
 	Name, Zone string
-	// Strength orders the VMs of a zone as collectors.
-	Strength int
+	// Capacity orders the VMs of a zone as collectors.
+	Capacity int
 	Address  netip.AddrPort
 }
 
 // Config is what an Exchange works with.
 type Config struct {
 	VM, Zone string
-	// Strength is what this VM can bear, in units that all VMs share.
-	Strength int
+	// Capacity is what this VM can bear, in units that all VMs share.
+	Capacity int
 	// LinkBitsPerSecond is what this VM's link carries; zero is no bound.
 	LinkBitsPerSecond float64
 	// Address is where this VM takes datagrams (host:port).
 	Address string
-	// Own returns this VM's open work and the prompts placed since the last call.
-	Own func() Report
-	// Heard takes the newest datagram of a peer. That of a collector stands for its
+	// LocalReport returns this VM's open work and the prompts placed since the last call.
+	LocalReport func() Report
+	// OnLoad takes the newest datagram of a peer. That of a collector stands for its
 	// whole zone (ZoneSum) or for all zones (RegionSum).
-	Heard func(*sharepb.Load)
-	// News takes what other VMs tell with Tell; each piece may come several times.
-	News func(News)
+	OnLoad func(*sharepb.Load)
+	// OnAnnouncement takes what other VMs tell with Broadcast; each piece may come several times.
+	OnAnnouncement func(Announcement)
 	// Confirmation returns the newest confirmation of the configuration that is known here, and
-	// Confirmed takes those of other VMs. Nil tells and takes none.
-	Confirmation func() (version uint64, age time.Duration, known bool)
-	Confirmed    func(freshness.Confirmation)
+	// OnConfirmation takes those of other VMs. Nil tells and takes none.
+	Confirmation   func() (version uint64, age time.Duration, known bool)
+	OnConfirmation func(freshness.Confirmation)
 	// Usage, if set, is told to the keepers, and takes what other VMs tell.
 	Usage Usage
 }
@@ -131,7 +131,7 @@
 
 // New returns an exchange without peers.
 func New(cfg Config) *Exchange {
-	self := Peer{Name: cfg.VM, Zone: cfg.Zone, Strength: cfg.Strength}
+	self := Peer{Name: cfg.VM, Zone: cfg.Zone, Capacity: cfg.Capacity}
 	return &Exchange{cfg: cfg, boot: rand.Uint64(), newest: map[string]newest{}, region: newRegion(self), news: newOutbox(), echoes: newEchoes()}
 }
 
@@ -142,9 +142,9 @@
 	x.region.setPeers(peers)
 }
 
-// Spread is how long news of this VM takes to reach all others, a lost datagram
+// PropagationDelay is how long news of this VM takes to reach all others, a lost datagram
 // included.
-func (x *Exchange) Spread() time.Duration {
+func (x *Exchange) PropagationDelay() time.Duration {
 	x.mu.Lock()
 	collected := x.region.collected()
 	x.mu.Unlock()
@@ -154,17 +154,17 @@
 	return 4 * x.interval()
 }
 
-// Before returns the VMs of the own zone that come before this one in the order of
+// PrecedingPeers returns the VMs of the own zone that come before this one in the order of
 // collectors, from the collector on, at most n. There are none in a small region.
-func (x *Exchange) Before(n int) []Peer {
+func (x *Exchange) PrecedingPeers(n int) []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.region.before(clock.Now(), n)
 }
 
-// Elsewhere returns VMs that may reach the platform where this one's zone does not, at most n: the
+// PeersOutsideZone returns VMs that may reach the platform where this one's zone does not, at most n: the
 // collectors of the other zones, or, in a small region, the strongest others.
-func (x *Exchange) Elsewhere(n int) []Peer {
+func (x *Exchange) PeersOutsideZone(n int) []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.region.elsewhere(clock.Now(), n)
@@ -178,8 +178,8 @@
 	return x.region.rank()
 }
 
-// Collects tells whether this VM is the collector of its zone.
-func (x *Exchange) Collects() bool {
+// IsCollector tells whether this VM is the collector of its zone.
+func (x *Exchange) IsCollector() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.region.collects(clock.Now())
@@ -232,7 +232,7 @@
 // messages returns what to tell this round: nothing while there is no work, but for
 // a first round that tells that it ended, and a sign of life now and then.
 func (x *Exchange) messages(q *quiet) []message {
-	own := x.cfg.Own()
+	own := x.cfg.LocalReport()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	list := x.region.messages(clock.Now(), own)
@@ -298,7 +298,7 @@
 	x.takeConfirmation(load)
 	x.takeUsage(load)
 	if x.counts(load) {
-		x.cfg.Heard(load)
+		x.cfg.OnLoad(load)
 	}
 }
 
--- a/loadshare/loadshare_test.go
+++ b/loadshare/loadshare_test.go
@@ -110,9 +110,9 @@
 func startNode(t *testing.T, name, zone string, strength int) *node {
 	t.Helper()
 	address := freeAddress(t)
-	n := &node{listener: &listener{}, peer: Peer{Name: name, Zone: zone, Strength: strength, Address: netip.MustParseAddrPort(address)}}
+	n := &node{listener: &listener{}, peer: Peer{Name: name, Zone: zone, Capacity: strength, Address: netip.MustParseAddrPort(address)}}
 	n.own = Report{Work: []*sharepb.Work{{Endpoint: Hash(name), Runs: 1}, {Endpoint: shared, Runs: 1}}}
-	n.x = New(Config{VM: name, Zone: zone, Strength: strength, Address: address, Own: n.ownNow, Heard: n.take})
+	n.x = New(Config{VM: name, Zone: zone, Capacity: strength, Address: address, LocalReport: n.ownNow, OnLoad: n.take})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- n.x.Run(ctx) }()
@@ -171,7 +171,7 @@
 			}
 			var strongest *node
 			for _, n := range nodes {
-				if n.peer.Zone == "z0" && (strongest == nil || n.peer.Strength > strongest.peer.Strength) {
+				if n.peer.Zone == "z0" && (strongest == nil || n.peer.Capacity > strongest.peer.Capacity) {
 					strongest = n
 				}
 			}
@@ -190,7 +190,7 @@
 
 func TestOlderNewsIsDropped(t *testing.T) {
 	l := &listener{}
-	x := New(Config{VM: "self", Zone: "a", Heard: l.take})
+	x := New(Config{VM: "self", Zone: "a", OnLoad: l.take})
 	say := func(boot, sequence uint64) {
 		x.take(&sharepb.Load{Vm: "v", Zone: "a", Boot: boot, Sequence: sequence})
 	}
@@ -246,9 +246,9 @@
 func TestCollectors(t *testing.T) {
 	var peers []Peer
 	for i := range 20 {
-		peers = append(peers, Peer{Name: fmt.Sprintf("vm%02d", i), Zone: []string{"a", "b"}[i%2], Strength: 10})
+		peers = append(peers, Peer{Name: fmt.Sprintf("vm%02d", i), Zone: []string{"a", "b"}[i%2], Capacity: 10})
 	}
-	peers[4].Strength = 99 // vm04 of zone a
+	peers[4].Capacity = 99 // vm04 of zone a
 	now := time.Unix(1000, 0)
 	names := func(list []Peer) (s []string) {
 		for _, p := range list {
@@ -256,7 +256,7 @@
 		}
 		return s
 	}
-	weak := newRegion(Peer{Name: "self", Zone: "a", Strength: 1})
+	weak := newRegion(Peer{Name: "self", Zone: "a", Capacity: 1})
 	weak.setPeers(peers)
 	if got := names(weak.toldBy(now)); len(got) != 1 || got[0] != "vm04" {
 		t.Errorf("a weak VM tells %v, want the strongest of its zone", got)
@@ -270,7 +270,7 @@
 	if got := names(weak.toldBy(now)); got[0] != "vm04" {
 		t.Errorf("once the strongest is heard it tells %v", got)
 	}
-	strong := newRegion(Peer{Name: "self", Zone: "a", Strength: 100})
+	strong := newRegion(Peer{Name: "self", Zone: "a", Capacity: 100})
 	strong.setPeers(peers)
 	if got := strong.toldBy(now); len(got) != 11 {
 		t.Errorf("a collector tells %v, want its zone and one of the other", names(got))
@@ -307,7 +307,7 @@
 
 // However much there is to tell, a VM of a small region keeps to its datagrams a second.
 func TestRoundsComeMoreSeldomWithMoreToTell(t *testing.T) {
-	x := New(Config{VM: "self", Zone: "a", Strength: 1000})
+	x := New(Config{VM: "self", Zone: "a", Capacity: 1000})
 	var peers []Peer
 	for i := range directPeers {
 		peers = append(peers, Peer{Name: fmt.Sprint("vm", i), Zone: "a"})
@@ -331,7 +331,7 @@
 		mbps float64
 		most int
 	}{{0, mostDatagrams}, {10_000, mostDatagrams}, {200, mostDatagrams}, {100, 4465}, {20, 893}, {1, leastDatagrams}} {
-		x := New(Config{VM: "self", Zone: "a", Strength: 1000, LinkBitsPerSecond: tc.mbps * 1e6})
+		x := New(Config{VM: "self", Zone: "a", Capacity: 1000, LinkBitsPerSecond: tc.mbps * 1e6})
 		var peers []Peer
 		for i := range 63 {
 			peers = append(peers, Peer{Name: fmt.Sprint("vm", i), Zone: []string{"a", "b"}[i%2]})
@@ -365,7 +365,7 @@
 // What a member hears is the work of all zones but its own, and each prompt once.
 func TestRegionsSumIsComplete(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := newRegion(Peer{Name: "self", Zone: "a", Strength: 9})
+	r := newRegion(Peer{Name: "self", Zone: "a", Capacity: 9})
 	var peers []Peer
 	for i := range 20 {
 		peers = append(peers, Peer{Name: fmt.Sprint("vm", i), Zone: []string{"a", "b"}[i%2]})
--- a/loadshare/membership.go
+++ b/loadshare/membership.go
@@ -9,9 +9,9 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// SilentAfter is how long a registered VM may be unheard before it counts as silent. It is longer
+// MemberTimeout is how long a registered VM may be unheard before it counts as silent. It is longer
 // than a change of collectors takes.
-const SilentAfter = 2 * time.Second
+const MemberTimeout = 2 * time.Second
 
 // Member is a VM that was heard lately.
 type Member struct{ Name, Zone string }
@@ -47,14 +47,14 @@
 // only some of them itself: a collector those of its zone and the other collectors, a member its
 // collector.
 func (r *region) silentPeers(now time.Time) func(Peer) bool {
-	unheard := func(p Peer) bool { return now.Sub(r.heardAt[p.Name]) >= SilentAfter }
+	unheard := func(p Peer) bool { return now.Sub(r.heardAt[p.Name]) >= MemberTimeout }
 	switch {
 	case !r.collected():
 		return unheard
 	case !r.collects(now):
 		r.collectsSince = time.Time{}
 		report := r.silentRegion
-		return func(p Peer) bool { return now.Sub(report.at) >= SilentAfter || report.names[Hash(p.Name)] }
+		return func(p Peer) bool { return now.Sub(report.at) >= MemberTimeout || report.names[Hash(p.Name)] }
 	}
 	if r.collectsSince.IsZero() {
 		r.collectsSince = now
@@ -62,10 +62,10 @@
 	return func(p Peer) bool {
 		if p.Zone == r.self.Zone {
 			// The members of a zone turn to a new collector only when the one before it is silent.
-			return unheard(p) && now.Sub(r.collectsSince) >= SilentAfter
+			return unheard(p) && now.Sub(r.collectsSince) >= MemberTimeout
 		}
 		report := r.silentZones[p.Zone]
-		return now.Sub(report.at) >= SilentAfter || report.names[Hash(p.Name)]
+		return now.Sub(report.at) >= MemberTimeout || report.names[Hash(p.Name)]
 	}
 }
 
--- a/loadshare/membership_test.go
+++ b/loadshare/membership_test.go
@@ -21,7 +21,7 @@
 	w := &regions{now: time.Unix(1000, 0), dead: map[string]bool{}, cut: map[string]bool{}}
 	var all []Peer
 	for i := range size {
-		all = append(all, Peer{Name: fmt.Sprintf("vm%03d", i), Zone: fmt.Sprint("z", i%zones), Strength: 1})
+		all = append(all, Peer{Name: fmt.Sprintf("vm%03d", i), Zone: fmt.Sprint("z", i%zones), Capacity: 1})
 	}
 	for _, self := range all {
 		r := newRegion(self)
@@ -64,7 +64,7 @@
 // Every VM of a small and of a large region knows within seconds which others are there, whichever
 // VM dies, be it a collector, and knows that those beyond a partition are silent.
 func TestMembership(t *testing.T) {
-	const settle = 2*SilentAfter + CollectorTimeout
+	const settle = 2*MemberTimeout + CollectorTimeout
 	for _, size := range []int{4, 9, 83} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			w := newRegions(size, 3)
--- a/loadshare/news.go
+++ b/loadshare/news.go
@@ -27,9 +27,9 @@
 	newsMemory = 10 * time.Second
 )
 
-// News is what every VM of the region must hear, and hears once: in a large region the
+// Announcement is what every VM of the region must hear, and hears once: in a large region the
 // collectors pass it on to each other and to their zones.
-type News struct {
+type Announcement struct {
 	// Crashes are endpoints that crashed under requests.
 	Crashes []*sharepb.Crash
 	// Cleared are the keys of requests that are no longer suspected of that.
@@ -39,7 +39,7 @@
 }
 
 // empty tells whether there is nothing.
-func (n News) empty() bool {
+func (n Announcement) empty() bool {
 	return len(n.Crashes) == 0 && len(n.Cleared) == 0 && len(n.Signals) == 0
 }
 
@@ -60,7 +60,7 @@
 func newOutbox() outbox { return outbox{seen: map[uint64]time.Time{}} }
 
 // add takes in news, piece by piece, but for what it has had before.
-func (o *outbox) add(now time.Time, n News) {
+func (o *outbox) add(now time.Time, n Announcement) {
 	for key, at := range o.seen {
 		if now.Sub(at) > newsMemory {
 			delete(o.seen, key)
@@ -122,8 +122,8 @@
 // loadHead is more than a datagram takes without its work, prompts and news, in bytes.
 const loadHead = 120
 
-// Tell makes all other VMs hear of something.
-func (x *Exchange) Tell(n News) {
+// Broadcast makes all other VMs hear of something.
+func (x *Exchange) Broadcast(n Announcement) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.news.add(clock.Now(), n)
@@ -160,8 +160,8 @@
 
 // takeNews takes in the news of a datagram, and passes it on if that is this VM's part.
 func (x *Exchange) takeNews(load *sharepb.Load) {
-	n := News{Crashes: load.Crashes, Cleared: load.Cleared, Signals: load.Signals}
-	if n.empty() || x.cfg.News == nil {
+	n := Announcement{Crashes: load.Crashes, Cleared: load.Cleared, Signals: load.Signals}
+	if n.empty() || x.cfg.OnAnnouncement == nil {
 		return
 	}
 	now := clock.Now()
@@ -170,5 +170,5 @@
 		x.news.add(now, n)
 	}
 	x.mu.Unlock()
-	x.cfg.News(n)
+	x.cfg.OnAnnouncement(n)
 }
--- a/loadshare/news_test.go
+++ b/loadshare/news_test.go
@@ -22,7 +22,7 @@
 	heard map[string]int
 }
 
-func (h *hearer) take(n News) {
+func (h *hearer) take(n Announcement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range n.Crashes {
@@ -48,12 +48,12 @@
 	for i := range size {
 		address := freeAddress(t)
 		h := &hearer{
-			peer:  Peer{Name: fmt.Sprintf("vm%02d", i), Zone: fmt.Sprint("z", i%3), Strength: 100 + i%5, Address: netip.MustParseAddrPort(address)},
+			peer:  Peer{Name: fmt.Sprintf("vm%02d", i), Zone: fmt.Sprint("z", i%3), Capacity: 100 + i%5, Address: netip.MustParseAddrPort(address)},
 			heard: map[string]int{},
 		}
 		h.x = New(Config{
-			VM: h.peer.Name, Zone: h.peer.Zone, Strength: h.peer.Strength, Address: address,
-			Own: func() Report { return Report{} }, Heard: func(*sharepb.Load) {}, News: h.take,
+			VM: h.peer.Name, Zone: h.peer.Zone, Capacity: h.peer.Capacity, Address: address,
+			LocalReport: func() Report { return Report{} }, OnLoad: func(*sharepb.Load) {}, OnAnnouncement: h.take,
 		})
 		list = append(list, h)
 	}
@@ -88,7 +88,7 @@
 			list := startHearers(t, size)
 			time.Sleep(300 * time.Millisecond) // collectors are heard
 			for i, h := range list {
-				h.x.Tell(News{Crashes: []*sharepb.Crash{{Id: uint64(i)}}, Cleared: [][]byte{[]byte(h.peer.Name)},
+				h.x.Broadcast(Announcement{Crashes: []*sharepb.Crash{{Id: uint64(i)}}, Cleared: [][]byte{[]byte(h.peer.Name)},
 					Signals: []*sharepb.EndpointSignal{{Endpoint: uint64(i), Version: 1, Limited: true, LimitMilli: 4500}, {Endpoint: uint64(i), Draining: true}}})
 			}
 			began := time.Now()
@@ -130,8 +130,8 @@
 	const pieces = 3 * maxNews
 	for id := range uint64(pieces) {
 		c := &sharepb.Crash{Id: id, Suspects: suspects}
-		o.add(now, News{Crashes: []*sharepb.Crash{c}})
-		o.add(now, News{Crashes: []*sharepb.Crash{c}}) // passed on by another collector
+		o.add(now, Announcement{Crashes: []*sharepb.Crash{c}})
+		o.add(now, Announcement{Crashes: []*sharepb.Crash{c}}) // passed on by another collector
 	}
 	told := map[uint64]int{}
 	for rounds := 0; len(o.items) > 0; rounds++ {
@@ -161,7 +161,7 @@
 			t.Fatalf("piece %d was told %d times, want %d", id, told[id], want)
 		}
 	}
-	o.add(now.Add(2*newsMemory), News{Cleared: [][]byte{{1}}})
+	o.add(now.Add(2*newsMemory), Announcement{Cleared: [][]byte{{1}}})
 	if len(o.seen) != 1 {
 		t.Errorf("%d pieces are remembered long after", len(o.seen))
 	}
--- a/loadshare/rank_test.go
+++ b/loadshare/rank_test.go
@@ -13,7 +13,7 @@
 	var all []Peer
 	for zone, n := range map[string]int{"a": 3, "b": 1, "c": 4} {
 		for i := range n {
-			all = append(all, Peer{Name: fmt.Sprint(zone, i), Zone: zone, Strength: 10 * i})
+			all = append(all, Peer{Name: fmt.Sprint(zone, i), Zone: zone, Capacity: 10 * i})
 		}
 	}
 	order := make([]string, len(all))
--- a/loadshare/region.go
+++ b/loadshare/region.go
@@ -81,8 +81,8 @@
 func sortByStrength(list []Peer) {
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
-		if a.Strength != b.Strength {
-			return a.Strength > b.Strength
+		if a.Capacity != b.Capacity {
+			return a.Capacity > b.Capacity
 		}
 		return a.Name < b.Name
 	})
--- a/loadshare/usage.go
+++ b/loadshare/usage.go
@@ -13,7 +13,7 @@
 
 // Usage holds what processes counted.
 type Usage interface {
-	// Due returns the changes to tell in this round: the own, and, with forward, those that the
+	// Pending returns the changes to tell in this round: the own, and, with forward, those that the
 	// other VMs of the zone have told.
 	Due(forward bool) []*usagepb.Account
 	// Take takes in what another VM told.
@@ -24,8 +24,8 @@
 // that takes its place if it is gone.
 const keepersPerZone = 2
 
-// Keepers returns the VMs of all zones that hold accounts, but for this one.
-func (x *Exchange) Keepers() []Peer {
+// UsageReplicas returns the VMs of all zones that hold accounts, but for this one.
+func (x *Exchange) UsageReplicas() []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.region.allKeepers(clock.Now())
--- a/poison/guard.go
+++ b/poison/guard.go
@@ -20,7 +20,7 @@
 	// Down tells whether nobody listens at an endpoint's address any more.
 	Down func(ctx context.Context, e *directory.Endpoint) bool
 	// Tell makes all other VMs hear of something, and Spread is how long that takes.
-	Tell   func(loadshare.News)
+	Tell   func(loadshare.Announcement)
 	Spread func() time.Duration
 	// Directory knows the endpoints.
 	Directory *directory.Directory
@@ -100,7 +100,7 @@
 	for _, s := range cleared {
 		g.keeper.Drop(s)
 	}
-	g.cfg.Tell(loadshare.News{Cleared: [][]byte{key[:]}})
+	g.cfg.Tell(loadshare.Announcement{Cleared: [][]byte{key[:]}})
 }
 
 // crashed takes in a crash that this VM saw, and tells the others.
@@ -109,12 +109,12 @@
 	for _, s := range c.Suspects {
 		told.Suspects = append(told.Suspects, &sharepb.Suspect{Key: s.Key[:], Origin: uint32(s.Origin), Streaming: s.Streaming})
 		if len(told.Suspects) == maxTold {
-			g.cfg.Tell(loadshare.News{Crashes: []*sharepb.Crash{told}})
+			g.cfg.Tell(loadshare.Announcement{Crashes: []*sharepb.Crash{told}})
 			told = &sharepb.Crash{Id: c.ID}
 		}
 	}
 	if len(told.Suspects) > 0 {
-		g.cfg.Tell(loadshare.News{Crashes: []*sharepb.Crash{told}})
+		g.cfg.Tell(loadshare.Announcement{Crashes: []*sharepb.Crash{told}})
 	}
 	g.judgeAfter(g.ledger.Crashed(c), true)
 }
@@ -123,7 +123,7 @@
 const maxTold = 48
 
 // Heard takes in what another VM told.
-func (g *Guard) Heard(n loadshare.News) {
+func (g *Guard) Heard(n loadshare.Announcement) {
 	for _, c := range n.Crashes {
 		g.heardCrash(c)
 	}
--- a/poison/region_test.go
+++ b/poison/region_test.go
@@ -79,7 +79,7 @@
 			time.Sleep(lookTime)
 			return r.isGone(e)
 		},
-		Tell:      func(n loadshare.News) { r.tell(v, n) },
+		Tell:      func(n loadshare.Announcement) { r.tell(v, n) },
 		Spread:    func() time.Duration { return 2 * newsTime },
 		Directory: directory.New(nil), Rows: r.store, Feed: r.store,
 		Now: func() time.Time { return time.Now().Add(v.clock) },
@@ -118,7 +118,7 @@
 }
 
 // tell takes news to the VMs; what was sent arrives although its sender dies.
-func (r *region) tell(from *vm, n loadshare.News) {
+func (r *region) tell(from *vm, n loadshare.Announcement) {
 	r.mu.Lock()
 	sent := !from.cut && !from.dead
 	r.mu.Unlock()
--- a/signals/board.go
+++ b/signals/board.go
@@ -21,7 +21,7 @@
 	// Now is where the time comes from; nil is the VM's clock, which goes on during a suspension.
 	Now func() time.Time
 	// Publish sends signals to all other VMs; nil sends none.
-	Publish func(loadshare.News)
+	Publish func(loadshare.Announcement)
 	// Endpoints returns the newest picture of the endpoints; nil names none.
 	Endpoints func() *directory.Snapshot
 	// Drain makes an endpoint's incarnation a draining one, and tells whether it was not yet; nil does
@@ -116,7 +116,7 @@
 		updates = append(updates, &sharepb.EndpointSignal{Endpoint: Hash(r.Endpoint), Draining: true})
 	}
 	if len(updates) > 0 && b.cfg.Publish != nil {
-		b.cfg.Publish(loadshare.News{Signals: updates})
+		b.cfg.Publish(loadshare.Announcement{Signals: updates})
 	}
 }
 
--- a/signals/fleet_test.go
+++ b/signals/fleet_test.go
@@ -91,7 +91,7 @@
 func (f *fleet) join(name, zone string, perSecond float64) *vm {
 	v := &vm{name: name, zone: zone, perSecond: perSecond, heardAt: map[string]time.Time{}}
 	registered := f.registered()
-	v.board = New(Config{VM: name, Now: func() time.Time { return f.now }, Endpoints: func() *directory.Snapshot { return registered }, Publish: func(n loadshare.News) { f.publish(v, n) }})
+	v.board = New(Config{VM: name, Now: func() time.Time { return f.now }, Endpoints: func() *directory.Snapshot { return registered }, Publish: func(n loadshare.Announcement) { f.publish(v, n) }})
 	for _, o := range f.vms {
 		v.heardAt[o.name], o.heardAt[name] = f.now, f.now
 	}
@@ -127,7 +127,7 @@
 // works tells whether a VM does anything now.
 func (f *fleet) works(v *vm) bool { return !v.dead && !f.now.Before(v.suspended) }
 
-func (f *fleet) publish(from *vm, n loadshare.News) {
+func (f *fleet) publish(from *vm, n loadshare.Announcement) {
 	f.signals += len(n.Signals)
 	for _, v := range f.vms {
 		if v == from || f.parted(from.zone, v.zone) {
@@ -138,7 +138,7 @@
 }
 
 // hear delivers news; a suspended VM reads it when it goes on.
-func (f *fleet) hear(v *vm, n loadshare.News) {
+func (f *fleet) hear(v *vm, n loadshare.Announcement) {
 	switch {
 	case v.dead:
 	case f.works(v):
@@ -161,7 +161,7 @@
 		if f.works(o) && !f.parted(v.zone, o.zone) {
 			v.heardAt[o.name] = f.now
 		}
-		if f.now.Sub(v.heardAt[o.name]) < loadshare.SilentAfter {
+		if f.now.Sub(v.heardAt[o.name]) < loadshare.MemberTimeout {
 			m.Live = append(m.Live, loadshare.Member{Name: o.name, Zone: o.zone})
 		}
 	}
--- a/signals/model_test.go
+++ b/signals/model_test.go
@@ -129,7 +129,7 @@
 func (v *modelVM) look(i int, fault modelFault) {
 	live := 1 << i
 	for j, age := range v.heard {
-		if time.Duration(age)*tick < loadshare.SilentAfter {
+		if time.Duration(age)*tick < loadshare.MemberTimeout {
 			live |= 1 << j
 		}
 	}
--- a/signals/share.go
+++ b/signals/share.go
@@ -22,7 +22,7 @@
 	membershipTTL = time.Second
 	// regain is how long a VM that has started, was suspended, or heard nobody, waits for its shares: whom it has not
 	// heard since counts as silent by then, whatever moment it looked at last.
-	regain = loadshare.SilentAfter + membershipTTL
+	regain = loadshare.MemberTimeout + membershipTTL
 	// leastRate is the lowest limit, in requests a second, that is shared. A lower one lets only
 	// probes through.
 	leastRate = 0.01
