--- a/poison/guard.go
+++ b/poison/guard.go
@@ -20,7 +20,7 @@
 	// Down tells whether nobody listens at an endpoint's address any more.
 	Down func(ctx context.Context, e *directory.Endpoint) bool
 	// Broadcast makes all other VMs hear of something, and PropagationDelay is how long that takes.
-	Broadcast        func(loadshare.News)
+	Broadcast        func(loadshare.Announcement)
 	PropagationDelay func() time.Duration
 	// Directory knows the endpoints.
 	Directory *directory.Directory
@@ -100,7 +100,7 @@
 	for _, s := range cleared {
 		g.keeper.Drop(s)
 	}
-	g.cfg.Broadcast(loadshare.News{Cleared: [][]byte{key[:]}})
+	g.cfg.Broadcast(loadshare.Announcement{Cleared: [][]byte{key[:]}})
 }
 
 // crashed takes in a crash that this VM saw, and tells the others.
@@ -109,12 +109,12 @@
 	for _, s := range c.Suspects {
 		told.Suspects = append(told.Suspects, &sharepb.Suspect{Key: s.Key[:], Origin: uint32(s.Origin), Streaming: s.Streaming})
 		if len(told.Suspects) == maxTold {
-			g.cfg.Broadcast(loadshare.News{Crashes: []*sharepb.Crash{told}})
+			g.cfg.Broadcast(loadshare.Announcement{Crashes: []*sharepb.Crash{told}})
 			told = &sharepb.Crash{Id: c.ID}
 		}
 	}
 	if len(told.Suspects) > 0 {
-		g.cfg.Broadcast(loadshare.News{Crashes: []*sharepb.Crash{told}})
+		g.cfg.Broadcast(loadshare.Announcement{Crashes: []*sharepb.Crash{told}})
 	}
 	g.judgeAfter(g.ledger.Crashed(c), true)
 }
@@ -123,7 +123,7 @@
 const maxTold = 48
 
 // Receive takes in what another VM told.
-func (g *Guard) Receive(n loadshare.News) {
+func (g *Guard) Receive(n loadshare.Announcement) {
 	for _, c := range n.Crashes {
 		g.heardCrash(c)
 	}
