--- a/rolechange/balance.go
+++ b/rolechange/balance.go
@@ -5,170 +5,179 @@
 	"time"
 )
 
-// Pressure is what the engines of a service have to do now.
+// Pressure is the current load on the engines of a service.
 type Pressure struct {
-	// Running are the requests at the engines that decode, Slots the number that
-	// one engine runs at once.
+	// Running is the number of requests on the decode engines, Slots the number that one engine
+	// runs concurrently.
 	Running, Slots int
-	// PrefillWait is how long a prompt waits at the engines that prefill, on average.
+	// PrefillWait is the average time that a prompt waits at the prefill engines.
 	PrefillWait time.Duration
 }
 
-// BalanceSettings bound a Balancer.
+// BalanceSettings configure a Balancer. Shares are fractions of the engines of a service.
 type BalanceSettings struct {
-	// InitialPrefillShare is the part of the engines that prefill before there is any work, and Enough
-	// the number above which no more are ordered to for that or for MinShare. In a fleet
-	// with little to do each order takes an engine away for seconds for nothing.
+	// InitialPrefillShare is the share of prefill engines before there is any work.
+	// Enough is the number of prefill engines above which neither this share nor
+	// MinPrefillShare orders more: in an underused fleet, each order takes an engine out of service
+	// for seconds without any benefit.
 	InitialPrefillShare float64
 	Enough              int
-	// Memory is the time over which the pressure is averaged.
-	Memory time.Duration
-	// Busy is the wait for prefill above which an engine more is wanted there.
+	// AveragingTime is the time constant of the exponential average of the pressure.
+	AveragingTime time.Duration
+	// Busy is the prefill wait above which one more prefill engine is wanted.
 	Busy time.Duration
-	// Room is the part of the slots that may be taken, once an engine that decodes
-	// has left, for it to be moved; Full is the part above which one is moved back.
-	Room, Full float64
-	// Drift is how far the part that prefills may be from the chosen one, once engines have come or
-	// gone, before that is restored. Engines that come have the role the platform started them with.
+	// MaxOccupancyAfterMove is the greatest fraction of the remaining decode slots in use at which
+	// a decode engine may be moved to prefill. Full is the fraction above which a prefill
+	// engine is moved to decode.
+	MaxOccupancyAfterMove, Full float64
+	// Drift is how far the share of prefill engines may deviate from the chosen one after
+	// engines were added or removed, before the chosen share is restored. The platform assigns the
+	// initial role of added engines.
 	Drift float64
-	// MinShare and MaxShare bound the part that prefills. Mixes come and go within
-	// seconds, a change takes as long, and its author may die before the next one.
-	MinShare, MaxShare float64
-	// Pause is the least time between two moves.
-	Pause time.Duration
+	// MinPrefillShare and MaxPrefillShare bound the share of prefill engines. The mix of requests
+	// changes within seconds, a role change takes as long, and the VM that orders it may fail
+	// before the next one.
+	MinPrefillShare, MaxPrefillShare float64
+	// MinMoveInterval is the least time between two moves.
+	MinMoveInterval time.Duration
 }
 
-// DefaultBalance returns the defaults. They come from the rounds in
-// docs/POLICY.md.
+// DefaultBalance returns the default settings.
 func DefaultBalance() BalanceSettings {
 	return BalanceSettings{
-		InitialPrefillShare: 0.6,
-		Enough:              enoughPrefill,
-		Memory:              8 * time.Second,
-		Busy:                60 * time.Millisecond,
-		Room:                0.35,
-		Full:                0.8,
-		Drift:               0.08,
-		MinShare:            0.4,
-		MaxShare:            0.67,
-		Pause:               4 * time.Second,
+		InitialPrefillShare:   0.6,
+		Enough:                sufficientPrefill,
+		AveragingTime:         8 * time.Second,
+		Busy:                  60 * time.Millisecond,
+		MaxOccupancyAfterMove: 0.35,
+		Full:                  0.8,
+		Drift:                 0.08,
+		MinPrefillShare:       0.4,
+		MaxPrefillShare:       0.67,
+		MinMoveInterval:       4 * time.Second,
 	}
 }
 
-// leastDrift is the number of engines that prefill beyond which the chosen share is restored. In a
-// small fleet a share that was chosen while one was missing is never met exactly, and each order
-// takes an engine away.
-const leastDrift = 1.5
+// minDriftEngines is the least deviation, in prefill engines, at which the chosen share is
+// restored. In a small fleet, a share that was chosen while an engine was missing cannot be met
+// exactly, and each order takes an engine out of service.
+const minDriftEngines = 1.5
 
-// enoughPrefill is the number of engines that prefill the largest load there is to be,
-// 4.8 million tokens a second, three times over for its bursts, at 200 tokens a
+// sufficientPrefill is the number of prefill engines that serve three times the largest expected
+// load of 4.8 million tokens per second, the margin being for bursts, at 200 tokens per
 // millisecond.
-const enoughPrefill = 72
+const sufficientPrefill = 72
 
-// Balancer says how many engines should prefill, one step at a time, from the
-// pressure on both sides. It belongs to one goroutine.
+// Balancer determines how many engines should prefill, one step at a time, from the pressure on
+// prefill and decode. It is not safe for concurrent use.
 type Balancer struct {
-	set BalanceSettings
-	// running and wait are averages of the pressure, of the time at.
+	settings BalanceSettings
+	// running and wait are averages of the pressure as of observedAt.
 	running, wait float64
-	at            time.Time
-	worked        bool
-	moved         time.Time
-	// share is the part of the engines that was chosen to prefill, and size the number of engines
-	// when that part was last found.
+	observedAt    time.Time
+	// sawWork is set once any pressure was observed.
+	sawWork bool
+	movedAt time.Time
+	// share is the chosen share of prefill engines, and size the number of engines when the fleet
+	// was last found to match it.
 	share float64
 	size  int
 }
 
-// NewBalancer returns a balancer that has seen nothing.
-func NewBalancer(set BalanceSettings) *Balancer { return &Balancer{set: set} }
+// NewBalancer returns a balancer without any observations.
+func NewBalancer(settings BalanceSettings) *Balancer { return &Balancer{settings: settings} }
 
 // Target returns how many engines should prefill.
-func (b *Balancer) Target(now time.Time, shape Shape, p Pressure) int {
+func (b *Balancer) Target(now time.Time, counts RoleCounts, p Pressure) int {
 	b.observe(now, p)
-	if !b.worked {
-		return b.choose(b.bounded(b.part(b.set.InitialPrefillShare, shape), shape), shape)
+	if !b.sawWork {
+		return b.setShare(b.clamp(b.prefillFor(b.settings.InitialPrefillShare, counts), counts), counts)
 	}
-	want := b.bounded(b.restored(shape), shape)
-	if want != shape.Prefill || now.Sub(b.moved) < b.set.Pause {
+	want := b.clamp(b.restored(counts), counts)
+	if want != counts.Prefill || now.Sub(b.movedAt) < b.settings.MinMoveInterval {
 		return want
 	}
-	want = b.bounded(shape.Prefill+b.step(shape, p), shape)
-	if want != shape.Prefill {
-		b.moved = now
-		b.choose(want, shape)
+	want = b.clamp(counts.Prefill+b.step(counts, p), counts)
+	if want != counts.Prefill {
+		b.movedAt = now
+		b.setShare(want, counts)
 	}
 	return want
 }
 
-// choose notes the part of a fleet that is to prefill.
-func (b *Balancer) choose(prefill int, shape Shape) int {
-	b.share, b.size = float64(prefill)/float64(max(1, shape.size())), shape.size()
+// setShare records the share that corresponds to a number of prefill engines, and returns that
+// number.
+func (b *Balancer) setShare(prefill int, counts RoleCounts) int {
+	b.share, b.size = float64(prefill)/float64(max(1, counts.total())), counts.total()
 	return prefill
 }
 
-// restored is how many engines prefill, or should again after others have come or gone.
-func (b *Balancer) restored(shape Shape) int {
+// restored returns the current number of prefill engines, or the number that restores the chosen
+// share if it has drifted since engines were added or removed.
+func (b *Balancer) restored(counts RoleCounts) int {
 	if b.size == 0 {
-		return b.choose(shape.Prefill, shape)
+		return b.setShare(counts.Prefill, counts)
 	}
-	drift := math.Abs(float64(shape.Prefill) - b.share*float64(shape.size()))
-	if shape.size() == b.size || drift <= max(leastDrift, b.set.Drift*float64(shape.size())) {
-		b.size = shape.size()
-		return shape.Prefill
+	drift := math.Abs(float64(counts.Prefill) - b.share*float64(counts.total()))
+	if counts.total() == b.size || drift <= max(minDriftEngines, b.settings.Drift*float64(counts.total())) {
+		b.size = counts.total()
+		return counts.Prefill
 	}
-	return b.part(b.share, shape)
+	return b.prefillFor(b.share, counts)
 }
 
-// part is a part of the engines, or fewer where that is more than any load needs.
-func (b *Balancer) part(share float64, shape Shape) int {
-	want := int(math.Round(share * float64(shape.size())))
-	if want > b.set.Enough {
-		return max(shape.Prefill, b.set.Enough)
+// prefillFor returns the number of prefill engines for a share. Above Enough it orders
+// no more engines than already prefill.
+func (b *Balancer) prefillFor(share float64, counts RoleCounts) int {
+	want := int(math.Round(share * float64(counts.total())))
+	if want > b.settings.Enough {
+		return max(counts.Prefill, b.settings.Enough)
 	}
 	return want
 }
 
-// step is 1 for one engine more that prefills, -1 for one fewer.
-func (b *Balancer) step(shape Shape, p Pressure) int {
+// step returns the change of the number of prefill engines: 1, 0 or -1.
+func (b *Balancer) step(counts RoleCounts, p Pressure) int {
 	slots := float64(max(1, p.Slots))
-	busy := b.wait > float64(b.set.Busy)
+	busy := b.wait > float64(b.settings.Busy)
 	switch {
-	case busy && b.running <= b.set.Room*slots*float64(shape.Decode-1):
+	case busy && b.running <= b.settings.MaxOccupancyAfterMove*slots*float64(counts.Decode-1):
 		return 1
-	case !busy && b.running > b.set.Full*slots*float64(shape.Decode):
+	case !busy && b.running > b.settings.Full*slots*float64(counts.Decode):
 		return -1
 	}
 	return 0
 }
 
-// observe takes the pressure into the averages.
+// observe updates the averages with the current pressure.
 func (b *Balancer) observe(now time.Time, p Pressure) {
-	b.worked = b.worked || p.Running > 0 || p.PrefillWait > 0
+	b.sawWork = b.sawWork || p.Running > 0 || p.PrefillWait > 0
 	weight := 1.0
-	if !b.at.IsZero() {
-		weight = 1 - math.Exp(-now.Sub(b.at).Seconds()/b.set.Memory.Seconds())
+	if !b.observedAt.IsZero() {
+		weight = 1 - math.Exp(-now.Sub(b.observedAt).Seconds()/b.settings.AveragingTime.Seconds())
 	}
-	b.at = now
+	b.observedAt = now
 	b.running += weight * (float64(p.Running) - b.running)
 	b.wait += weight * (float64(p.PrefillWait) - b.wait)
 }
 
-// leastDecode is how many engines of a fleet decode at least: two, if two are left that prefill. One
-// alone runs out of slots before its average shows it, and nothing decodes when it goes.
-func leastDecode(size int) int {
-	if size < 4 {
+// minDecode returns the least number of decode engines in a fleet: two if that leaves two prefill
+// engines, otherwise one. A single decode engine runs out of slots before its average shows it, and
+// no engine decodes if it fails.
+func minDecode(total int) int {
+	if total < 4 {
 		return 1
 	}
 	return 2
 }
 
-// bounded keeps the part that prefills within its bounds, and some engines that decode.
-func (b *Balancer) bounded(prefill int, shape Shape) int {
-	n := float64(shape.size())
-	least := min(int(math.Floor(b.set.MinShare*n)), b.set.Enough)
-	most := min(int(math.Ceil(b.set.MaxShare*n)), shape.size()-leastDecode(shape.size()))
-	return max(0, min(max(prefill, least), most))
+// clamp limits the number of prefill engines to the configured shares, and leaves minDecode decode
+// engines.
+func (b *Balancer) clamp(prefill int, counts RoleCounts) int {
+	n := float64(counts.total())
+	lower := min(int(math.Floor(b.settings.MinPrefillShare*n)), b.settings.Enough)
+	upper := min(int(math.Ceil(b.settings.MaxPrefillShare*n)), counts.total()-minDecode(counts.total()))
+	return max(0, min(max(prefill, lower), upper))
 }
 
-func (s Shape) size() int { return s.Prefill + s.Decode }
+func (c RoleCounts) total() int { return c.Prefill + c.Decode }
--- a/rolechange/balance_test.go
+++ b/rolechange/balance_test.go
@@ -11,186 +11,189 @@
 	full := Pressure{Slots: 10, Running: 48}
 	both := Pressure{Slots: 10, Running: 48, PrefillWait: 200 * time.Millisecond}
 	for _, tc := range []struct {
-		name  string
-		shape Shape
-		p     []Pressure
-		want  int
+		name   string
+		counts RoleCounts
+		p      []Pressure
+		want   int
 	}{
-		{"before any work the share decides", Shape{Prefill: 4, Decode: 8}, []Pressure{idle}, 7},
-		{"work that both sides manage changes nothing", Shape{Prefill: 5, Decode: 7}, []Pressure{{Slots: 10, Running: 5, PrefillWait: time.Millisecond}}, 5},
-		{"prompts wait, and an engine can be spared", Shape{Prefill: 6, Decode: 6}, []Pressure{busy}, 7},
-		{"streams fill the engines", Shape{Prefill: 6, Decode: 5}, []Pressure{full}, 5},
-		{"pressure on both sides changes nothing", Shape{Prefill: 6, Decode: 5}, []Pressure{both}, 6},
-		{"no more than the greatest share", Shape{Prefill: 9, Decode: 3}, []Pressure{busy}, 9},
-		{"back within the bounds", Shape{Prefill: 11, Decode: 1}, []Pressure{idle, both}, 9},
-		{"one engine decodes", Shape{Prefill: 0, Decode: 1}, []Pressure{idle}, 0},
-		{"two engines", Shape{Prefill: 0, Decode: 2}, []Pressure{idle}, 1},
+		{"initial share before any work", RoleCounts{Prefill: 4, Decode: 8}, []Pressure{idle}, 7},
+		{"low pressure on both roles", RoleCounts{Prefill: 5, Decode: 7}, []Pressure{{Slots: 10, Running: 5, PrefillWait: time.Millisecond}}, 5},
+		{"prompts wait and decode has spare slots", RoleCounts{Prefill: 6, Decode: 6}, []Pressure{busy}, 7},
+		{"decode slots are nearly full", RoleCounts{Prefill: 6, Decode: 5}, []Pressure{full}, 5},
+		{"high pressure on both roles", RoleCounts{Prefill: 6, Decode: 5}, []Pressure{both}, 6},
+		{"limited to the maximum share", RoleCounts{Prefill: 9, Decode: 3}, []Pressure{busy}, 9},
+		{"reduced to the maximum share", RoleCounts{Prefill: 11, Decode: 1}, []Pressure{idle, both}, 9},
+		{"a single engine", RoleCounts{Prefill: 0, Decode: 1}, []Pressure{idle}, 0},
+		{"two engines", RoleCounts{Prefill: 0, Decode: 2}, []Pressure{idle}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBalancer(DefaultBalance())
 			now := time.Unix(100, 0)
 			got := 0
 			for _, p := range tc.p {
-				got = b.Target(now, tc.shape, p)
+				got = b.Target(now, tc.counts, p)
 				now = now.Add(time.Minute)
 			}
 			if got != tc.want {
-				t.Errorf("%d should prefill, want %d", got, tc.want)
+				t.Errorf("target is %d prefill engines, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// A burst that is shorter than the memory moves nothing, and moves keep their pause.
-func TestBalancerIsSlow(t *testing.T) {
-	set := DefaultBalance()
-	b := NewBalancer(set)
-	shape := Shape{Prefill: 6, Decode: 6}
+// A burst shorter than AveragingTime moves no engine, and consecutive moves are MinMoveInterval
+// apart.
+func TestBalancerAveragesAndLimitsMoves(t *testing.T) {
+	settings := DefaultBalance()
+	b := NewBalancer(settings)
+	counts := RoleCounts{Prefill: 6, Decode: 6}
 	now := time.Unix(100, 0)
 	calm := Pressure{Slots: 10, Running: 5}
 	burst := Pressure{Slots: 10, Running: 5, PrefillWait: 150 * time.Millisecond}
 	for range 100 {
-		b.Target(now, shape, calm)
+		b.Target(now, counts, calm)
 		now = now.Add(300 * time.Millisecond)
 	}
 	for range 5 {
-		if got := b.Target(now, shape, burst); got != 6 {
-			t.Fatalf("a burst moved the roles to %d", got)
+		if got := b.Target(now, counts, burst); got != 6 {
+			t.Fatalf("a burst changed the target to %d", got)
 		}
 		now = now.Add(300 * time.Millisecond)
 	}
 	var moves []time.Time
 	for range 100 {
-		if b.Target(now, shape, burst) != shape.Prefill {
+		if b.Target(now, counts, burst) != counts.Prefill {
 			moves = append(moves, now)
-			shape = Shape{Prefill: 6, Decode: 6} // the fleet is as it was
+			counts = RoleCounts{Prefill: 6, Decode: 6} // the roles do not change
 		}
 		now = now.Add(300 * time.Millisecond)
 	}
 	for i := 1; i < len(moves); i++ {
-		if pause := moves[i].Sub(moves[i-1]); pause < set.Pause {
-			t.Errorf("moves %v apart", pause)
+		if interval := moves[i].Sub(moves[i-1]); interval < settings.MinMoveInterval {
+			t.Errorf("moves %v apart", interval)
 		}
 	}
 	if len(moves) == 0 {
-		t.Error("pressure that lasts moves nothing")
+		t.Error("sustained pressure moves no engine")
 	}
 }
 
-// A large fleet without work orders no engine beyond what any load may need, and one with
-// little work none at all; one that has but one role gets enough of the other.
-func TestLargeFleetWithLittleToDoOrdersLittle(t *testing.T) {
+// In a large fleet without work, no more engines are ordered to prefill than the largest load
+// needs, and with little work none at all. A fleet with a single role gets enough engines of the
+// other one.
+func TestUnderusedLargeFleetOrdersFewChanges(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		shape Shape
-		want  int
+		name   string
+		counts RoleCounts
+		want   int
 	}{
-		{"a small fleet keeps its share", Shape{Prefill: 4, Decode: 8}, 7},
-		{"104 engines", Shape{Prefill: 30, Decode: 74}, 62},
-		{"3,000 engines", Shape{Prefill: 870, Decode: 2130}, 870},
-		{"3,000 engines that decode", Shape{Decode: 3000}, enoughPrefill},
-		{"3,000 engines that prefill", Shape{Prefill: 3000}, 2011},
+		{"a small fleet at the initial share", RoleCounts{Prefill: 4, Decode: 8}, 7},
+		{"104 engines", RoleCounts{Prefill: 30, Decode: 74}, 62},
+		{"3,000 engines", RoleCounts{Prefill: 870, Decode: 2130}, 870},
+		{"3,000 decode engines", RoleCounts{Decode: 3000}, sufficientPrefill},
+		{"3,000 prefill engines", RoleCounts{Prefill: 3000}, 2011},
 	} {
 		b := NewBalancer(DefaultBalance())
 		now := time.Unix(1000, 0)
-		if got := b.Target(now, tc.shape, Pressure{Slots: 12}); got != tc.want {
-			t.Errorf("%s: %d should prefill before there is work, want %d", tc.name, got, tc.want)
+		if got := b.Target(now, tc.counts, Pressure{Slots: 12}); got != tc.want {
+			t.Errorf("%s: target before any work is %d prefill engines, want %d", tc.name, got, tc.want)
 		}
-		at := Shape{Prefill: tc.want, Decode: tc.shape.size() - tc.want}
+		at := RoleCounts{Prefill: tc.want, Decode: tc.counts.total() - tc.want}
 		for range 100 {
 			now = now.Add(300 * time.Millisecond)
 			if got := b.Target(now, at, Pressure{Slots: 12, Running: 20, PrefillWait: time.Millisecond}); got != tc.want {
-				t.Fatalf("%s: %d should prefill with little work, want %d", tc.name, got, tc.want)
+				t.Fatalf("%s: target with little work is %d prefill engines, want %d", tc.name, got, tc.want)
 			}
 		}
 	}
 }
 
-// The burst that then comes to such a fleet still moves engines.
-func TestLargeFleetMovesEnginesForABurst(t *testing.T) {
+// A burst of prompts still moves engines in such a fleet.
+func TestLargeFleetMovesEnginesForBurst(t *testing.T) {
 	b := NewBalancer(DefaultBalance())
-	now, shape := time.Unix(1000, 0), Shape{Prefill: 72, Decode: 2928}
-	b.Target(now, shape, Pressure{Slots: 12, Running: 20})
+	now, counts := time.Unix(1000, 0), RoleCounts{Prefill: 72, Decode: 2928}
+	b.Target(now, counts, Pressure{Slots: 12, Running: 20})
 	for range 40 {
 		now = now.Add(300 * time.Millisecond)
-		shape.Prefill = b.Target(now, shape, Pressure{Slots: 12, Running: 300, PrefillWait: 200 * time.Millisecond})
-		shape.Decode = 3000 - shape.Prefill
+		counts.Prefill = b.Target(now, counts, Pressure{Slots: 12, Running: 300, PrefillWait: 200 * time.Millisecond})
+		counts.Decode = 3000 - counts.Prefill
 	}
-	if shape.Prefill <= 72 {
-		t.Error("no engine was moved while prompts wait 200 ms")
+	if counts.Prefill <= 72 {
+		t.Error("no engine was moved while prompts waited 200 ms")
 	}
 }
 
-// Engines that come start with a role of the platform's choice. The part that prefills is restored,
-// or bursts of prompts find fewer engines that prefill than before there were more of them.
-func TestShareIsRestoredOnceEnginesCame(t *testing.T) {
-	work := Pressure{Slots: 10, Running: 60, PrefillWait: time.Millisecond}
+// The platform chooses the role of added engines. The prefill share is restored afterwards; without
+// that, bursts of prompts find a smaller share of prefill engines than before the fleet grew.
+func TestShareIsRestoredAfterScaling(t *testing.T) {
+	pressure := Pressure{Slots: 10, Running: 60, PrefillWait: time.Millisecond}
 	b := NewBalancer(DefaultBalance())
-	now, shape := time.Unix(100, 0), Shape{Prefill: 20, Decode: 37}
+	now, counts := time.Unix(100, 0), RoleCounts{Prefill: 20, Decode: 37}
 	step := func() {
 		now = now.Add(300 * time.Millisecond)
-		prefill := b.Target(now, shape, work)
-		shape = Shape{Prefill: prefill, Decode: shape.size() - prefill}
+		prefill := b.Target(now, counts, pressure)
+		counts = RoleCounts{Prefill: prefill, Decode: counts.total() - prefill}
 	}
-	b.Target(now, shape, Pressure{Slots: 10})
-	shape = Shape{Prefill: 34, Decode: 23}
+	b.Target(now, counts, Pressure{Slots: 10})
+	counts = RoleCounts{Prefill: 34, Decode: 23}
 	step()
 	for i := range 40 {
 		if i%4 == 0 {
-			shape.Prefill++
+			counts.Prefill++
 		} else {
-			shape.Decode++
+			counts.Decode++
 		}
 		step()
 	}
-	if part := float64(shape.Prefill) / float64(shape.size()); part < 0.52 || part > 0.68 {
-		t.Errorf("of %d engines %.2f prefill, want 0.6 within the drift", shape.size(), part)
+	if share := float64(counts.Prefill) / float64(counts.total()); share < 0.52 || share > 0.68 {
+		t.Errorf("of %d engines a share of %.2f prefills, want 0.6 within Drift", counts.total(), share)
 	}
-	shape.Prefill = max(0, shape.Prefill-20)
+	counts.Prefill = max(0, counts.Prefill-20)
 	step()
-	if part := float64(shape.Prefill) / float64(shape.size()); part < 0.52 {
-		t.Errorf("after a loss of engines that prefill %.2f do, want 0.6 within the drift", part)
+	if share := float64(counts.Prefill) / float64(counts.total()); share < 0.52 {
+		t.Errorf("after a loss of prefill engines a share of %.2f prefills, want 0.6 within Drift", share)
 	}
 }
 
-// One engine of a small fleet that goes, and comes back, moves none of the others: each move takes an
-// engine away for seconds.
-func TestOneEngineThatGoesMovesNoOther(t *testing.T) {
-	work := Pressure{Slots: 10, Running: 20, PrefillWait: time.Millisecond}
-	for _, lost := range []Shape{{Prefill: 6, Decode: 5}, {Prefill: 7, Decode: 4}} {
+// The loss and return of one engine of a small fleet moves no other engine, since each move takes
+// an engine out of service for seconds.
+func TestLossOfOneEngineMovesNoOther(t *testing.T) {
+	pressure := Pressure{Slots: 10, Running: 20, PrefillWait: time.Millisecond}
+	for _, lost := range []RoleCounts{{Prefill: 6, Decode: 5}, {Prefill: 7, Decode: 4}} {
 		b := NewBalancer(DefaultBalance())
 		now := time.Unix(100, 0)
-		for _, shape := range []Shape{{Prefill: 7, Decode: 5}, lost, {Prefill: 7, Decode: 5}} {
+		for _, counts := range []RoleCounts{{Prefill: 7, Decode: 5}, lost, {Prefill: 7, Decode: 5}} {
 			now = now.Add(10 * time.Second)
-			if got := b.Target(now, shape, work); got != shape.Prefill {
-				t.Errorf("%+v: %d should prefill, want no change", shape, got)
+			if got := b.Target(now, counts, pressure); got != counts.Prefill {
+				t.Errorf("%+v: target is %d prefill engines, want no change", counts, got)
 			}
 		}
 	}
 }
 
-// Engines of a small fleet that are replaced one after the other, each by one of its role, move no
-// other: else those that decode run out of slots while the share of a moment is restored.
-func TestReplacementsInASmallFleetMoveNoOther(t *testing.T) {
-	work := Pressure{Slots: 8, Running: 6}
+// Replacing the engines of a small fleet one by one, each by one of the same role, moves no other
+// engine. Otherwise the decode engines run out of slots while a share is restored that was chosen
+// during a replacement.
+func TestReplacementsInSmallFleetMoveNoOther(t *testing.T) {
+	pressure := Pressure{Slots: 8, Running: 6}
 	b := NewBalancer(DefaultBalance())
 	now := time.Unix(100, 0)
-	for _, shape := range []Shape{
+	for _, counts := range []RoleCounts{
 		{Prefill: 2, Decode: 1}, {Prefill: 2, Decode: 2}, {Prefill: 1, Decode: 2}, {Prefill: 2, Decode: 2},
 		{Prefill: 2, Decode: 3}, {Prefill: 2, Decode: 2}, {Prefill: 3, Decode: 2}, {Prefill: 2, Decode: 2},
 	} {
 		now = now.Add(800 * time.Millisecond)
-		if got := b.Target(now, shape, work); got != shape.Prefill {
-			t.Errorf("%+v: %d should prefill, want no change", shape, got)
+		if got := b.Target(now, counts, pressure); got != counts.Prefill {
+			t.Errorf("%+v: target is %d prefill engines, want no change", counts, got)
 		}
 	}
 }
 
-// Of four engines two decode: one of them alone runs out of slots before its average shows it.
-func TestSmallFleetKeepsEnginesThatDecode(t *testing.T) {
-	work := Pressure{Slots: 8, Running: 6}
+// Two of four engines decode, since a single one runs out of slots before its average shows it.
+func TestSmallFleetKeepsDecodeEngines(t *testing.T) {
+	pressure := Pressure{Slots: 8, Running: 6}
 	b := NewBalancer(DefaultBalance())
-	if got := b.Target(time.Unix(100, 0), Shape{Prefill: 3, Decode: 1}, work); got != 2 {
-		t.Errorf("%d of four should prefill, want 2", got)
+	if got := b.Target(time.Unix(100, 0), RoleCounts{Prefill: 3, Decode: 1}, pressure); got != 2 {
+		t.Errorf("target is %d prefill engines of four, want 2", got)
 	}
 }
--- a/rolechange/order.go
+++ b/rolechange/order.go
@@ -14,91 +14,92 @@
 	"github.com/springweir/springweir/lease"
 )
 
-// change is an order under way.
-type change struct {
+// pendingChange is a role change that was chosen and is not known to be complete.
+type pendingChange struct {
 	to engine.Role
-	// born is the start of the engine that was ordered. A later one knows of no order.
-	born  int64
-	since time.Time
+	// startedAt identifies the incarnation that the order is for. A later incarnation has not
+	// received it.
+	startedAt int64
+	since     time.Time
 }
 
-// Changing returns the engines that were ordered to change and have not done so.
-// That holds also after the lease was lost: the engines change all the same.
-func (k *Controller) Changing() []string {
-	k.settle()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	ids := make([]string, 0, len(k.changing))
-	for id := range k.changing {
+// Changing returns the IDs of the engines with a pending change. These remain pending after the
+// loss of the lease, since the engines carry out their orders nevertheless.
+func (c *Controller) Changing() []string {
+	c.resolve()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ids := make([]string, 0, len(c.changing))
+	for id := range c.changing {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// settle forgets changes that were carried out, whose engine is gone, or that
-// take too long.
-func (k *Controller) settle() {
-	s, now := k.cfg.Directory.Snapshot(), k.cfg.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for id, c := range k.changing {
+// resolve removes pending changes that are complete, whose engine was deregistered or has
+// restarted, or that have exceeded changeTimeout.
+func (c *Controller) resolve() {
+	s, now := c.cfg.Directory.Snapshot(), c.cfg.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, p := range c.changing {
 		e := s.Endpoint(id)
 		switch {
-		case e == nil, e.Role == c.to, e.Born != c.born:
-			klog.InfoS("rolechange: change settled", "endpoint", id, "role", c.to, "took", now.Sub(c.since), "gone", e == nil)
-			delete(k.changing, id)
-		case now.Sub(c.since) > changeTimeout:
-			klog.InfoS("rolechange: change not seen in time, to be looked at anew", "endpoint", id, "role", c.to)
-			delete(k.changing, id)
+		case e == nil, e.Role == p.to, e.Born != p.startedAt:
+			klog.InfoS("rolechange: change resolved", "endpoint", id, "role", p.to, "took", now.Sub(p.since), "gone", e == nil)
+			delete(c.changing, id)
+		case now.Sub(p.since) > changeTimeout:
+			klog.InfoS("rolechange: change timed out, will be evaluated again", "endpoint", id, "role", p.to)
+			delete(c.changing, id)
 		}
 	}
 }
 
-// order reads an engine's state and sends it one order.
-func (k *Controller) order(ctx context.Context, l *lease.Lease, e *directory.Endpoint, to engine.Role) {
-	asking, cancel := clock.WithTimeout(ctx, callTimeout)
-	state, err := k.cfg.Engines.State(asking, e)
+// order reads the state of an engine and sends it one order.
+func (c *Controller) order(ctx context.Context, l *lease.Lease, e *directory.Endpoint, to engine.Role) {
+	stateCtx, cancel := clock.WithTimeout(ctx, callTimeout)
+	state, err := c.cfg.Engines.State(stateCtx, e)
 	cancel()
 	if err != nil {
-		klog.InfoS("rolechange: engine not asked, nothing ordered", "endpoint", e.ID, "err", err)
-		k.drop(e.ID)
+		klog.InfoS("rolechange: state of the engine not read, no order sent", "endpoint", e.ID, "err", err)
+		c.removeChange(e.ID)
 		return
 	}
 	if state.StartedAt != e.Born {
-		klog.InfoS("rolechange: engine has started again, nothing ordered", "endpoint", e.ID, "registered", e.Born, "born", state.StartedAt)
-		k.drop(e.ID)
+		klog.InfoS("rolechange: engine has restarted, no order sent", "endpoint", e.ID, "registered", e.Born, "born", state.StartedAt)
+		c.removeChange(e.ID)
 		return
 	}
 	if state.OrderInProgress || state.Role == to {
-		return // its registration lags, or another order is under way
+		return // the registration lags, or another order is in progress
 	}
 	err = duties.Act(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
-		return k.cfg.Engines.ChangeRole(ctx, e, Order{Role: to, Holder: k.cfg.VM, Fence: fence, OrdersAccepted: state.OrdersAccepted})
+		return c.cfg.Engines.ChangeRole(ctx, e, Order{Role: to, Holder: c.cfg.VM, Fence: fence, OrdersAccepted: state.OrdersAccepted})
 	})
 	klog.InfoS("rolechange: ordered", "endpoint", e.ID, "zone", e.Zone, "from", state.Role, "to", to,
 		"fence", l.Fence(), "taken", state.OrdersAccepted, "err", err)
-	if certainlyNotTaken(err) {
-		k.drop(e.ID)
+	if certainlyNotAccepted(err) {
+		c.removeChange(e.ID)
 	}
 }
 
-// certainlyNotTaken tells whether an order cannot have been taken: the engine refused it, or it was
-// not sent.
-func certainlyNotTaken(err error) bool {
+// certainlyNotAccepted reports whether the engine cannot have accepted an order, because it refused
+// the order or the order was not sent.
+func certainlyNotAccepted(err error) bool {
 	var refused *RefusedError
 	var lost *lease.LostError
 	var late *duties.TooLateError
 	return errors.As(err, &refused) || errors.As(err, &lost) || errors.As(err, &late)
 }
 
-func (k *Controller) note(e *directory.Endpoint, to engine.Role) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.changing[e.ID] = change{to: to, born: e.Born, since: k.cfg.Now()}
+func (c *Controller) addChange(e *directory.Endpoint, to engine.Role) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.changing[e.ID] = pendingChange{to: to, startedAt: e.Born, since: c.cfg.Now()}
 }
 
-func (k *Controller) drop(id string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.changing, id)
+func (c *Controller) removeChange(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.changing, id)
 }
--- a/rolechange/pick.go
+++ b/rolechange/pick.go
@@ -5,54 +5,55 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// engines returns a service's engines that stay, with the shape they will have.
-func (k *Controller) engines(service string) ([]*directory.Endpoint, Shape) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// engines returns the engines of a service except those with an expired row, and their number by
+// role once the pending changes are complete.
+func (c *Controller) engines(service string) ([]*directory.Endpoint, RoleCounts) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var list []*directory.Endpoint
-	var shape Shape
-	for _, e := range k.cfg.Directory.Snapshot().Service(service) {
+	var counts RoleCounts
+	for _, e := range c.cfg.Directory.Snapshot().Service(service) {
 		if e.Lapsed {
 			continue
 		}
 		list = append(list, e)
 		role := e.Role
-		if c, ok := k.changing[e.ID]; ok {
-			role = c.to
+		if p, ok := c.changing[e.ID]; ok {
+			role = p.to
 		}
 		if role == engine.Prefill {
-			shape.Prefill++
+			counts.Prefill++
 		} else {
-			shape.Decode++
+			counts.Decode++
 		}
 	}
-	return list, shape
+	return list, counts
 }
 
-// pick returns the engine to move to a role: one of the zone that has most of
-// the other role, with the fewest requests running.
-func (k *Controller) pick(engines []*directory.Endpoint, to engine.Role) *directory.Endpoint {
-	movable, byZone := k.movable(engines, to)
+// pick returns the engine to move to a role: in the availability zone with the most engines of the
+// other role, the one with the fewest requests in flight. It returns nil if no engine can be moved.
+func (c *Controller) pick(engines []*directory.Endpoint, to engine.Role) *directory.Endpoint {
+	movable, byZone := c.movable(engines, to)
 	var best *directory.Endpoint
 	for _, e := range movable {
 		if best == nil || byZone[e.Zone] > byZone[best.Zone] ||
-			byZone[e.Zone] == byZone[best.Zone] && k.cfg.InFlight(e.ID) < k.cfg.InFlight(best.ID) {
+			byZone[e.Zone] == byZone[best.Zone] && c.cfg.InFlight(e.ID) < c.cfg.InFlight(best.ID) {
 			best = e
 		}
 	}
 	return best
 }
 
-// movable returns the engines that could be moved to a role, and how many of the
-// other role each zone has.
-func (k *Controller) movable(engines []*directory.Endpoint, to engine.Role) ([]*directory.Endpoint, map[string]int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// movable returns the engines that can be moved to a role, and the number of engines of the other
+// role in each availability zone.
+func (c *Controller) movable(engines []*directory.Endpoint, to engine.Role) ([]*directory.Endpoint, map[string]int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	byZone := map[string]int{}
 	var movable []*directory.Endpoint
 	for _, e := range engines {
-		c, changing := k.changing[e.ID]
-		if changing && c.to != to || !changing && e.Role != to {
+		p, changing := c.changing[e.ID]
+		if changing && p.to != to || !changing && e.Role != to {
 			byZone[e.Zone]++
 		}
 		if !changing && e.Role != to {
--- a/rolechange/rolechange.go
+++ b/rolechange/rolechange.go
@@ -1,12 +1,11 @@
-// Package rolechange moves model engines between prefilling and decoding. One VM
-// at a time does so, the holder of a lease in the platform's store.
+// Package rolechange moves model engines between prefill and decode. Only one VM at a time orders
+// changes: the holder of a lease in the platform's store.
 //
-// Two orders never conflict on an engine for three reasons together: only the
-// lease's holder orders; a new holder waits until no order of the one before can
-// be under way; and each order names the number of orders that the engine had
-// taken, so that one which arrives late, after a newer one, is refused by the
-// engine itself. What an engine does is always read from the engine or its
-// registration, never assumed from an order.
+// Three measures together prevent conflicting orders to an engine. Only the lease holder sends
+// orders. A new holder waits until no order of its predecessor can be in flight. Each order carries
+// the number of orders that the engine has accepted so far, so that the engine refuses an order
+// that arrives after a newer one. The role of an engine is always read from the engine or its
+// registration, never inferred from an order.
 package rolechange
 
 import (
@@ -18,36 +17,36 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Order asks an engine to change its role.
+// Order instructs an engine to change its role.
 type Order struct {
 	Role engine.Role
-	// Holder names the VM that orders, Fence its tenure.
+	// Holder is the VM that sends the order, Fence the fencing token of its lease.
 	Holder string
 	Fence  uint64
-	// OrdersAccepted is the number of orders that the engine must have taken so far.
+	// OrdersAccepted is the number of orders that the engine must have accepted so far.
 	OrdersAccepted uint64
 }
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State struct {
 	Role engine.Role
-	// StartedAt is the start that answers, as in directory.Registration.
+	// StartedAt is the start time of the engine's incarnation, as in directory.Registration.
 	StartedAt int64
-	// OrderInProgress is set while an order is under way.
+	// OrderInProgress is set while the engine carries out an order.
 	OrderInProgress bool
-	// OrdersAccepted is the number of orders taken since its start.
+	// OrdersAccepted is the number of orders accepted since the start.
 	OrdersAccepted uint64
 }
 
-// Engines reaches engines. Neither call is repeated by itself.
+// Engines accesses engines. Its methods do not retry.
 type Engines interface {
 	State(ctx context.Context, e *directory.Endpoint) (State, error)
-	// ChangeRole sends an order. The error is *RefusedError if the engine
-	// refused it; after any other error it may have been taken, or may be later.
+	// ChangeRole sends an order. The error is *RefusedError if the engine refused it. After any
+	// other error the engine may have accepted the order or may still do so.
 	ChangeRole(ctx context.Context, e *directory.Endpoint, o Order) error
 }
 
-// RefusedError is an order that the engine refused.
+// RefusedError reports that an engine refused an order.
 type RefusedError struct{ Status int }
 
 // Error implements error.
@@ -58,6 +57,6 @@
 // Reason implements failure.Coded.
 func (e *RefusedError) Reason() failure.Reason { return failure.EngineBusy }
 
-// Shape counts the engines of a service by role. Those under way count for the
-// role they are going to.
-type Shape struct{ Prefill, Decode int }
+// RoleCounts counts the engines of a service by role. An engine that is changing its role counts
+// for the new one.
+type RoleCounts struct{ Prefill, Decode int }
