--- a/rolechange/balance_test.go
+++ b/rolechange/balance_test.go
@@ -146,12 +146,12 @@
 		step()
 	}
 	if share := float64(counts.Prefill) / float64(counts.total()); share < 0.52 || share > 0.68 {
-		t.Errorf("of %d engines a share of %.2f prefills, want 0.6 within Drift", counts.total(), share)
+		t.Errorf("of %d engines a share of %.2f prefills, want 0.6 within MaxDrift", counts.total(), share)
 	}
 	counts.Prefill = max(0, counts.Prefill-20)
 	step()
 	if share := float64(counts.Prefill) / float64(counts.total()); share < 0.52 {
-		t.Errorf("after a loss of prefill engines a share of %.2f prefills, want 0.6 within Drift", share)
+		t.Errorf("after a loss of prefill engines a share of %.2f prefills, want 0.6 within MaxDrift", share)
 	}
 }
 
