--- a/poison/guard.go
+++ b/poison/guard.go
@@ -75,13 +75,13 @@
 		klog.InfoS("poison: request refused, its earlier runs crashed endpoints", "request", r.ID, "key", key.String())
 		return &failure.Request{
 			Code: failure.CrashesEndpoints, Ran: failure.NotRun,
-			Message: fmt.Sprintf("at least %d endpoints crashed while running this request, so it is not run again", quarantineThreshold),
+			Message: fmt.Sprintf("endpoints crashed at least %d times under this request, so it is not run again", quarantineThreshold),
 		}
 	case Suspected:
 		klog.InfoS("poison: request refused for now, suspected of crashing endpoints", "request", r.ID, "key", key.String())
 		return &failure.Request{
 			Code: failure.CrashSuspected, Ran: failure.NotRun, RetryAfter: g.ledger.propagationDelay(),
-			Message: "endpoints crashed while running this request; the cause is being determined",
+			Message: "endpoints crashed while this request was at work there, which is being looked into",
 		}
 	}
 	return nil
