--- a/gateway/caches.go
+++ b/gateway/caches.go
@@ -14,8 +14,8 @@
 
 // Caches tells what engines hold.
 type Caches interface {
-	// Held returns the parts of prompts that an engine's KV cache holds.
-	Held(ctx context.Context, e *directory.Endpoint) ([]prompt.Part, error)
+	// CachedParts returns the parts of prompts that an engine's KV cache holds.
+	CachedParts(ctx context.Context, e *directory.Endpoint) ([]prompt.Part, error)
 }
 
 const (
@@ -67,7 +67,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
-	parts, err := g.platform.Caches.Held(ctx, e)
+	parts, err := g.platform.Caches.CachedParts(ctx, e)
 	if err != nil {
 		klog.InfoS("gateway: what an engine holds is not known", "endpoint", e.ID, "err", err)
 		return
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -83,7 +83,7 @@
 // Connections are looked through at once when an endpoint starts again under its ID.
 func TestRestartOfAnEndpointClosesItsConnections(t *testing.T) {
 	forgotten := 0
-	g := New(Settings{VM: "vm", Zone: "a", Peers: "127.0.0.1:0"}, Platform{Forget: func(*directory.Snapshot) { forgotten++ }}, network.TCP())
+	g := New(Settings{VM: "vm", Zone: "a", Peers: "127.0.0.1:0"}, Platform{CloseStaleConnections: func(*directory.Snapshot) { forgotten++ }}, network.TCP())
 	put := func(born int64) {
 		g.directory.Put(directory.Registration{ID: "e", Service: "s", StartedAt: born})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -111,11 +111,11 @@
 	DecodeEndpoint func(table.Row) (directory.Registration, error)
 	// Down tells whether nobody listens at an endpoint's address any more.
 	Down func(context.Context, *directory.Endpoint) bool
-	// Observe sets who is told of each response of an endpoint; nil tells nobody.
-	Observe func(func(signals.Response))
-	// Forget is called with each new snapshot, to close connections to endpoints
+	// ObserveResponses sets who is told of each response of an endpoint; nil tells nobody.
+	ObserveResponses func(func(signals.Response))
+	// CloseStaleConnections is called with each new snapshot, to close connections to endpoints
 	// that are gone.
-	Forget func(*directory.Snapshot)
+	CloseStaleConnections func(*directory.Snapshot)
 }
 
 // Gateway is the process.
@@ -152,8 +152,8 @@
 		VM: s.VM, Publish: func(n loadshare.Announcement) { g.exchange.Broadcast(n) }, Endpoints: func() *directory.Snapshot { return g.directory.Snapshot() },
 		Drain: func(e *directory.Endpoint) bool { return g.directory.Drain(e) },
 	})
-	if p.Observe != nil {
-		p.Observe(g.signals.Observe)
+	if p.ObserveResponses != nil {
+		p.ObserveResponses(g.signals.Observe)
 	}
 	g.directory = directory.New(g.setEndpoints)
 	g.planner = placement.New(placement.Config{
@@ -162,7 +162,7 @@
 	})
 	day := clock.NewWall().Now
 	g.budgets = newBudgets(s.Retry)
-	self := roster.VM{Name: s.VM, Zone: s.Zone, Address: s.Peers, Strength: s.Strength, Boot: roster.NewBoot()}
+	self := roster.VM{Name: s.VM, Zone: s.Zone, Address: s.Peers, Capacity: s.Strength, Boot: roster.NewBoot()}
 	g.newSources()
 	g.roster = roster.New(p.Rows, g.vms, self, g.setPeers)
 	if s.Duties.UsageWindow > 0 {
@@ -211,7 +211,7 @@
 	g.guard.Retain(now)
 	g.signals.Retain(now)
 	if restarted(old, now) {
-		g.platform.Forget(now)
+		g.platform.CloseStaleConnections(now)
 	}
 }
 
@@ -378,5 +378,5 @@
 const forgetPeriod = 2 * time.Second
 
 func (g *Gateway) forgetEndpoints(ctx context.Context) {
-	loop.Every(ctx, forgetPeriod, func() { g.platform.Forget(g.directory.Snapshot()) })
+	loop.Every(ctx, forgetPeriod, func() { g.platform.CloseStaleConnections(g.directory.Snapshot()) })
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -28,10 +28,10 @@
 	ID string
 	// Header is what is passed on to the endpoint.
 	Header http.Header
-	// Patience is how long the caller waits; zero is not known.
-	Patience time.Duration
-	// HeldEvents is the last event that the caller holds of a stream.
-	HeldEvents int
+	// Timeout is how long the caller waits; zero is not known.
+	Timeout time.Duration
+	// LastEventID is the last event that the caller holds of a stream.
+	LastEventID int
 	// Prompt is set for a generation.
 	Prompt *prompt.Prompt
 	// Credential is what the caller shows of who it is, and Authorization the header's values
@@ -44,8 +44,8 @@
 type Codec interface {
 	// Decode reads a request's head. A failure is answered as it is.
 	Decode(r *http.Request) (Call, *failure.Request)
-	// Refuse adds to the head of a refusal what tells the caller to come back.
-	Refuse(h http.Header, id string, after time.Duration)
+	// SetRefusalHeaders adds to the head of a refusal what tells the caller to come back.
+	SetRefusalHeaders(h http.Header, id string, after time.Duration)
 }
 
 // handler serves callers.
@@ -98,9 +98,9 @@
 		ID: call.ID, Method: r.Method, Target: target(r), Host: r.Host,
 		Header: call.passedOn(config), Body: body, HasBody: r.ContentLength != 0,
 		Caller: withoutPort(r.RemoteAddr), Received: began, Config: config, Route: route, Service: route.Service(rand.Float64()),
-		Credential: call.Credential, Organisation: who, Prompt: call.Prompt, LastEventID: call.HeldEvents,
+		Credential: call.Credential, Organisation: who, Prompt: call.Prompt, LastEventID: call.LastEventID,
 	}
-	if limit := sooner(call.Patience, route.Timeout); limit > 0 {
+	if limit := sooner(call.Timeout, route.Timeout); limit > 0 {
 		req.Deadline = began.Add(limit)
 	}
 	return req, nil
@@ -196,7 +196,7 @@
 	if status == http.StatusServiceUnavailable {
 		after = max(failed.RetryAfter, comeBack)
 	}
-	h.codec.Refuse(w.Header(), id, after)
+	h.codec.SetRefusalHeaders(w.Header(), id, after)
 	http.Error(w, fmt.Sprintf("%s (%s): %s", failed.Code, failed.Ran, failed.Message), status)
 }
 
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -23,7 +23,7 @@
 			klog.ErrorS(err, "gateway: VM without a usable address", "vm", vm.Name)
 			continue
 		}
-		peers = append(peers, loadshare.Peer{Name: vm.Name, Zone: vm.Zone, Capacity: vm.Strength, Address: address})
+		peers = append(peers, loadshare.Peer{Name: vm.Name, Zone: vm.Zone, Capacity: vm.Capacity, Address: address})
 	}
 	g.exchange.SetPeers(peers)
 	g.budgets.setVMs(len(vms) + 1)
@@ -48,6 +48,6 @@
 	if load.Leaving && !load.ZoneSum && !load.RegionSum {
 		load.Work = nil // what it still does ends soon, and it takes nothing new
 	}
-	g.roster.Learn(roster.VM{Name: load.Vm, Zone: load.Zone, Strength: int(load.Strength), Address: load.Address})
+	g.roster.Add(roster.VM{Name: load.Vm, Zone: load.Zone, Capacity: int(load.Strength), Address: load.Address})
 	g.planner.ReceiveLoad(load)
 }
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -53,7 +53,7 @@
 func TestCallersCanConnectBeforeTheVMIsReady(t *testing.T) {
 	o := &opened{slow: "callers"}
 	g := New(Settings{VM: "vm", Zone: "a", Callers: "callers", Readiness: "readiness", Peers: "127.0.0.1:0"}, Platform{
-		Rows: memtable.New(), Feed: awayFeed{}, Forget: func(*directory.Snapshot) {},
+		Rows: memtable.New(), Feed: awayFeed{}, CloseStaleConnections: func(*directory.Snapshot) {},
 	}, network.Network{Listen: o.Listen})
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -52,8 +52,8 @@
 	Zone string `json:"zone"`
 	// Address is where it takes datagrams of package loadshare (host:port).
 	Address string `json:"address"`
-	// Strength orders the VMs of a zone as collectors of package loadshare.
-	Strength int `json:"strength"`
+	// Capacity orders the VMs of a zone as collectors of package loadshare.
+	Capacity int `json:"strength"`
 	// Boot is drawn at each start.
 	Boot string `json:"boot"`
 }
@@ -206,8 +206,8 @@
 	klog.InfoS("roster: removed a VM that is gone", "vm", row.Key.Row, "version", row.Version.String(), "err", err)
 }
 
-// Learn takes in a VM that told of itself.
-func (r *Roster) Learn(vm VM) {
+// Add takes in a VM that told of itself.
+func (r *Roster) Add(vm VM) {
 	r.mu.Lock()
 	known := r.others[vm.Name]
 	if vm.Name == r.self.Name || known.Address == vm.Address {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -53,7 +53,7 @@
 		if got := names(first); got != "v2" {
 			t.Errorf("one that ran before knows %q", got)
 		}
-		first.Learn(VM{Name: "v3", Address: "10.0.0.3:1"})
+		first.Add(VM{Name: "v3", Address: "10.0.0.3:1"})
 		if got := names(first); got != "v2 v3" {
 			t.Errorf("then %q", got)
 		}
