--- a/duties/duties.go
+++ b/duties/duties.go
@@ -3,7 +3,7 @@
 //
 // What two holders send never crosses, for three reasons together: only the lease's holder acts, and
 // each call ends, or its connection is reset, before the authority does that it was made under
-// (Act); a new holder waits until no call of the one before can count any more; and each tenure has
+// (Call); a new holder waits until no call of the one before can count any more; and each tenure has
 // a fencing number of its own, higher than all before.
 package duties
 
@@ -28,7 +28,7 @@
 	Lead(ctx context.Context, l *lease.Lease)
 }
 
-// Config is what a Keeper works with.
+// Config is what a Runner works with.
 type Config struct {
 	Rows table.Service
 	// Self names this process, and Rank is its VM's place among all: those behind the first few
@@ -38,8 +38,8 @@
 	Eligible func() bool
 	// Epoch returns the newest epoch of the store (see table.Version); nil is a store without any.
 	Epoch func() uint64
-	// Apart is the time that must lie between calls of two holders.
-	Apart time.Duration
+	// HandoverDelay is the time that must lie between calls of two holders.
+	HandoverDelay time.Duration
 }
 
 const (
@@ -56,30 +56,30 @@
 	settleMargin = 500 * time.Millisecond
 )
 
-// Keeper contends for the lease and carries out the duties while it is held.
-type Keeper struct {
+// Runner contends for the lease and carries out the duties while it is held.
+type Runner struct {
 	cfg    Config
 	duties []Duty
 	holder *lease.Holder
 }
 
-// NewKeeper returns a keeper that has not begun to contend.
-func NewKeeper(cfg Config, list ...Duty) *Keeper {
-	return &Keeper{cfg: cfg, duties: list, holder: lease.NewHolder(cfg.Rows, lease.Config{
+// NewRunner returns a keeper that has not begun to contend.
+func NewRunner(cfg Config, list ...Duty) *Runner {
+	return &Runner{cfg: cfg, duties: list, holder: lease.NewHolder(cfg.Rows, lease.Config{
 		Pool: leasePool, Zone: leaseZone, Self: cfg.Self,
 		TTL: leaseTTL, Renew: leaseRenew, Poll: leasePoll, Rank: cfg.Rank, Eligible: cfg.Eligible, Epoch: cfg.Epoch,
 	})}
 }
 
 // Run contends for the lease and acts while it is held, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) { k.holder.Run(ctx, k.lead) }
+func (k *Runner) Run(ctx context.Context) { k.holder.Run(ctx, k.lead) }
 
 // lead acts for one tenure. A tenure that follows another first waits until no call of the one
 // before can count any more.
-func (k *Keeper) lead(ctx context.Context, l *lease.Lease) {
+func (k *Runner) lead(ctx context.Context, l *lease.Lease) {
 	klog.InfoS("duties: lease taken", "fence", l.Fence())
 	defer klog.InfoS("duties: lease left", "fence", l.Fence())
-	if !l.First() && !loop.Sleep(ctx, k.cfg.Apart+settleMargin) {
+	if !l.First() && !loop.Sleep(ctx, k.cfg.HandoverDelay+settleMargin) {
 		return
 	}
 	var running sync.WaitGroup
@@ -89,21 +89,21 @@
 	running.Wait()
 }
 
-// TooLateError is a call that was not made because the authority may end before the call does.
-type TooLateError struct{ Remaining, Need time.Duration }
+// LeaseTooShortError is a call that was not made because the authority may end before the call does.
+type LeaseTooShortError struct{ Remaining, Need time.Duration }
 
 // Error implements error.
-func (e *TooLateError) Error() string {
+func (e *LeaseTooShortError) Error() string {
 	return fmt.Sprintf("the lease holds for %v, the call may take %v", e.Remaining, e.Need)
 }
 
 // Reason implements failure.Coded.
-func (e *TooLateError) Reason() failure.Reason { return failure.LeaseLost }
+func (e *LeaseTooShortError) Reason() failure.Reason { return failure.LeaseLost }
 
-// Act makes one call under a lease. The call gets the fencing number and a context that ends after a
+// Call makes one call under a lease. The call gets the fencing number and a context that ends after a
 // limit, which lies within the authority: whatever it sends must be dropped when that ends. The
-// errors are *lease.LostError, *TooLateError and those of the call.
-func Act(ctx context.Context, l *lease.Lease, limit time.Duration, call func(ctx context.Context, fence uint64) error) error {
+// errors are *lease.LostError, *LeaseTooShortError and those of the call.
+func Call(ctx context.Context, l *lease.Lease, limit time.Duration, call func(ctx context.Context, fence uint64) error) error {
 	ctx, cancel := clock.WithTimeout(ctx, limit)
 	defer cancel()
 	// The authority is looked at after the time has begun to run.
@@ -112,7 +112,7 @@
 		return err
 	}
 	if left := authority.Remaining(); left < limit {
-		return &TooLateError{Remaining: left, Need: limit}
+		return &LeaseTooShortError{Remaining: left, Need: limit}
 	}
 	return call(ctx, authority.Fence)
 }
--- a/duties/scaling/scaling.go
+++ b/duties/scaling/scaling.go
@@ -27,7 +27,7 @@
 // Order asks for a number of endpoints of one kind in one zone.
 type Order struct {
 	Service, Zone string
-	Number        int
+	Target        int
 	// Revocable is the kind: those that may be taken away, or the others.
 	Revocable bool
 	// Holder names the VM that orders, Fence its tenure.
@@ -37,20 +37,20 @@
 
 // Platform takes orders. What it has not taken in when ctx ends must never come to count.
 type Platform interface {
-	// Scale sends an order. The error is *NoneError if there are none to be had now.
+	// Scale sends an order. The error is *NoCapacityError if there are none to be had now.
 	Scale(ctx context.Context, o Order) error
 }
 
-// NoneError is an order that cannot be met now.
-type NoneError struct{ Service, Zone string }
+// NoCapacityError is an order that cannot be met now.
+type NoCapacityError struct{ Service, Zone string }
 
 // Error implements error.
-func (e *NoneError) Error() string {
+func (e *NoCapacityError) Error() string {
 	return fmt.Sprintf("no endpoints of %s to be had in %s now", e.Service, e.Zone)
 }
 
 // Reason implements failure.Coded.
-func (e *NoneError) Reason() failure.Reason { return failure.DutyRefused }
+func (e *NoCapacityError) Reason() failure.Reason { return failure.DutyRefused }
 
 // Config is what a Scaler works with.
 type Config struct {
@@ -243,12 +243,12 @@
 	if now.Before(state.next) || want == state.ordered && (have == want || starting) || want < have && now.Before(state.leaving) {
 		return
 	}
-	err := duties.Act(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
-		return s.cfg.Platform.Scale(ctx, Order{Service: service.Name, Zone: zone, Number: want, Revocable: revocable, Holder: s.cfg.VM, Fence: fence})
+	err := duties.Call(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
+		return s.cfg.Platform.Scale(ctx, Order{Service: service.Name, Zone: zone, Target: want, Revocable: revocable, Holder: s.cfg.VM, Fence: fence})
 	})
 	klog.InfoS("scaling: ordered", "service", service.Name, "zone", zone, "revocable", revocable, "have", have, "before", state.ordered, "want", want,
 		"fence", l.Fence(), "err", err)
-	var none *NoneError
+	var none *NoCapacityError
 	switch {
 	case err == nil:
 		state.ordered, state.at = want, now
--- a/duties/scaling/scaling_test.go
+++ b/duties/scaling/scaling_test.go
@@ -82,9 +82,9 @@
 	m.orders = append(m.orders, o)
 	key := zoneKey{o.Service, o.Zone, o.Revocable}
 	other := zoneKey{o.Service, o.Zone, !o.Revocable}
-	number := max(0, min(o.Number, m.most-len(m.list[other])))
+	number := max(0, min(o.Target, m.most-len(m.list[other])))
 	if o.Revocable && m.dry[o.Zone] && number > len(m.list[key]) {
-		return &NoneError{Service: o.Service, Zone: o.Zone}
+		return &NoCapacityError{Service: o.Service, Zone: o.Zone}
 	}
 	for len(m.list[key]) < number {
 		id := m.name(key)
@@ -186,8 +186,8 @@
 func contend(ctx context.Context, m *market, rows *memtable.Table, vm string, rank int) {
 	config := testService(m.most)
 	s := New(Config{VM: vm, Rows: rows, Directory: m.dir, Platform: m, Services: func() *routes.Config { return config }})
-	duties.NewKeeper(duties.Config{
-		Rows: rows, Apart: 3 * time.Second, Rank: func() int { return rank },
+	duties.NewRunner(duties.Config{
+		Rows: rows, HandoverDelay: 3 * time.Second, Rank: func() int { return rank },
 		Self: lease.Identity{VM: vm, Process: "boot-" + vm, Address: "127.0.0.1:1"},
 	}, s).Run(ctx)
 }
--- a/duties/usage/faults_test.go
+++ b/duties/usage/faults_test.go
@@ -139,12 +139,12 @@
 		calls := 0
 		a := actor{s: s, calls: &calls, first: first}
 		for _, v := range r.vms {
-			v.ledger.Began("north")
+			v.ledger.RequestStarted("north")
 		}
 		// Neither can read the other's account, so that their sums differ.
 		first.setCut(true)
 		second.setCut(true)
-		second.ledger.Began("north")
+		second.ledger.RequestStarted("north")
 		w := now()
 		for _, v := range r.vms {
 			commit, report := a.commit(v), a.report(v)
--- a/duties/usage/keepers.go
+++ b/duties/usage/keepers.go
@@ -39,14 +39,14 @@
 	return &usagepb.ReadResponse{Accounts: s.ledger.Read(Window(r.Window))}, nil
 }
 
-// Client reads the accounts of other VMs. It implements Keepers.
+// Client reads the accounts of other VMs. It implements Replicas.
 type Client struct {
 	http *http.Client
 	// addresses returns where the keepers take questions.
 	addresses func() []string
 }
 
-var _ Keepers = (*Client)(nil)
+var _ Replicas = (*Client)(nil)
 
 // NewClient returns a client of the keepers at addresses (host:port), which may change.
 func NewClient(n network.Network, addresses func() []string) *Client {
@@ -57,7 +57,7 @@
 	return &Client{http: &http.Client{Transport: transport}, addresses: addresses}
 }
 
-// Read implements Keepers. All are asked at once.
+// Read implements Replicas. All are asked at once.
 func (c *Client) Read(ctx context.Context, w Window) []Accounts {
 	ctx, cancel := clock.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/duties/usage/ledger.go
+++ b/duties/usage/ledger.go
@@ -23,8 +23,8 @@
 	forever = Window(math.MaxUint64)
 )
 
-// Self names the own process.
-type Self struct{ VM, Zone string }
+// Identity names the own process.
+type Identity struct{ VM, Zone string }
 
 // Ledger holds the own counts and those that other processes have told. It is safe for concurrent
 // use; mu is a leaf.
@@ -42,7 +42,7 @@
 }
 
 // NewLedger returns a ledger of windows of a length. Nil clocks are the VM's.
-func NewLedger(self Self, length time.Duration, day, now func() time.Time) *Ledger {
+func NewLedger(self Identity, length time.Duration, day, now func() time.Time) *Ledger {
 	if day == nil {
 		day = clock.NewWall().Now
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// Began counts a request that an endpoint has just begun to run.
-func (l *Ledger) Began(organisation string) {
+// RequestStarted counts a request that an endpoint has just begun to run.
+func (l *Ledger) RequestStarted(organisation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count(l.current(), organisation)
@@ -66,8 +66,8 @@
 	organisation string
 }
 
-// Sent notes a request that is just being sent. Its window stays open until it ends.
-func (l *Ledger) Sent(organisation string) *Run {
+// RequestSent notes a request that is just being sent. Its window stays open until it ends.
+func (l *Ledger) RequestSent(organisation string) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &Run{ledger: l, window: l.current(), organisation: organisation}
@@ -75,8 +75,8 @@
 	return r
 }
 
-// Ended tells whether the request ran. It must be called once.
-func (r *Run) Ended(ran bool) {
+// Finish tells whether the request ran. It must be called once.
+func (r *Run) Finish(ran bool) {
 	l := r.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/duties/usage/ledger_test.go
+++ b/duties/usage/ledger_test.go
@@ -25,7 +25,7 @@
 func newClocks() *clocks { return &clocks{time.Unix(500, 0).Add(sealSlack)} }
 
 func (c *clocks) ledger(vm string) *Ledger {
-	return NewLedger(Self{VM: vm, Zone: "z"}, length, c.now, c.now)
+	return NewLedger(Identity{VM: vm, Zone: "z"}, length, c.now, c.now)
 }
 
 // total adds up what ledgers know of a window, by organisation, and who is missing.
@@ -46,13 +46,13 @@
 func TestRequestsCountInTheWindowInWhichTheyBegin(t *testing.T) {
 	c := newClocks()
 	l := c.ledger("a")
-	l.Began("north")
-	kept, dropped := l.Sent("south"), l.Sent("south")
+	l.RequestStarted("north")
+	kept, dropped := l.RequestSent("south"), l.RequestSent("south")
 	c.pass(length)
-	l.Began("north")
-	l.Began("north")
-	kept.Ended(true)
-	dropped.Ended(false)
+	l.RequestStarted("north")
+	l.RequestStarted("north")
+	kept.Finish(true)
+	dropped.Finish(false)
 	if counts, _ := total(100, l); !cmp.Equal(counts, map[string]int{"north": 1, "south": 1}) {
 		t.Errorf("the first window has %v", counts)
 	}
@@ -69,12 +69,12 @@
 	if got := sealed(); got != 99 {
 		t.Errorf("at first %d is sealed", got)
 	}
-	open := l.Sent("north")
+	open := l.RequestSent("north")
 	c.pass(length + sealSlack)
 	if got := sealed(); got != 99 {
 		t.Errorf("with an open run %d is sealed", got)
 	}
-	open.Ended(true)
+	open.Finish(true)
 	if got := sealed(); got != 100 {
 		t.Errorf("then %d is sealed", got)
 	}
@@ -92,7 +92,7 @@
 func TestClosedLedgerIsNotMissed(t *testing.T) {
 	c := newClocks()
 	a, keeper := c.ledger("a"), c.ledger("keeper")
-	a.Began("north")
+	a.RequestStarted("north")
 	carry(a, false, never, keeper)
 	a.Close()
 	for range tellRounds {
@@ -135,7 +135,7 @@
 		for range 100 {
 			for _, l := range []*Ledger{a, b} {
 				name := []string{"north", "south"}[r.IntN(2)]
-				l.Began(name)
+				l.RequestStarted(name)
 				want[name]++
 				for _, m := range l.Due(false) {
 					late = append(late, proto.Clone(m).(*usagepb.Account))
@@ -168,14 +168,14 @@
 	c := newClocks()
 	a, far := c.ledger("a"), c.ledger("far")
 	far.own.zone = "other"
-	far.Began("north")
+	far.RequestStarted("north")
 	carry(far, false, never, a)
 	for _, m := range a.Due(true) {
 		if m.Zone != "z" {
 			t.Errorf("passed on %v", m)
 		}
 	}
-	a.Began("south")
+	a.RequestStarted("south")
 	forged := a.Read(100)[0]
 	forged.Count[0] = 99
 	a.Take(forged)
@@ -216,8 +216,8 @@
 	l := c.ledger("keeper")
 	for i := range 500 {
 		a := c.ledger(fmt.Sprint("vm", i))
-		a.Began("north")
-		l.Began("north")
+		a.RequestStarted("north")
+		l.RequestStarted("north")
 		carry(a, false, never, l)
 		c.pass(length)
 	}
--- a/duties/usage/region_test.go
+++ b/duties/usage/region_test.go
@@ -244,18 +244,18 @@
 func (r *region) add() *vm {
 	i := len(r.all())
 	name := fmt.Sprint("vm", i)
-	v := &vm{ledger: NewLedger(Self{VM: name, Zone: "z"}, length, time.Now, time.Now)}
+	v := &vm{ledger: NewLedger(Identity{VM: name, Zone: "z"}, length, time.Now, time.Now)}
 	r.mu.Lock()
 	r.vms = append(r.vms, v)
 	r.mu.Unlock()
 	reporter := NewReporter(Config{
-		VM: name, Rows: storeOf{r.rows, v}, Ledger: v.ledger, Keepers: keepersOf{r, i}, Platform: platformOf{r, v},
-		Names:     func() map[uint64]string { return map[uint64]string{Hash("north"): "north", Hash("south"): "south"} },
-		Tolerance: 0.05, Length: length, Late: late, Day: time.Now, EpochSince: r.epoch,
+		VM: name, Rows: storeOf{r.rows, v}, Ledger: v.ledger, Replicas: keepersOf{r, i}, Platform: platformOf{r, v},
+		OrganisationNames: func() map[uint64]string { return map[uint64]string{Hash("north"): "north", Hash("south"): "south"} },
+		Tolerance:         0.05, WindowLength: length, ReportWithin: late, WallClock: time.Now, EpochSince: r.epoch,
 	})
-	keeper := duties.NewKeeper(duties.Config{
+	keeper := duties.NewRunner(duties.Config{
 		Rows: storeOf{r.rows, v}, Self: lease.Identity{VM: name, Process: name, Address: "a"},
-		Rank: func() int { return i }, Apart: 3 * time.Second, Epoch: r.rows.Epoch,
+		Rank: func() int { return i }, HandoverDelay: 3 * time.Second, Epoch: r.rows.Epoch,
 	}, reporter)
 	ctx, cancel := context.WithCancel(r.t.Context())
 	var running sync.WaitGroup
@@ -283,7 +283,7 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for i, v := range r.all() {
 			if !v.isDead() {
-				v.ledger.Began([]string{"north", "south"}[i%2])
+				v.ledger.RequestStarted([]string{"north", "south"}[i%2])
 			}
 		}
 		r.tell()
--- a/duties/usage/reporter.go
+++ b/duties/usage/reporter.go
@@ -30,8 +30,8 @@
 	ReportUsage(ctx context.Context, r Report) error
 }
 
-// Keepers reads the accounts that other VMs hold.
-type Keepers interface {
+// Replicas reads the accounts that other VMs hold.
+type Replicas interface {
 	// Read returns the accounts of a window of all VMs that answer in time.
 	Read(ctx context.Context, w Window) []Accounts
 }
@@ -41,19 +41,19 @@
 	VM       string
 	Rows     table.Service
 	Ledger   *Ledger
-	Keepers  Keepers
+	Replicas Replicas
 	Platform Platform
 	// EpochSince returns since when the present epoch of the store is known here (see
 	// table.Version), zero for a store without any; nil is such a store.
 	EpochSince func() time.Time
-	// Names returns the names of organisations by their hashes.
-	Names func() map[uint64]string
+	// OrganisationNames returns the names of organisations by their hashes.
+	OrganisationNames func() map[uint64]string
 	// Tolerance is by which part a report may be off.
 	Tolerance float64
-	// Length is that of a window, and Late is how long after its end a report is of use.
-	Length, Late time.Duration
-	// Day is the time of day.
-	Day func() time.Time
+	// WindowLength is that of a window, and ReportWithin is how long after its end a report is of use.
+	WindowLength, ReportWithin time.Duration
+	// WallClock is the time of day.
+	WallClock func() time.Time
 }
 
 const (
@@ -119,10 +119,10 @@
 
 // due returns the windows that are over and can still be reported, the oldest first.
 func (r *Reporter) due() []Window {
-	now := r.cfg.Day()
-	last := windowAt(now, r.cfg.Length) - 1
+	now := r.cfg.WallClock()
+	last := windowAt(now, r.cfg.WindowLength) - 1
 	var list []Window
-	for w := last; now.Before(w.end(r.cfg.Length).Add(r.cfg.Late)); w-- {
+	for w := last; now.Before(w.end(r.cfg.WindowLength).Add(r.cfg.ReportWithin)); w-- {
 		if r.windows[w] == nil {
 			r.windows[w] = &progress{}
 		}
@@ -131,7 +131,7 @@
 		}
 	}
 	for w, p := range r.windows {
-		if now.Before(w.end(r.cfg.Length).Add(r.cfg.Late)) {
+		if now.Before(w.end(r.cfg.WindowLength).Add(r.cfg.ReportWithin)) {
 			continue
 		}
 		if !p.done {
@@ -150,7 +150,7 @@
 	if p.agreed == nil && !r.settle(ctx, l, w, p) {
 		return
 	}
-	err := duties.Act(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
+	err := duties.Call(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
 		return r.cfg.Platform.ReportUsage(ctx, Report{Window: w, Counts: p.agreed, Holder: r.cfg.VM, Fence: fence})
 	})
 	if err != nil {
@@ -163,7 +163,7 @@
 	reported.Inc()
 	r.clean(ctx, w)
 	klog.InfoS("usage: window reported", "window", w, "fence", l.Fence(), "organisations", len(p.agreed), "requests", sumOf(p.agreed),
-		"sinceEndMS", r.cfg.Day().Sub(w.end(r.cfg.Length)).Milliseconds())
+		"sinceEndMS", r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)).Milliseconds())
 }
 
 // settle finds the sum that is to be reported, and tells whether there is one now.
@@ -190,7 +190,7 @@
 // store knows no more, since it has come back from a copy.
 func (r *Reporter) mayBeLost(w Window) bool {
 	since := r.cfg.EpochSince()
-	return !since.IsZero() && r.cfg.Day().Sub(w.end(r.cfg.Length)) > clock.Since(since)
+	return !since.IsZero() && r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)) > clock.Since(since)
 }
 
 // find reads the sum that was agreed on, and gives the window up if there is none: another sum than
@@ -215,11 +215,11 @@
 func (r *Reporter) collect(ctx context.Context, w Window) (counts map[string]uint64, ready bool) {
 	s := newSum(w)
 	s.add(r.cfg.Ledger.Read(w))
-	for _, accounts := range r.cfg.Keepers.Read(ctx, w) {
+	for _, accounts := range r.cfg.Replicas.Read(ctx, w) {
 		s.add(accounts)
 	}
 	missing := s.missing()
-	if len(missing) > 0 && r.cfg.Day().Sub(w.end(r.cfg.Length)) < r.patience(len(missing), s.vms()) {
+	if len(missing) > 0 && r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)) < r.patience(len(missing), s.vms()) {
 		return nil, false
 	}
 	if len(missing) > 0 {
@@ -234,12 +234,12 @@
 	if float64(missing) <= fewPart*r.cfg.Tolerance*float64(vms) {
 		return fewPatience
 	}
-	return time.Duration(patiencePart * float64(r.cfg.Late))
+	return time.Duration(patiencePart * float64(r.cfg.ReportWithin))
 }
 
 // named gives a sum by names.
 func (r *Reporter) named(w Window, counts map[uint64]uint64) map[string]uint64 {
-	names := r.cfg.Names()
+	names := r.cfg.OrganisationNames()
 	out := make(map[string]uint64, len(counts))
 	for hash, n := range counts {
 		name, known := names[hash]
--- a/duties/usage/reporter_test.go
+++ b/duties/usage/reporter_test.go
@@ -102,7 +102,7 @@
 				w := now()
 				cut := r.vms[2]
 				for end := time.Now().Add(tc.cut); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					cut.ledger.Began("north")
+					cut.ledger.RequestStarted("north")
 					cut.setCut(true)
 					for _, v := range r.vms[:2] {
 						for _, a := range v.ledger.Due(false) {
@@ -187,7 +187,7 @@
 			t.Fatal("the window was not reported before")
 		}
 		r.vms[0].kill()
-		r.vms[1].ledger.Began("south") // as if it had heard more than the dead VM
+		r.vms[1].ledger.RequestStarted("south") // as if it had heard more than the dead VM
 		r.rows.ComeBack(copied)
 		r.mu.Lock()
 		r.epochSince = time.Now()
@@ -202,7 +202,7 @@
 // An organisation that the holder does not know the name of is left out, the others are reported.
 func TestNamelessOrganisation(t *testing.T) {
 	playRegion(t, 1, func(r *region) {
-		r.vms[0].ledger.Began("unknown")
+		r.vms[0].ledger.RequestStarted("unknown")
 		r.serve(20 * time.Second)
 		first, last := now()-6, now()-2
 		for w := first; w <= last; w++ {
--- a/entry/endpoints.go
+++ b/entry/endpoints.go
@@ -92,7 +92,7 @@
 // noteServiceLeaving records that a service's answer said its endpoint leaves,
 // and tells the zone's other entries, which may have no call there soon.
 func (d *common) noteServiceLeaving(endpoint string) {
-	if !d.leave.Note(endpoint, incarnationLeaving, true) {
+	if !d.leave.Record(endpoint, incarnationLeaving, true) {
 		return
 	}
 	klog.Infof("entry: service endpoint %s says it is leaving", endpoint)
@@ -107,7 +107,7 @@
 // expire ends the word of an endpoint after serviceLeavingFor.
 func (words serviceWords) expire(d *common, endpoint string) {
 	signal, leaves := d.leave.Leaving(endpoint)
-	if !leaves || signal != leaving.Endpoint {
+	if !leaves || signal != leaving.SignalEndpoint {
 		delete(words, endpoint)
 		return
 	}
@@ -118,6 +118,6 @@
 		words[endpoint] = now
 	case now-since >= serviceLeavingFor:
 		delete(words, endpoint)
-		d.leave.Note(endpoint, incarnationBack, false)
+		d.leave.Record(endpoint, incarnationBack, false)
 	}
 }
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -59,7 +59,7 @@
 				l := &leaver{Handler: s.services, refuses: tt.refuses, start: time.Now()}
 				s.listenFor(l, o.listenAt(2, 9600))
 				if tt.told {
-					s.entry.leave.Note("slots-2", incarnationLeaving, true)
+					s.entry.leave.Record("slots-2", incarnationLeaving, true)
 				}
 				for n := 0; time.Since(l.start) < 150*time.Second; n++ {
 					status, body, err := s.do(t.Context(), request{
--- a/entry/missed_test.go
+++ b/entry/missed_test.go
@@ -24,7 +24,7 @@
 // there after leaving.StopTime. No platform is there at all.
 func TestMissedAnnouncementIsShared(t *testing.T) {
 	const vms, engines = 5, directZone + 8
-	for at := time.Duration(0); at < leaving.EndpointPoll; at += 250 * time.Millisecond {
+	for at := time.Duration(0); at < leaving.EndpointPollInterval; at += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			entries, stop := idleZone(t, vms, engines)
 			defer stop()
@@ -34,7 +34,7 @@
 			var polls sync.WaitGroup
 			polls.Go(func() {
 				for n := range 8 {
-					said := time.Since(began) >= at+leaving.EndpointPoll
+					said := time.Since(began) >= at+leaving.EndpointPollInterval
 					state := engine.State{
 						Incarnation: "first", Role: engine.Mixed, Leaving: said,
 						Loaded: []weightstore.Artifact{{Model: "chat", Version: "1"}},
@@ -43,11 +43,11 @@
 					report := fleet.Report{Endpoint: engineName(0), State: state, MeasuredAt: entries[0].common.now()}
 					entries[0].common.store.Apply(entries[0].common.now(), report)
 					poller.heard(report)
-					time.Sleep(leaving.EndpointPoll)
+					time.Sleep(leaving.EndpointPollInterval)
 				}
 			})
 			defer polls.Wait()
-			time.Sleep(at + leaving.EndpointPoll + leaving.StopTime)
+			time.Sleep(at + leaving.EndpointPollInterval + leaving.MaxStopDelay)
 			for i, e := range entries {
 				available := e.common.store.Snapshot().Engines(weightstore.Artifact{Model: "chat"}, engine.Mixed)
 				if len(available) != engines-1 {
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -26,7 +26,7 @@
 	// keepOwn is how long the last own report of an engine is kept.
 	keepOwn = time.Minute
 	// shareFor is how long an own report is shared after it was read.
-	shareFor = 3 * leaving.EndpointPoll
+	shareFor = 3 * leaving.EndpointPollInterval
 	// shareTick is how often the own reports are put together for the peers,
 	// and what the peers read is taken in.
 	shareTick = 250 * time.Millisecond
@@ -62,7 +62,7 @@
 
 func newReports(d *common, u *upstreams, book *share.Book) *reports {
 	r := &reports{d: d, upstreams: u, book: book, own: map[string]ownReport{}}
-	cfg := fleet.PollerConfig{Interval: leaving.EndpointPoll, Timeout: pollTimeout, Workers: pollWorkers}
+	cfg := fleet.PollerConfig{Interval: leaving.EndpointPollInterval, Timeout: pollTimeout, Workers: pollWorkers}
 	r.poller = fleet.NewPoller(cfg, d.store, d.now, r.open, r.mine, r.heard)
 	return r
 }
@@ -109,7 +109,7 @@
 	r.own[name] = ownReport{state: state, at: clock.Now()}
 	r.mu.Unlock()
 	r.upstreams.track(name, state.Incarnation, state.Role)
-	if r.d.leave.Note(name, state.Incarnation, state.Leaving) {
+	if r.d.leave.Record(name, state.Incarnation, state.Leaving) {
 		klog.Infof("entry: engine %s says it is leaving", name)
 		r.d.announce(context.Background(), name, state.Incarnation)
 	}
--- a/entry/upkeep_test.go
+++ b/entry/upkeep_test.go
@@ -99,8 +99,8 @@
 		want   int
 	}{
 		{"all serve", func() {}, 3},
-		{"one says it is leaving", func() { e.common.leave.Note("engine-0", "first", true) }, 2},
-		{"it came back", func() { e.common.leave.Note("engine-0", "second", false) }, 3},
+		{"one says it is leaving", func() { e.common.leave.Record("engine-0", "first", true) }, 2},
+		{"it came back", func() { e.common.leave.Record("engine-0", "second", false) }, 3},
 		{"one is withheld", func() { e.gate.Withhold("engine-1", 1) }, 2},
 		{"one is drained in the tree", func() { e.leave.SetTree([]string{"engine-2"}) }, 1},
 	}
--- a/freshness/asker.go
+++ b/freshness/asker.go
@@ -11,14 +11,14 @@
 	"github.com/springweir/springweir/internal/loop"
 )
 
-// Settings are what an Asker works with.
+// Settings are what a Confirmer works with.
 type Settings struct {
-	// Ask is the age from which the first VM of the region asks the store for a confirmation.
-	Ask time.Duration
+	// ConfirmAfter is the age from which the first VM of the region asks the store for a confirmation.
+	ConfirmAfter time.Duration
 	// Rank is this VM's place among the VMs of the region.
 	Rank func() int
-	// Store asks the store, takes in what is new, and gives the tracker the confirmation.
-	Store func(context.Context) error
+	// Query asks the store, takes in what is new, and gives the tracker the confirmation.
+	Query func(context.Context) error
 }
 
 const (
@@ -43,11 +43,11 @@
 	farRetryMax = 8 * time.Second
 )
 
-// Asker asks the store for a confirmation when nobody else has for a while. The VMs of a region do
+// Confirmer asks the store for a confirmation when nobody else has for a while. The VMs of a region do
 // so in the order of their ranks, each a little later than the one before it: one whose way to the
 // store or to the others is cut, or that is gone, is thus made up for by the next, and VMs that are
 // cut off together keep each other fresh.
-type Asker struct {
+type Confirmer struct {
 	tracker  *Tracker
 	settings Settings
 	// waitsSince is since when there is something to confirm and no confirmation, or zero.
@@ -56,11 +56,11 @@
 	failures int
 }
 
-// NewAsker returns an asker for a tracker.
-func NewAsker(t *Tracker, s Settings) *Asker { return &Asker{tracker: t, settings: s} }
+// NewConfirmer returns an asker for a tracker.
+func NewConfirmer(t *Tracker, s Settings) *Confirmer { return &Confirmer{tracker: t, settings: s} }
 
 // Run asks until ctx ends.
-func (a *Asker) Run(ctx context.Context) {
+func (a *Confirmer) Run(ctx context.Context) {
 	for loop.Sleep(ctx, lookInterval) {
 		if a.due() {
 			a.ask(ctx)
@@ -69,11 +69,11 @@
 }
 
 // due tells whether it is time for this VM to ask. One that has just started is told by the others.
-func (a *Asker) due() bool {
+func (a *Confirmer) due() bool {
 	age, known := a.tracker.Age()
 	if known {
 		a.waitsSince = time.Time{}
-		if age < a.settings.Ask {
+		if age < a.settings.ConfirmAfter {
 			a.failures = 0
 		}
 		return age >= a.patience()
@@ -89,17 +89,17 @@
 }
 
 // patience is the age from which this VM asks.
-func (a *Asker) patience() time.Duration {
+func (a *Confirmer) patience() time.Duration {
 	rank := a.settings.Rank()
 	if rank >= maxSteps {
-		return a.settings.Ask + maxSteps*rankStep + rand.N(maxSteps*rankStep)
+		return a.settings.ConfirmAfter + maxSteps*rankStep + rand.N(maxSteps*rankStep)
 	}
-	return a.settings.Ask + time.Duration(rank)*rankStep
+	return a.settings.ConfirmAfter + time.Duration(rank)*rankStep
 }
 
-func (a *Asker) ask(ctx context.Context) {
+func (a *Confirmer) ask(ctx context.Context) {
 	asking, cancel := clock.WithTimeout(ctx, askTimeout)
-	err := a.settings.Store(asking)
+	err := a.settings.Query(asking)
 	cancel()
 	if err == nil {
 		a.failures = 0
@@ -111,7 +111,7 @@
 }
 
 // pause is the mean pause after a question that got no answer.
-func (a *Asker) pause() time.Duration {
+func (a *Confirmer) pause() time.Duration {
 	least, most := retryMin, retryMax
 	if a.settings.Rank() >= maxSteps {
 		least, most = farRetryMin, farRetryMax
--- a/freshness/asker_test.go
+++ b/freshness/asker_test.go
@@ -38,11 +38,11 @@
 	f.stop = func() { cancel(); running.Wait() }
 	for range n {
 		tr := New(nil)
-		tr.InForce(1)
+		tr.SetInForce(1)
 		f.vms = append(f.vms, tr)
 	}
 	for i, tr := range f.vms {
-		asker := NewAsker(tr, Settings{Ask: ask, Rank: func() int { return i }, Store: func(ctx context.Context) error { return f.ask(ctx, i) }})
+		asker := NewConfirmer(tr, Settings{ConfirmAfter: ask, Rank: func() int { return i }, Query: func(ctx context.Context) error { return f.ask(ctx, i) }})
 		running.Go(func() { asker.Run(ctx) })
 		running.Go(func() { f.tell(ctx, i) })
 	}
@@ -71,7 +71,7 @@
 		if !known {
 			continue
 		}
-		c := Dated(version, age, time.Now())
+		c := ReceivedConfirmation(version, age, time.Now())
 		for other := range f.vms {
 			if other != vm && !f.apart(vm, other) {
 				f.vms[other].Confirm(c)
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -27,9 +27,9 @@
 	At time.Time
 }
 
-// Dated returns the confirmation that another VM told of a version and an age. It read the age after
+// ReceivedConfirmation returns the confirmation that another VM told of a version and an age. It read the age after
 // something of this VM had come that was sent at sent.
-func Dated(version uint64, age time.Duration, sent time.Time) Confirmation {
+func ReceivedConfirmation(version uint64, age time.Duration, sent time.Time) Confirmation {
 	return Confirmation{Version: version, At: sent.Add(-age)}
 }
 
@@ -50,9 +50,9 @@
 // New returns a tracker without any confirmation. A nil now is the VM's clock.
 func New(now func() time.Time) *Tracker { return &Tracker{now: clock.OrSystem(now)} }
 
-// InForce notes that this VM decides by a version from now on. It must be called after that is so,
+// SetInForce notes that this VM decides by a version from now on. It must be called after that is so,
 // and versions must not fall.
-func (t *Tracker) InForce(version uint64) {
+func (t *Tracker) SetInForce(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inForce = max(t.inForce, version)
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -14,7 +14,7 @@
 	confirm := func(version uint64, seconds float64) func(*Tracker) {
 		return func(tr *Tracker) { tr.Confirm(Confirmation{Version: version, At: at(seconds)}) }
 	}
-	inForce := func(version uint64) func(*Tracker) { return func(tr *Tracker) { tr.InForce(version) } }
+	inForce := func(version uint64) func(*Tracker) { return func(tr *Tracker) { tr.SetInForce(version) } }
 	for _, tc := range []struct {
 		name  string
 		steps []func(*Tracker)
@@ -50,7 +50,7 @@
 	if _, _, known := tr.Newest(); known {
 		t.Error("something is told before anything is known")
 	}
-	tr.InForce(3)
+	tr.SetInForce(3)
 	tr.Confirm(Confirmation{Version: 3, At: at(1)})
 	tr.Confirm(Confirmation{Version: 4, At: at(4)})
 	if version, age, known := tr.Newest(); version != 4 || age != 6*time.Second || !known {
--- a/freshness/model_test.go
+++ b/freshness/model_test.go
@@ -141,7 +141,7 @@
 	r.memberAsks(s, add)
 	if s.member.inForce < s.reader.inForce {
 		add("member gets the reader's version", func(n *state) {
-			n.member = n.member.with(n.now, func(t *Tracker) { t.InForce(n.reader.inForce) })
+			n.member = n.member.with(n.now, func(t *Tracker) { t.SetInForce(n.reader.inForce) })
 		})
 	}
 	return list
@@ -168,7 +168,7 @@
 			add("reader notes the confirmation", confirm)
 		}
 		add("reader takes the answer", func(n *state) {
-			n.reader = n.reader.with(n.now, func(t *Tracker) { t.InForce(q.version) })
+			n.reader = n.reader.with(n.now, func(t *Tracker) { t.SetInForce(q.version) })
 			confirm(n)
 			n.question = message{}
 		})
@@ -187,7 +187,7 @@
 		at := r.date(s.down.stamp, s.now)
 		add("member takes the confirmation", func(n *state) {
 			n.member = n.member.with(n.now, func(t *Tracker) {
-				c := Dated(n.down.version, time.Duration(n.down.age)*time.Second, moment(at))
+				c := ReceivedConfirmation(n.down.version, time.Duration(n.down.age)*time.Second, moment(at))
 				if r.anyVersion {
 					c.Version = min(c.Version, t.inForce)
 				}
--- a/gateway/duties.go
+++ b/gateway/duties.go
@@ -18,9 +18,9 @@
 	list := []duties.Duty{g.roles}
 	if g.usage != nil {
 		list = append(list, usage.NewReporter(usage.Config{
-			VM: g.settings.VM, Rows: g.platform.Rows, Ledger: g.usage, Keepers: usage.NewClient(g.network, g.keepers),
-			Platform: g.platform.Usage, EpochSince: g.platform.EpochSince, Names: g.state.names.byHash,
-			Tolerance: g.settings.Duties.UsageTolerance, Length: g.settings.Duties.UsageWindow, Late: g.settings.Duties.UsageLate, Day: day,
+			VM: g.settings.VM, Rows: g.platform.Rows, Ledger: g.usage, Replicas: usage.NewClient(g.network, g.keepers),
+			Platform: g.platform.Usage, EpochSince: g.platform.EpochSince, OrganisationNames: g.state.names.byHash,
+			Tolerance: g.settings.Duties.UsageTolerance, WindowLength: g.settings.Duties.UsageWindow, ReportWithin: g.settings.Duties.UsageLate, WallClock: day,
 		}))
 	}
 	if g.settings.Duties.Scaling {
@@ -77,7 +77,7 @@
 // Began implements relay.Meter.
 func (m meter) Began(r *relay.Request) {
 	if r.Organisation != nil {
-		m.ledger.Began(r.Organisation.Name)
+		m.ledger.RequestStarted(r.Organisation.Name)
 	}
 }
 
@@ -86,7 +86,7 @@
 	if r.Organisation == nil {
 		return func(bool) {}
 	}
-	return m.ledger.Sent(r.Organisation.Name).Ended
+	return m.ledger.RequestSent(r.Organisation.Name).Finish
 }
 
 // names are those of all organisations that were in force since the start: requests are reported a
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -73,7 +73,7 @@
 		return 0
 	}
 	if g.state.setConfig(c) {
-		g.freshness.InForce(c.Version)
+		g.freshness.SetInForce(c.Version)
 		klog.InfoS("gateway: configuration in force", "version", c.Version, "routes", len(c.Routes), "services", len(c.Services), "organisations", c.Organisations.Len())
 	}
 	return c.Version
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -136,7 +136,7 @@
 	// usage is nil where nothing is to be reported.
 	usage  *usage.Ledger
 	roles  *rolechange.Controller
-	duties *duties.Keeper
+	duties *duties.Runner
 	guard  *poison.Guard
 	// configs, endpoints and vms are where the tables are read from.
 	configs, endpoints, vms, verdicts *feedshare.Source
@@ -166,15 +166,15 @@
 	g.newSources()
 	g.roster = roster.New(p.Rows, g.vms, self, g.setPeers)
 	if s.Duties.UsageWindow > 0 {
-		g.usage = usage.NewLedger(usage.Self{VM: s.VM, Zone: s.Zone}, s.Duties.UsageWindow, day, nil)
+		g.usage = usage.NewLedger(usage.Identity{VM: s.VM, Zone: s.Zone}, s.Duties.UsageWindow, day, nil)
 	}
 	g.exchange = loadshare.New(g.exchangeConfig())
 	g.roles = rolechange.New(rolechange.Config{
 		VM: s.VM, Directory: g.directory, Services: g.state.config.Load,
 		Engines: p.Engines, Balance: s.Balance, Pressure: g.planner.Pressure, InFlight: g.planner.InFlight, PropagationDelay: g.exchange.PropagationDelay,
 	})
-	g.duties = duties.NewKeeper(duties.Config{
-		Rows: p.Rows, Epoch: p.Epoch, Apart: s.Lease, Rank: g.exchange.Rank,
+	g.duties = duties.NewRunner(duties.Config{
+		Rows: p.Rows, Epoch: p.Epoch, HandoverDelay: s.Lease, Rank: g.exchange.Rank,
 		Self: lease.Identity{VM: s.VM, Process: self.Boot, Address: s.Peers},
 	}, g.listDuties(day)...)
 	g.guard = poison.NewGuard(poison.Config{
--- a/gateway/revoke.go
+++ b/gateway/revoke.go
@@ -49,7 +49,7 @@
 	if !g.state.revoke.bounded() {
 		return
 	}
-	freshness.NewAsker(g.freshness, freshness.Settings{Ask: g.state.revoke.ask, Rank: g.exchange.Rank, Store: g.askConfig}).Run(ctx)
+	freshness.NewConfirmer(g.freshness, freshness.Settings{ConfirmAfter: g.state.revoke.ask, Rank: g.exchange.Rank, Query: g.askConfig}).Run(ctx)
 }
 
 // askConfig asks the store for the configuration as it is now. The follower may take the same change
--- a/leaving/leaving.go
+++ b/leaving/leaving.go
@@ -11,14 +11,14 @@
 	"github.com/springweir/springweir/membership"
 )
 
-// ListPoll is how often each entry reads the membership list, and EndpointPoll
+// ListPollInterval is how often each entry reads the membership list, and EndpointPollInterval
 // how often each endpoint is asked by the entry that polls it. An endpoint that
 // says it leaves is passed on at once to all entries of the zone, so each
-// signal stops new work within StopTime of its being visible.
+// signal stops new work within MaxStopDelay of its being visible.
 const (
-	ListPoll     = 1500 * time.Millisecond
-	EndpointPoll = time.Second
-	StopTime     = 3 * time.Second
+	ListPollInterval     = 1500 * time.Millisecond
+	EndpointPollInterval = time.Second
+	MaxStopDelay         = 3 * time.Second
 )
 
 // Signal is what says that an endpoint is leaving.
@@ -26,12 +26,12 @@
 
 // The signals.
 const (
-	// Tree is a drain, replacement or withdrawal in the operators' tree.
-	Tree Signal = "tree"
-	// List is the platform's membership list.
-	List Signal = "membership-list"
-	// Endpoint is the endpoint itself.
-	Endpoint Signal = "endpoint"
+	// SignalTree is a drain, replacement or withdrawal in the operators' tree.
+	SignalTree Signal = "tree"
+	// SignalList is the platform's membership list.
+	SignalList Signal = "membership-list"
+	// SignalEndpoint is the endpoint itself.
+	SignalEndpoint Signal = "endpoint"
 )
 
 // Set joins the three signals. It is safe for concurrent use; Leaving takes no
@@ -102,10 +102,10 @@
 	s.join()
 }
 
-// Note records what an endpoint said of itself, and returns whether that is
+// Record records what an endpoint said of itself, and returns whether that is
 // news, to be passed on to the zone. A new incarnation is a new start: the
 // endpoint came back and is leaving no more unless it says so again.
-func (s *Set) Note(endpoint, incarnation string, leaving bool) bool {
+func (s *Set) Record(endpoint, incarnation string, leaving bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was, known := s.said[endpoint]
@@ -127,13 +127,13 @@
 func (s *Set) join() {
 	joined := map[string]Signal{}
 	for name := range s.said {
-		joined[name] = Endpoint
+		joined[name] = SignalEndpoint
 	}
 	for name := range s.list {
-		joined[name] = List
+		joined[name] = SignalList
 	}
 	for name := range s.tree {
-		joined[name] = Tree
+		joined[name] = SignalTree
 	}
 	s.joined.Store(&joined)
 }
--- a/leaving/leaving_test.go
+++ b/leaving/leaving_test.go
@@ -24,18 +24,18 @@
 		want Signal
 	}{
 		{"none", []func(*Set){present}, ""},
-		{"tree", []func(*Set){present, func(s *Set) { s.SetTree([]string{"e"}) }}, Tree},
+		{"tree", []func(*Set){present, func(s *Set) { s.SetTree([]string{"e"}) }}, SignalTree},
 		{"tree takes back", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.SetTree(nil) }}, ""},
-		{"list", []func(*Set){func(s *Set) { s.SetList([]membership.VM{endpoint("e", true)}) }}, List},
-		{"list drops", []func(*Set){present, func(s *Set) { s.SetList(nil) }}, List},
+		{"list", []func(*Set){func(s *Set) { s.SetList([]membership.VM{endpoint("e", true)}) }}, SignalList},
+		{"list drops", []func(*Set){present, func(s *Set) { s.SetList(nil) }}, SignalList},
 		{"list never had it", []func(*Set){func(s *Set) { s.SetList(nil) }}, ""},
 		{"an entry of that name", []func(*Set){func(s *Set) {
 			s.SetList([]membership.VM{{Name: "e", Kind: membership.Entry, Leaving: true}})
 		}}, ""},
-		{"endpoint", []func(*Set){present, func(s *Set) { s.Note("e", "1", true) }}, Endpoint},
-		{"a late report of it staying", []func(*Set){func(s *Set) { s.Note("e", "1", true) }, func(s *Set) { s.Note("e", "1", false) }}, Endpoint},
-		{"started anew", []func(*Set){func(s *Set) { s.Note("e", "1", true) }, func(s *Set) { s.Note("e", "2", false) }}, ""},
-		{"endpoint back but tree says so", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.Note("e", "2", false) }}, Tree},
+		{"endpoint", []func(*Set){present, func(s *Set) { s.Record("e", "1", true) }}, SignalEndpoint},
+		{"a late report of it staying", []func(*Set){func(s *Set) { s.Record("e", "1", true) }, func(s *Set) { s.Record("e", "1", false) }}, SignalEndpoint},
+		{"started anew", []func(*Set){func(s *Set) { s.Record("e", "1", true) }, func(s *Set) { s.Record("e", "2", false) }}, ""},
+		{"endpoint back but tree says so", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.Record("e", "2", false) }}, SignalTree},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 
 func TestNoteIsNewsOnce(t *testing.T) {
 	s := NewSet()
-	got := []bool{s.Note("e", "1", false), s.Note("e", "1", true), s.Note("e", "1", true), s.Note("e", "2", false), s.Note("e", "2", true)}
+	got := []bool{s.Record("e", "1", false), s.Record("e", "1", true), s.Record("e", "1", true), s.Record("e", "2", false), s.Record("e", "2", true)}
 	if diff := cmp.Diff([]bool{false, true, false, false, true}, got); diff != "" {
 		t.Errorf("news (-want +got):\n%s", diff)
 	}
@@ -75,10 +75,10 @@
 	return *l.vms.Load(), nil
 }
 
-// A mark on the list stops new work within StopTime, also when the read before
+// A mark on the list stops new work within MaxStopDelay, also when the read before
 // it hangs, and stays when the list is then out of reach.
 func TestListStopsWithinBound(t *testing.T) {
-	for at := time.Duration(0); at < 2*ListPoll; at += 100 * time.Millisecond {
+	for at := time.Duration(0); at < 2*ListPollInterval; at += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
@@ -88,10 +88,10 @@
 			time.Sleep(at)
 			synctest.Wait()
 			l.vms.Store(&[]membership.VM{endpoint("e", true)})
-			time.Sleep(StopTime)
+			time.Sleep(MaxStopDelay)
 			synctest.Wait()
 			if _, is := s.Leaving("e"); !is {
-				t.Errorf("marked at %v: still gets work %v later", at, StopTime)
+				t.Errorf("marked at %v: still gets work %v later", at, MaxStopDelay)
 			}
 		})
 	}
--- a/leaving/watch.go
+++ b/leaving/watch.go
@@ -12,7 +12,7 @@
 )
 
 // listTimeout bounds one read of the list, so that a read that hangs and the
-// next one together stay within StopTime.
+// next one together stay within MaxStopDelay.
 const listTimeout = time.Second
 
 // WatchList reads the membership list into the set until ctx ends.
@@ -20,7 +20,7 @@
 	for ctx.Err() == nil {
 		began := clock.Now()
 		s.readList(ctx, list)
-		loop.Sleep(ctx, ListPoll-clock.Since(began))
+		loop.Sleep(ctx, ListPollInterval-clock.Since(began))
 	}
 }
 
--- a/loadshare/echo.go
+++ b/loadshare/echo.go
@@ -92,7 +92,7 @@
 		if !own {
 			continue
 		}
-		return freshness.Dated(told.Version, time.Duration(told.AgeMs)*time.Millisecond, sent), true
+		return freshness.ReceivedConfirmation(told.Version, time.Duration(told.AgeMs)*time.Millisecond, sent), true
 	}
 	return freshness.Confirmation{}, false
 }
--- a/loadshare/echo_test.go
+++ b/loadshare/echo_test.go
@@ -17,7 +17,7 @@
 
 func newVM(name string) vm {
 	tr := freshness.New(nil)
-	tr.InForce(1)
+	tr.SetInForce(1)
 	x := New(Config{VM: name, Zone: "z", Confirmation: tr.Newest, OnConfirmation: tr.Confirm, OnLoad: func(*sharepb.Load) {}})
 	return vm{Exchange: x, Tracker: tr}
 }
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -77,7 +77,7 @@
 // The entry that polls the endpoint calls it once, when leaving.Set.Note says
 // that it is news. One that misses it learns it from the shared reports.
 func (x *Exchanger) Announce(ctx context.Context, endpoint, incarnation string) {
-	ctx, cancel := context.WithTimeout(ctx, leaving.StopTime)
+	ctx, cancel := context.WithTimeout(ctx, leaving.MaxStopDelay)
 	defer cancel()
 	others := x.member.Roster().Others(x.member.Name())
 	contact.Collect(ctx, others, func(ctx context.Context, vm contact.VM) (contact.Ack, error) {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -63,7 +63,7 @@
 // zone within the bound, whenever that falls between two polls. No platform is
 // there at all.
 func TestLeavingEndpointStopsWithinBound(t *testing.T) {
-	for at := time.Duration(0); at <= leaving.EndpointPoll; at += 250 * time.Millisecond {
+	for at := time.Duration(0); at <= leaving.EndpointPollInterval; at += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			n := fakenet.New()
 			n.SetDelay(50 * time.Millisecond)
@@ -72,15 +72,15 @@
 			var said atomic.Bool
 			go func() { // the entry that polls the endpoint
 				for range 10 {
-					time.Sleep(leaving.EndpointPoll)
-					if parts[0].set.Note("e", "1", said.Load()) {
+					time.Sleep(leaving.EndpointPollInterval)
+					if parts[0].set.Record("e", "1", said.Load()) {
 						x.Announce(t.Context(), "e", "1")
 					}
 				}
 			}()
 			time.Sleep(at)
 			said.Store(true)
-			time.Sleep(leaving.StopTime)
+			time.Sleep(leaving.MaxStopDelay)
 			for i, p := range parts {
 				p.member.Renew(time.Now())
 				var refused *withhold.LeavingError
--- a/peer/server.go
+++ b/peer/server.go
@@ -137,6 +137,6 @@
 
 // NoteLeaving implements entrypb.Entry.
 func (s *Server) NoteLeaving(_ context.Context, req *entrypb.LeavingNotice) (*entrypb.Ack, error) {
-	s.leaving.Note(req.Endpoint, req.Incarnation, true)
+	s.leaving.Record(req.Endpoint, req.Incarnation, true)
 	return s.ack(), nil
 }
--- a/rolechange/controller_test.go
+++ b/rolechange/controller_test.go
@@ -106,7 +106,7 @@
 // candidate is a VM that contends for the lease.
 type candidate struct {
 	*Controller
-	runner *duties.Keeper
+	runner *duties.Runner
 }
 
 func (env *testEnv) newCandidate(vm string, rank int) candidate {
@@ -122,8 +122,8 @@
 		InFlight:         func(string) int { return len(c.Changing()) },
 		PropagationDelay: func() time.Duration { return 100 * time.Millisecond },
 	})
-	return candidate{c, duties.NewKeeper(duties.Config{
-		Rows: env.rows, Apart: 3 * time.Second, Rank: func() int { return rank },
+	return candidate{c, duties.NewRunner(duties.Config{
+		Rows: env.rows, HandoverDelay: 3 * time.Second, Rank: func() int { return rank },
 		Self: lease.Identity{VM: vm, Process: "boot-" + vm, Address: "127.0.0.1:1"},
 	}, c)}
 }
--- a/rolechange/order.go
+++ b/rolechange/order.go
@@ -73,7 +73,7 @@
 	if state.OrderInProgress || state.Role == to {
 		return // the registration lags, or another order is in progress
 	}
-	err = duties.Act(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
+	err = duties.Call(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
 		return c.cfg.Engines.ChangeRole(ctx, e, Order{Role: to, Holder: c.cfg.VM, Fence: fence, OrdersAccepted: state.OrdersAccepted})
 	})
 	klog.InfoS("rolechange: ordered", "endpoint", e.ID, "zone", e.Zone, "from", state.Role, "to", to,
@@ -88,7 +88,7 @@
 func certainlyNotAccepted(err error) bool {
 	var refused *RefusedError
 	var lost *lease.LostError
-	var late *duties.TooLateError
+	var late *duties.LeaseTooShortError
 	return errors.As(err, &refused) || errors.As(err, &lost) || errors.As(err, &late)
 }
 
--- a/withhold/gate_test.go
+++ b/withhold/gate_test.go
@@ -72,7 +72,7 @@
 	set.SetTree([]string{"e"})
 	_, err := g.TryAcquire("e")
 	var refused *LeavingError
-	if !errors.As(err, &refused) || refused.Signal != leaving.Tree {
+	if !errors.As(err, &refused) || refused.Signal != leaving.SignalTree {
 		t.Errorf("TryAcquire on a leaving endpoint: %v", err)
 	}
 }
@@ -168,12 +168,12 @@
 	if err := g.Recheck("e"); err != nil {
 		t.Errorf("at once: %v", err)
 	}
-	set.Note("e", "e1", true)
+	set.Record("e", "e1", true)
 	var leaves *LeavingError
 	if err := g.Recheck("e"); !errors.As(err, &leaves) {
 		t.Errorf("leaving: %v", err)
 	}
-	set.Note("e", "e2", false)
+	set.Record("e", "e2", false)
 	g.Withhold("e", 1)
 	var withheld *RefusedError
 	if err := g.Recheck("e"); !errors.As(err, &withheld) {
