--- a/duties/scaling/pace.go
+++ b/duties/scaling/pace.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Every VM hears of each endpoint that comes or leaves, and must know within the platform's bound of
-// one that leaves. Hundreds at once hold that news up in a large region, so numbers move in steps.
+// Every VM is notified of each endpoint that starts or stops, and has to learn of one that stops
+// within the platform's bound. Changing hundreds at once delays those notifications in a large
+// region, so endpoint counts change in steps.
 const (
-	// maxComing is how many revocable endpoints of a zone are started at a time. Ordinary ones make
-	// up for others that were taken away, and are not held up.
-	maxComing = 30
-	// maxLeaving is how many endpoints of a zone and kind are told to leave at a time, and leavePause
-	// the time until the next ones are.
-	maxLeaving = 10
-	leavePause = 3 * time.Second
+	// maxStartStep is the number of revocable endpoints of a zone that are started at a time.
+	// Ordinary endpoints replace reclaimed ones and are not limited.
+	maxStartStep = 30
+	// maxStopStep is the number of endpoints of a zone and kind that are stopped at a time, and
+	// stopStepInterval the time between two such steps.
+	maxStopStep      = 10
+	stopStepInterval = 3 * time.Second
 )
 
-// paced is the next step from the number that there is to the one that is wanted. ordered is what was
-// last ordered, and starting tells whether some of these may still be starting.
-func paced(have, ordered, want int, starting, revocable bool) int {
+// nextStep returns the next number to order on the way from current to target. ordered is the
+// number last ordered; starting reports whether some of those may still be starting.
+func nextStep(current, ordered, target int, starting, revocable bool) int {
 	switch {
-	case want < have-maxLeaving:
-		return have - maxLeaving
-	case !revocable || want <= have+maxComing:
-		return want
-	case starting && ordered > have:
+	case target < current-maxStopStep:
+		return current - maxStopStep
+	case !revocable || target <= current+maxStartStep:
+		return target
+	case starting && ordered > current:
 		return ordered
 	}
-	return have + maxComing
+	return current + maxStartStep
 }
--- a/duties/scaling/plan.go
+++ b/duties/scaling/plan.go
@@ -9,139 +9,146 @@
 	"github.com/springweir/springweir/routes"
 )
 
-// Count is a number of endpoints of each kind.
+// Count holds the number of endpoints of each kind. Revocable endpoints can be reclaimed by the
+// platform, ordinary ones cannot.
 type Count struct{ Ordinary, Revocable int }
 
-// Zone is what there is of a service in a zone.
+// Zone holds the endpoints of a service in one availability zone.
 type Zone struct {
 	Count
-	// Coming are revocable endpoints that were ordered and may still be starting.
-	Coming int
+	// Starting counts revocable endpoints that were ordered and may still be starting.
+	Starting int
 }
 
-// Settings bound a Planner.
+// Settings holds the limits of a Planner.
 type Settings struct {
-	// Floor is the part of the base that is kept of ordinary endpoints, whatever there is of others.
-	Floor float64
-	// Spare is how many revocable endpoints are wanted, as a part of the base.
-	Spare float64
-	// Insured is the part of the base that is to be left when all revocable endpoints of any one zone
-	// are taken away.
-	Insured float64
-	// Calm is for how long an ordinary endpoint must not have been needed before it goes.
-	Calm time.Duration
+	// OrdinaryFloor is the fraction of the base that is always kept as ordinary endpoints.
+	OrdinaryFloor float64
+	// RevocableTarget is the desired number of revocable endpoints, as a multiple of the base.
+	RevocableTarget float64
+	// ZoneLossReserve is the fraction of the base that must remain when all revocable endpoints of
+	// any one zone are reclaimed.
+	ZoneLossReserve float64
+	// ScaleInDelay is how long ordinary endpoints must be surplus before they are removed.
+	ScaleInDelay time.Duration
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
-	return Settings{Floor: 0.1, Spare: 2, Insured: 1, Calm: 2 * time.Second}
+	return Settings{OrdinaryFloor: 0.1, RevocableTarget: 2, ZoneLossReserve: 1, ScaleInDelay: 2 * time.Second}
 }
 
-// Planner says how many endpoints of a service there should be: as many revocable ones as are of use,
-// since they cost a part of the others, and ordinary ones for what these do not make up. It belongs
-// to one goroutine.
+// Planner computes how many endpoints a service should have in each zone: as many revocable
+// endpoints as are useful, because they cost a fraction of the price, and ordinary ones for the
+// rest. It must be used by one goroutine only.
 type Planner struct {
-	set Settings
-	// base is the number of endpoints that there must be.
+	settings Settings
+	// base is the minimum number of endpoints in all zones together.
 	base int
-	// enough is since when some ordinary endpoints are not needed; zero if all are.
-	enough time.Time
+	// surplusSince is the time since which there have been more ordinary endpoints than required;
+	// zero if there is no surplus.
+	surplusSince time.Time
 }
 
-// NewPlanner returns a planner of a service that needs base endpoints.
-func NewPlanner(set Settings, base int) *Planner { return &Planner{set: set, base: base} }
+// NewPlanner returns a planner for a service with the given base.
+func NewPlanner(settings Settings, base int) *Planner {
+	return &Planner{settings: settings, base: base}
+}
 
-// Plan returns what is wanted in each zone, given what there is now.
-func (p *Planner) Plan(now time.Time, scale *routes.Scale, have map[string]Zone) map[string]Count {
-	zones := byPrice(scale, have)
-	want := map[string]Count{}
-	spare := p.spare(scale, len(zones))
+// Plan returns the target counts of each zone, given the current ones.
+func (p *Planner) Plan(now time.Time, scale *routes.Scale, current map[string]Zone) map[string]Count {
+	zones := zonesByPrice(scale, current)
+	target := map[string]Count{}
+	perZone := p.revocablePerZone(scale, len(zones))
 	for _, zone := range zones {
-		h := have[zone]
-		// Room is never made for more ordinary ones by taking others away.
-		want[zone] = Count{Revocable: max(min(h.Revocable, spare), min(spare, scale.Max-h.Ordinary))}
+		counts := current[zone]
+		// Revocable endpoints are never removed to make room for ordinary ones.
+		target[zone] = Count{Revocable: max(min(counts.Revocable, perZone), min(perZone, scale.Max-counts.Ordinary))}
 	}
-	p.spread(scale, zones, have, want, p.ordinary(now, scale, have))
-	return want
+	p.distribute(scale, zones, current, target, p.ordinaryTarget(now, scale, current))
+	return target
 }
 
-// ordinary is how many ordinary endpoints there should be in all zones together. Those that revocable
-// ones are to replace go only once these serve; none are added for what is about to serve.
-func (p *Planner) ordinary(now time.Time, scale *routes.Scale, have map[string]Zone) int {
-	there := 0
+// ordinaryTarget returns the number of ordinary endpoints wanted in all zones together. Ordinary
+// endpoints are removed only after the revocable ones that replace them are serving; none are added
+// in place of revocable ones that are still starting.
+func (p *Planner) ordinaryTarget(now time.Time, scale *routes.Scale, current map[string]Zone) int {
+	total := 0
 	serving, expected := map[string]int{}, map[string]int{}
-	for zone, h := range have {
-		there += h.Ordinary
-		serving[zone] = h.Revocable
-		expected[zone] = h.Revocable + h.Coming
+	for zone, counts := range current {
+		total += counts.Ordinary
+		serving[zone] = counts.Revocable
+		expected[zone] = counts.Revocable + counts.Starting
 	}
-	enough := p.needed(scale, serving)
-	if there <= enough {
-		p.enough = time.Time{}
-		return max(there, p.needed(scale, expected))
+	required := p.requiredOrdinary(scale, serving)
+	if total <= required {
+		p.surplusSince = time.Time{}
+		return max(total, p.requiredOrdinary(scale, expected))
 	}
-	if p.enough.IsZero() {
-		p.enough = now
+	if p.surplusSince.IsZero() {
+		p.surplusSince = now
 	}
-	if now.Sub(p.enough) < p.set.Calm {
-		return there
+	if now.Sub(p.surplusSince) < p.settings.ScaleInDelay {
+		return total
 	}
-	return enough
+	return required
 }
 
-// needed is how many ordinary endpoints are needed beside revocable ones, given by zone.
-func (p *Planner) needed(scale *routes.Scale, revocable map[string]int) int {
-	all, most, zones := 0, 0, 0
+// requiredOrdinary returns the number of ordinary endpoints required beside the given revocable
+// endpoints per zone.
+func (p *Planner) requiredOrdinary(scale *routes.Scale, revocable map[string]int) int {
+	total, largest, zones := 0, 0, 0
 	for _, n := range revocable {
-		all += n
-		most = max(most, n)
+		total += n
+		largest = max(largest, n)
 		if n > 0 {
 			zones++
 		}
 	}
-	needed := max(p.part(p.set.Floor), p.base-all, scale.Min*len(revocable))
+	required := max(p.ofBase(p.settings.OrdinaryFloor), p.base-total, scale.Min*len(revocable))
 	if zones > 1 {
-		needed = max(needed, p.part(p.set.Insured)-(all-most))
+		required = max(required, p.ofBase(p.settings.ZoneLossReserve)-(total-largest))
 	}
-	return needed
+	return required
 }
 
-// part is a part of the base, rounded up.
-func (p *Planner) part(of float64) int { return int(math.Ceil(of * float64(p.base))) }
+// ofBase returns a fraction of the base, rounded up.
+func (p *Planner) ofBase(fraction float64) int { return int(math.Ceil(fraction * float64(p.base))) }
 
-// spare is how many revocable endpoints are wanted in each zone. There must be room beside them for
-// the ordinary ones that make up for those of a zone.
-func (p *Planner) spare(scale *routes.Scale, zones int) int {
+// revocablePerZone returns the desired number of revocable endpoints in each zone. It leaves room
+// below the zones' maxima for the ordinary endpoints that replace the revocable ones of one zone.
+func (p *Planner) revocablePerZone(scale *routes.Scale, zones int) int {
 	if scale.RevocablePrice <= 0 || scale.RevocablePrice >= 1 {
 		return 0
 	}
-	wanted := (p.part(p.set.Spare) + zones - 1) / zones
+	perZone := (p.ofBase(p.settings.RevocableTarget) + zones - 1) / zones
 	if zones == 1 {
-		return max(0, min(wanted, scale.Max-p.base))
+		return max(0, min(perZone, scale.Max-p.base))
 	}
-	return max(0, min(wanted, (scale.Max*zones-p.base)/(zones-1)))
+	return max(0, min(perZone, (scale.Max*zones-p.base)/(zones-1)))
 }
 
-// spread gives ordinary endpoints to the zones by turns, the cheapest first, as far as there is room.
-func (p *Planner) spread(scale *routes.Scale, zones []string, have map[string]Zone, want map[string]Count, number int) {
-	for given := true; given && number > 0; {
-		given = false
+// distribute assigns number ordinary endpoints to the zones round-robin, cheapest zone first, up to
+// each zone's maximum.
+func (p *Planner) distribute(scale *routes.Scale, zones []string, current map[string]Zone, target map[string]Count, number int) {
+	for assigned := true; assigned && number > 0; {
+		assigned = false
 		for _, zone := range zones {
-			w := want[zone]
-			if number == 0 || w.Ordinary+have[zone].Revocable >= scale.Max {
+			counts := target[zone]
+			if number == 0 || counts.Ordinary+current[zone].Revocable >= scale.Max {
 				continue
 			}
-			w.Ordinary++
+			counts.Ordinary++
 			number--
-			want[zone], given = w, true
+			target[zone], assigned = counts, true
 		}
 	}
 }
 
-// byPrice returns the zones, the cheapest first.
-func byPrice(scale *routes.Scale, have map[string]Zone) []string {
+// zonesByPrice returns the zones sorted by price, cheapest first.
+func zonesByPrice(scale *routes.Scale, current map[string]Zone) []string {
 	var zones []string
-	for zone := range have {
+	for zone := range current {
 		zones = append(zones, zone)
 	}
 	slices.SortFunc(zones, func(a, b string) int {
--- a/duties/scaling/scaling.go
+++ b/duties/scaling/scaling.go
@@ -1,9 +1,9 @@
-// Package scaling orders how many endpoints of a service there are in each zone, where the platform
-// lets that be changed and charges for each endpoint by the second. One VM does so, the holder of
-// the lease of package duties.
+// Package scaling controls how many endpoints of a service run in each availability zone, on
+// platforms that support changing this number and charge for each endpoint by the second. It runs
+// on one VM, the holder of the lease of package duties.
 //
-// What is there is read from the endpoints' registrations, never remembered: a new holder goes on
-// from what it finds.
+// Current counts are always taken from the endpoints' registrations and never from memory, so that
+// a new lease holder continues from the actual state.
 package scaling
 
 import (
@@ -24,80 +24,81 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Order asks for a number of endpoints of one kind in one zone.
+// Order requests a number of endpoints of one kind in one zone.
 type Order struct {
 	Service, Zone string
 	Target        int
-	// Revocable is the kind: those that may be taken away, or the others.
+	// Revocable selects the kind: endpoints that the platform may reclaim, or ordinary ones.
 	Revocable bool
-	// Holder names the VM that orders, Fence its tenure.
+	// Holder is the VM that sends the order, and Fence the fencing token of its tenure.
 	Holder string
 	Fence  uint64
 }
 
-// Platform takes orders. What it has not taken in when ctx ends must never come to count.
+// Platform accepts orders. An order that was not accepted when ctx ends must never take effect.
 type Platform interface {
-	// Scale sends an order. The error is *NoCapacityError if there are none to be had now.
+	// Scale sends an order. The error is *NoCapacityError if no such endpoints are available now.
 	Scale(ctx context.Context, o Order) error
 }
 
-// NoCapacityError is an order that cannot be met now.
+// NoCapacityError reports an order that the platform cannot fulfil now.
 type NoCapacityError struct{ Service, Zone string }
 
 // Error implements error.
 func (e *NoCapacityError) Error() string {
-	return fmt.Sprintf("no endpoints of %s to be had in %s now", e.Service, e.Zone)
+	return fmt.Sprintf("no endpoints of service %s are available in zone %s", e.Service, e.Zone)
 }
 
 // Reason implements failure.Coded.
 func (e *NoCapacityError) Reason() failure.Reason { return failure.DutyRefused }
 
-// Config is what a Scaler works with.
+// Config holds the dependencies of a Scaler.
 type Config struct {
 	VM        string
 	Rows      table.Service
 	Directory *directory.Directory
 	Services  func() *routes.Config
 	Platform  Platform
-	// Now is where decisions take the time from; nil is the VM's clock.
+	// Now is the clock used for decisions; nil is the VM's clock.
 	Now func() time.Time
 }
 
 const (
-	// period is how often the numbers are looked at.
-	period = 300 * time.Millisecond
-	// stable is how long no endpoint may have come before their number counts as the base: at the
-	// start of a region they register one after the other.
-	stable = 2500 * time.Millisecond
-	// basePause is how often the base is looked for.
-	basePause = 500 * time.Millisecond
-	// mostBase is the base above which numbers are left as they are: before a change of many endpoints
-	// pays, those that come hold requests up, having read nothing of their prompts yet.
-	mostBase = 200
-	// callTimeout bounds an order: within it the order is taken or will not be.
+	// reconcileInterval is the time between two comparisons of current and target counts.
+	reconcileInterval = 300 * time.Millisecond
+	// baseStableTime is how long the number of endpoints must not have risen before it counts as
+	// the base: when a region starts, endpoints register one after another.
+	baseStableTime = 2500 * time.Millisecond
+	// baseRetryInterval is the mean time between two attempts to determine the base.
+	baseRetryInterval = 500 * time.Millisecond
+	// maxManagedBase is the base above which endpoint counts are left unchanged: with that many,
+	// new endpoints, whose prompt caches are empty, delay requests before the change pays off.
+	maxManagedBase = 200
+	// callTimeout bounds one order, which is either accepted within this time or has no effect.
 	callTimeout = 400 * time.Millisecond
-	// scarcePause is how long after there were none to be had the next order goes out.
-	scarcePause = 2 * time.Second
-	// bootSlack is how much longer than it should an endpoint may take to start before it is
-	// ordered again.
-	bootSlack = 3 * time.Second
+	// noCapacityBackoff is the time until the next order after a *NoCapacityError.
+	noCapacityBackoff = 2 * time.Second
+	// bootGrace is how far an endpoint may exceed its expected start duration before it is ordered
+	// again.
+	bootGrace = 3 * time.Second
 )
 
-// Scaler implements duties.Duty. It belongs to the goroutine of one tenure at a time.
+// Scaler implements duties.Duty. It must be used by the goroutine of one tenure at a time.
 type Scaler struct {
 	cfg      Config
-	zones    map[zoneKey]*zoneState
+	orders   map[zoneKey]*orderState
 	services map[string]*serviceState
 }
 
-// serviceState is what is known of a service.
+// serviceState holds the planner of a service and, until the base is known, the observations from
+// which the base is determined.
 type serviceState struct {
 	planner *Planner
-	// most is the highest number of endpoints that was seen, and since is when it last rose.
-	most  int
-	since time.Time
-	// next is when to ask the store again that gave no answer.
-	next time.Time
+	// highest is the highest number of endpoints seen, and risenAt the time at which it last rose.
+	highest int
+	risenAt time.Time
+	// nextAttempt is the earliest time of the next attempt to determine the base.
+	nextAttempt time.Time
 }
 
 type zoneKey struct {
@@ -105,15 +106,15 @@
 	revocable     bool
 }
 
-// zoneState is what was ordered of one kind in one zone.
-type zoneState struct {
+// orderState records what was ordered of one kind in one zone.
+type orderState struct {
 	ordered int
-	// at is when that was, next when the next order may go out, and leaving when others may be told
-	// to leave.
-	at, next, leaving time.Time
+	// orderedAt is the time of the last accepted order, nextOrder the earliest time of the next
+	// order, and nextScaleIn the earliest time of the next order that removes endpoints.
+	orderedAt, nextOrder, nextScaleIn time.Time
 }
 
-// New returns a scaler.
+// New returns a Scaler without any recorded orders.
 func New(cfg Config) *Scaler {
 	cfg.Now = clock.OrSystem(cfg.Now)
 	return &Scaler{cfg: cfg, services: map[string]*serviceState{}}
@@ -123,141 +124,143 @@
 
 // Lead implements duties.Duty.
 func (s *Scaler) Lead(ctx context.Context, l *lease.Lease) {
-	s.zones = map[zoneKey]*zoneState{}
-	for loop.Sleep(ctx, period) {
+	s.orders = map[zoneKey]*orderState{}
+	for loop.Sleep(ctx, reconcileInterval) {
 		config := s.cfg.Services()
 		if config == nil {
 			continue
 		}
 		for i := range config.Services {
 			if service := &config.Services[i]; service.Scale != nil {
-				s.keep(ctx, l, service)
+				s.reconcile(ctx, l, service)
 			}
 		}
 	}
 }
 
-// keep orders what a service wants and does not have.
-func (s *Scaler) keep(ctx context.Context, l *lease.Lease, service *routes.Service) {
-	have := s.count(service)
-	planner := s.planner(ctx, service, have)
-	if planner == nil || planner.base > mostBase {
+// reconcile orders the differences between the current and the target counts of a service.
+func (s *Scaler) reconcile(ctx context.Context, l *lease.Lease, service *routes.Service) {
+	current := s.countEndpoints(service)
+	planner := s.planner(ctx, service, current)
+	if planner == nil || planner.base > maxManagedBase {
 		return
 	}
-	for zone, want := range planner.Plan(s.cfg.Now(), service.Scale, have) {
-		s.order(ctx, l, service, zone, true, have[zone].Revocable, want.Revocable)
-		s.order(ctx, l, service, zone, false, have[zone].Ordinary, want.Ordinary)
+	for zone, target := range planner.Plan(s.cfg.Now(), service.Scale, current) {
+		s.order(ctx, l, service, zone, true, current[zone].Revocable, target.Revocable)
+		s.order(ctx, l, service, zone, false, current[zone].Ordinary, target.Ordinary)
 	}
 }
 
-// planner returns the planner of a service, or nil while its base is not known.
-func (s *Scaler) planner(ctx context.Context, service *routes.Service, have map[string]Zone) *Planner {
+// planner returns the planner of a service, or nil while the base of the service is unknown.
+func (s *Scaler) planner(ctx context.Context, service *routes.Service, current map[string]Zone) *Planner {
 	state := s.services[service.Name]
 	if state == nil {
 		state = &serviceState{}
 		s.services[service.Name] = state
 	}
 	now := s.cfg.Now()
-	if state.planner != nil || now.Before(state.next) {
+	if state.planner != nil || now.Before(state.nextAttempt) {
 		return state.planner
 	}
-	base, err := s.base(ctx, service.Name, state, have)
+	base, err := s.base(ctx, service.Name, state, current)
 	if err != nil {
-		klog.InfoS("scaling: the base is not known yet", "service", service.Name, "err", err)
-		state.next = now.Add(loop.Jitter(basePause))
+		klog.InfoS("scaling: base endpoint count not determined yet", "service", service.Name, "err", err)
+		state.nextAttempt = now.Add(loop.Jitter(baseRetryInterval))
 	}
 	if base > 0 {
 		state.planner = NewPlanner(DefaultSettings(), base)
-		klog.InfoS("scaling: numbers are planned", "service", service.Name, "base", base, "ordered", base <= mostBase)
+		klog.InfoS("scaling: planning endpoint counts", "service", service.Name, "base", base, "ordered", base <= maxManagedBase)
 	}
 	return state.planner
 }
 
-// base is the number of endpoints that the service had at first: what its operators installed. It
-// stands in the store, since later holders find other numbers. Zero is not known yet.
-func (s *Scaler) base(ctx context.Context, service string, state *serviceState, have map[string]Zone) (int, error) {
-	base, known, err := readBase(ctx, s.cfg.Rows, service)
-	if err != nil || known {
+// base returns the number of endpoints with which the operators installed the service, or zero
+// while it is unknown. It is kept in the store, because later lease holders see other numbers.
+func (s *Scaler) base(ctx context.Context, service string, state *serviceState, current map[string]Zone) (int, error) {
+	base, found, err := readBase(ctx, s.cfg.Rows, service)
+	if err != nil || found {
 		return base, err
 	}
-	n, now := 0, s.cfg.Now()
-	for _, c := range have {
-		n += c.Ordinary + c.Revocable
+	total, now := 0, s.cfg.Now()
+	for _, counts := range current {
+		total += counts.Ordinary + counts.Revocable
 	}
-	if n > state.most {
-		state.most, state.since = n, now
+	if total > state.highest {
+		state.highest, state.risenAt = total, now
 	}
-	if n == 0 || now.Sub(state.since) < stable {
-		state.next = now.Add(basePause)
+	if total == 0 || now.Sub(state.risenAt) < baseStableTime {
+		state.nextAttempt = now.Add(baseRetryInterval)
 		return 0, nil
 	}
-	if err := writeBase(ctx, s.cfg.Rows, service, state.most); err != nil {
-		return 0, err // another holder may have written it, or this one without an answer: it is read then
+	if err := writeBase(ctx, s.cfg.Rows, service, state.highest); err != nil {
+		return 0, err // a row written by another holder, or by this one without a response, is read by the next attempt
 	}
-	return state.most, nil
+	return state.highest, nil
 }
 
-// count is what there is of a service in each zone.
-func (s *Scaler) count(service *routes.Service) map[string]Zone {
-	have := map[string]Zone{}
+// countEndpoints returns the current counts of a service in each zone. Draining endpoints are not
+// counted.
+func (s *Scaler) countEndpoints(service *routes.Service) map[string]Zone {
+	counts := map[string]Zone{}
 	for _, e := range s.cfg.Directory.Snapshot().All() {
 		if e.Service != service.Name {
 			continue
 		}
-		c := have[e.Zone]
+		zoneCounts := counts[e.Zone]
 		switch {
 		case e.Draining:
 		case e.Revocable:
-			c.Revocable++
+			zoneCounts.Revocable++
 		default:
-			c.Ordinary++
+			zoneCounts.Ordinary++
 		}
-		have[e.Zone] = c
+		counts[e.Zone] = zoneCounts
 	}
-	for zone, h := range have {
-		state := s.zones[zoneKey{service.Name, zone, true}]
+	for zone, zoneCounts := range counts {
+		state := s.orders[zoneKey{service.Name, zone, true}]
 		if state != nil && s.starting(service, state) {
-			h.Coming = max(0, state.ordered-h.Revocable)
-			have[zone] = h
+			zoneCounts.Starting = max(0, state.ordered-zoneCounts.Revocable)
+			counts[zone] = zoneCounts
 		}
 	}
-	return have
+	return counts
 }
 
-// starting tells whether endpoints that were ordered may still be starting.
-func (s *Scaler) starting(service *routes.Service, state *zoneState) bool {
-	return s.cfg.Now().Sub(state.at) <= service.Scale.BootDuration+bootSlack
+// starting reports whether ordered endpoints may still be starting.
+func (s *Scaler) starting(service *routes.Service, state *orderState) bool {
+	return s.cfg.Now().Sub(state.orderedAt) <= service.Scale.BootDuration+bootGrace
 }
 
-// order asks for a number of one kind, unless that is what there is or what was asked for lately.
-func (s *Scaler) order(ctx context.Context, l *lease.Lease, service *routes.Service, zone string, revocable bool, have, want int) {
+// order requests target endpoints of one kind, unless that many exist already or were ordered
+// recently.
+func (s *Scaler) order(ctx context.Context, l *lease.Lease, service *routes.Service, zone string, revocable bool, current, target int) {
 	key := zoneKey{service.Name, zone, revocable}
-	state := s.zones[key]
+	state := s.orders[key]
 	if state == nil {
-		state = &zoneState{ordered: have}
-		s.zones[key] = state
+		state = &orderState{ordered: current}
+		s.orders[key] = state
 	}
 	now := s.cfg.Now()
 	starting := s.starting(service, state)
-	want = paced(have, state.ordered, want, starting, revocable)
-	if now.Before(state.next) || want == state.ordered && (have == want || starting) || want < have && now.Before(state.leaving) {
+	target = nextStep(current, state.ordered, target, starting, revocable)
+	if now.Before(state.nextOrder) || target == state.ordered && (current == target || starting) || target < current && now.Before(state.nextScaleIn) {
 		return
 	}
 	err := duties.Call(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
-		return s.cfg.Platform.Scale(ctx, Order{Service: service.Name, Zone: zone, Target: want, Revocable: revocable, Holder: s.cfg.VM, Fence: fence})
+		return s.cfg.Platform.Scale(ctx, Order{Service: service.Name, Zone: zone, Target: target, Revocable: revocable, Holder: s.cfg.VM, Fence: fence})
 	})
-	klog.InfoS("scaling: ordered", "service", service.Name, "zone", zone, "revocable", revocable, "have", have, "before", state.ordered, "want", want,
+	klog.InfoS("scaling: order sent", "service", service.Name, "zone", zone, "revocable", revocable, "have", current, "before", state.ordered, "want", target,
 		"fence", l.Fence(), "err", err)
-	var none *NoCapacityError
+	var noCapacity *NoCapacityError
 	switch {
 	case err == nil:
-		state.ordered, state.at = want, now
-		if want < have {
-			state.leaving = now.Add(leavePause)
+		state.ordered, state.orderedAt = target, now
+		if target < current {
+			state.nextScaleIn = now.Add(stopStepInterval)
 		}
-	case errors.As(err, &none):
-		state.next = now.Add(scarcePause)
+	case errors.As(err, &noCapacity):
+		state.nextOrder = now.Add(noCapacityBackoff)
 	default:
-		state.next = now.Add(loop.Jitter(period))
+		state.nextOrder = now.Add(loop.Jitter(reconcileInterval))
 	}
 }
