--- a/duties/duties.go
+++ b/duties/duties.go
@@ -80,8 +80,8 @@
 // lead runs the duties for one tenure. Unless the tenure is the first, it starts by waiting until
 // no call of the previous holder can take effect any more.
 func (r *Runner) lead(ctx context.Context, l *lease.Lease) {
-	klog.InfoS("duties: lease taken", "fence", l.Fence())
-	defer klog.InfoS("duties: lease left", "fence", l.Fence())
+	klog.InfoS("duties: lease acquired", "fence", l.Fence())
+	defer klog.InfoS("duties: lease ended", "fence", l.Fence())
 	if !l.First() && !loop.Sleep(ctx, r.cfg.HandoverDelay+handoverMargin) {
 		return
 	}
--- a/duties/scaling/plan.go
+++ b/duties/scaling/plan.go
@@ -51,9 +51,7 @@
 }
 
 // NewPlanner returns a planner for a service with the given base.
-func NewPlanner(settings Settings, base int) *Planner {
-	return &Planner{settings: settings, base: base}
-}
+func NewPlanner(s Settings, base int) *Planner { return &Planner{settings: s, base: base} }
 
 // Plan returns the target counts of each zone, given the current ones.
 func (p *Planner) Plan(now time.Time, scale *routes.Scale, current map[string]Zone) map[string]Count {
--- a/duties/scaling/scaling_test.go
+++ b/duties/scaling/scaling_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	testBoot         = 4 * time.Second
-	testStopNotice   = 2200 * time.Millisecond
-	endpointsPerZone = 19
-	testBase         = 3 * endpointsPerZone
-	testZoneMax      = 38
+	testBoot       = 4 * time.Second
+	testStopNotice = 2200 * time.Millisecond
+	zoneBase       = 19
+	testBase       = 3 * zoneBase
+	zoneMaximum    = 38
 	// largerFactor scales the fleet of the test of stepwise changes, and unmanagedFactor one whose
 	// base exceeds maxManagedBase.
 	largerFactor    = 3
@@ -49,11 +49,9 @@
 	lastName   int
 }
 
-func newFakePlatform(t *testing.T) *fakePlatform {
-	return newFakePlatformOf(t, endpointsPerZone, testZoneMax)
-}
+func newPlatform(t *testing.T) *fakePlatform { return newPlatformOf(t, zoneBase, zoneMaximum) }
 
-func newFakePlatformOf(t *testing.T, perZone, zoneMax int) *fakePlatform {
+func newPlatformOf(t *testing.T, perZone, zoneMax int) *fakePlatform {
 	p := &fakePlatform{t: t, zoneMax: zoneMax, dir: directory.New(nil), endpoints: map[zoneKey][]string{}, exhausted: map[string]bool{}, serving: map[string]bool{}}
 	for zone := range 3 {
 		key := zoneKey{"llm", fmt.Sprint("z", zone), false}
@@ -221,7 +219,7 @@
 // them.
 func TestRevocableEndpointsReplaceOrdinaryDespiteReclaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newFakePlatform(t)
+		p := newPlatform(t)
 		lowest, highest := testBase, 0
 		simulate(t, p, memtable.New(), 120, func(second int) {
 			switch second {
@@ -250,7 +248,7 @@
 // While no zone reclaims endpoints, the service costs little.
 func TestRevocableEndpointsReduceCost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, rows := newFakePlatform(t), memtable.New()
+		p, rows := newPlatform(t), memtable.New()
 		simulate(t, p, rows, 60, func(int) {}, func(time.Duration, int) {})
 		costBefore := p.cost
 		simulate(t, p, rows, 60, func(int) {}, func(time.Duration, int) {})
@@ -263,7 +261,7 @@
 // When two zones reclaim their endpoints within ten seconds, the reserve still leaves the base.
 func TestTwoZonesReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newFakePlatform(t)
+		p := newPlatform(t)
 		lowest := testBase
 		simulate(t, p, memtable.New(), 60, func(second int) {
 			switch second {
@@ -283,7 +281,7 @@
 // ordered at once and serve as soon as they have started.
 func TestAllZonesReclaimAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newFakePlatform(t)
+		p := newPlatform(t)
 		var below time.Duration
 		simulate(t, p, memtable.New(), 60, func(second int) {
 			if second == 30 {
@@ -309,7 +307,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				p, rows := newFakePlatform(t), memtable.New()
+				p, rows := newPlatform(t), memtable.New()
 				var stableOrders int
 				simulate(t, p, rows, 120, func(second int) {
 					zone := fmt.Sprint("z", rng.IntN(3))
@@ -358,7 +356,7 @@
 func TestLargerFleetChangesInSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const base = largerFactor * testBase
-		p := newFakePlatformOf(t, largerFactor*endpointsPerZone, largerFactor*testZoneMax)
+		p := newPlatformOf(t, largerFactor*zoneBase, largerFactor*zoneMaximum)
 		before, lowest := base, base
 		simulate(t, p, memtable.New(), 120, func(int) {}, func(_ time.Duration, n int) {
 			lowest = min(lowest, n)
@@ -383,7 +381,7 @@
 // The endpoint counts of a fleet of a thousand are left unchanged.
 func TestLargeFleetIsUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newFakePlatformOf(t, unmanagedFactor*endpointsPerZone, unmanagedFactor*testZoneMax)
+		p := newPlatformOf(t, unmanagedFactor*zoneBase, unmanagedFactor*zoneMaximum)
 		simulate(t, p, memtable.New(), 60, func(int) {}, func(time.Duration, int) {})
 		if n := p.orderCount(); n > 0 {
 			t.Errorf("%d orders, want none", n)
--- a/duties/usage/account.go
+++ b/duties/usage/account.go
@@ -8,105 +8,107 @@
 	"github.com/springweir/springweir/duties/usage/usagepb"
 )
 
-// tellRounds is how often a change is told, a round apart: datagrams get lost.
-const tellRounds = 3
+// sendRounds is the number of successive rounds in which a change is sent, because datagrams can be
+// lost.
+const sendRounds = 3
 
-// account is what one process counted.
+// account holds the counts of one process.
 type account struct {
 	vm, zone string
 	boot     uint64
-	windows  map[Window]map[uint64]*cell
-	// sealed is the last window in which the process counts nothing more, to be told sealRounds
-	// times.
-	sealed     Window
-	sealRounds int
-	// heard is when the process last told anything, by the VM's clock.
-	heard time.Time
+	windows  map[Window]map[uint64]*counter
+	// sealed is the last window that the process no longer changes; it is still to be sent
+	// sealSends times.
+	sealed    Window
+	sealSends int
+	// lastSeen is the time, by the VM's clock, of the last message of the process.
+	lastSeen time.Time
 }
 
-// cell is a count, and how often it is still to be told.
-type cell struct {
-	count  uint32
-	rounds int
+// counter holds a count and the number of times it is still to be sent.
+type counter struct {
+	count          uint32
+	remainingSends int
 }
 
 func newAccount(vm, zone string, boot uint64) *account {
-	return &account{vm: vm, zone: zone, boot: boot, windows: map[Window]map[uint64]*cell{}}
+	return &account{vm: vm, zone: zone, boot: boot, windows: map[Window]map[uint64]*counter{}}
 }
 
-// raise makes a count at least n.
+// raise sets a count to n unless it is already higher.
 func (a *account) raise(w Window, organisation uint64, n uint32) {
-	c := a.cell(w, organisation)
-	if n > c.count {
-		c.count, c.rounds = n, tellRounds
+	entry := a.counter(w, organisation)
+	if n > entry.count {
+		entry.count, entry.remainingSends = n, sendRounds
 	}
 }
 
-func (a *account) cell(w Window, organisation uint64) *cell {
+func (a *account) counter(w Window, organisation uint64) *counter {
 	counts := a.windows[w]
 	if counts == nil {
-		counts = map[uint64]*cell{}
+		counts = map[uint64]*counter{}
 		a.windows[w] = counts
 	}
-	c := counts[organisation]
-	if c == nil {
-		c = &cell{}
-		counts[organisation] = c
+	entry := counts[organisation]
+	if entry == nil {
+		entry = &counter{}
+		counts[organisation] = entry
 	}
-	return c
+	return entry
 }
 
 func (a *account) seal(w Window) {
 	if w > a.sealed {
-		a.sealed, a.sealRounds = w, tellRounds
+		a.sealed, a.sealSends = w, sendRounds
 	}
 }
 
-// take takes in what was told of the account.
-func (a *account) take(told *usagepb.Account) {
-	for i, organisation := range told.Organisation {
-		a.raise(Window(told.Window), organisation, told.Count[i])
+// merge merges a received update into the account.
+func (a *account) merge(update *usagepb.Account) {
+	for i, organisation := range update.Organisation {
+		a.raise(Window(update.Window), organisation, update.Count[i])
 	}
-	a.seal(Window(told.Sealed))
+	a.seal(Window(update.Sealed))
 }
 
-// due returns what is to be told in this round, a message for each window with changes.
-func (a *account) due() []*usagepb.Account {
-	var list []*usagepb.Account
+// pending returns the messages to send in this round, one for each window with changes. If there
+// are none, the seal is sent alone while sends of it remain.
+func (a *account) pending() []*usagepb.Account {
+	var messages []*usagepb.Account
 	for w, counts := range a.windows {
-		m := a.message(w)
+		message := a.message(w)
 		for _, organisation := range slices.Sorted(maps.Keys(counts)) {
-			if c := counts[organisation]; c.rounds > 0 {
-				c.rounds--
-				m.Organisation, m.Count = append(m.Organisation, organisation), append(m.Count, c.count)
+			if entry := counts[organisation]; entry.remainingSends > 0 {
+				entry.remainingSends--
+				message.Organisation, message.Count = append(message.Organisation, organisation), append(message.Count, entry.count)
 			}
 		}
-		if len(m.Organisation) > 0 {
-			list = append(list, m)
+		if len(message.Organisation) > 0 {
+			messages = append(messages, message)
 		}
 	}
-	if len(list) == 0 && a.sealRounds > 0 {
-		list = append(list, a.message(a.sealed))
+	if len(messages) == 0 && a.sealSends > 0 {
+		messages = append(messages, a.message(a.sealed))
 	}
-	a.sealRounds = max(0, a.sealRounds-1)
-	return list
+	a.sealSends = max(0, a.sealSends-1)
+	return messages
 }
 
-// whole returns all of a window.
-func (a *account) whole(w Window) *usagepb.Account {
-	m := a.message(w)
+// export returns all counts of a window.
+func (a *account) export(w Window) *usagepb.Account {
+	message := a.message(w)
 	counts := a.windows[w]
 	for _, organisation := range slices.Sorted(maps.Keys(counts)) {
-		m.Organisation, m.Count = append(m.Organisation, organisation), append(m.Count, counts[organisation].count)
+		message.Organisation, message.Count = append(message.Organisation, organisation), append(message.Count, counts[organisation].count)
 	}
-	return m
+	return message
 }
 
 func (a *account) message(w Window) *usagepb.Account {
 	return &usagepb.Account{Vm: a.vm, Zone: a.zone, Boot: a.boot, Window: uint64(w), Sealed: uint64(a.sealed)}
 }
 
-// forget drops windows before one.
-func (a *account) forget(before Window) {
-	maps.DeleteFunc(a.windows, func(w Window, _ map[uint64]*cell) bool { return w < before })
+// dropBefore deletes the windows before the given one.
+func (a *account) dropBefore(before Window) {
+	maps.DeleteFunc(a.windows, func(w Window, _ map[uint64]*counter) bool { return w < before })
 }
--- a/duties/usage/errors.go
+++ b/duties/usage/errors.go
@@ -6,13 +6,14 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// VanishedError is a sum that was in the store and then was not: the store came back from a copy.
-type VanishedError struct{ Window Window }
+// SumMissingError reports a sum that was in the store and no longer is: the store was restored from
+// a backup.
+type SumMissingError struct{ Window Window }
 
 // Error implements error.
-func (e *VanishedError) Error() string {
-	return fmt.Sprintf("the sum of window %d is gone from the store", e.Window)
+func (e *SumMissingError) Error() string {
+	return fmt.Sprintf("the sum of window %d is no longer in the store", e.Window)
 }
 
 // Reason implements failure.Coded.
-func (e *VanishedError) Reason() failure.Reason { return failure.TableEpochOver }
+func (e *SumMissingError) Reason() failure.Reason { return failure.TableEpochOver }
--- a/duties/usage/faults_test.go
+++ b/duties/usage/faults_test.go
@@ -11,100 +11,102 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// What may become of a call. The first is that it works.
+// The outcomes of a call. In the first one the call succeeds.
 const (
 	works = iota
-	// answerLost calls take effect and are not answered.
-	answerLost
-	// notTaken calls have no effect.
-	notTaken
-	// takenLate calls are not answered and take effect later, if they may still.
-	takenLate
-	fates
+	// With responseLost, the call takes effect, but its response is lost.
+	responseLost
+	// With notApplied, the call fails and has no effect.
+	notApplied
+	// With appliedLate, the response is lost and the call takes effect later, if it is still valid.
+	appliedLate
+	outcomeCount
 )
 
-// takenLateAfter is how late those take effect: past the tenure of a holder that has died meanwhile.
-const takenLateAfter = 9 * time.Second
+// appliedLateAfter is the delay of such calls, longer than the tenure of a holder that died
+// meanwhile.
+const appliedLateAfter = 9 * time.Second
 
-// What may become of the first holder at one of its calls.
+// The events that can hit the first holder at one of its calls.
 const (
-	lives = iota
-	// dies before or after the call takes effect.
+	survives = iota
+	// The holder dies before or after the call takes effect.
 	diesBefore
 	diesAfter
-	// standsStill for longer than its lease before the call goes out, and wakes.
-	standsStill
-	ends
+	// The holder is suspended for longer than its lease before the call is sent, and then resumes.
+	freezes
+	eventCount
 )
 
-// schedule is one choice of all that happens: a fate for each of the first calls for a window, and
-// an end for the first holder.
+// schedule is one combination of faults: an outcome for each of the first calls for a window, and
+// an event for the first holder.
 type schedule struct {
-	// fates are of the calls in their order, of both VMs.
-	fates []int
-	// end is what becomes of the first holder, at the call of that number.
-	end, at int
+	// outcomes are in the order of the calls of both VMs.
+	outcomes []int
+	// event hits the first holder at call number eventCall.
+	event, eventCall int
 }
 
-// frozen is how long a VM stands still.
-const frozen = 12 * time.Second
+// freezeTime is how long a suspended VM stops.
+const freezeTime = 12 * time.Second
 
-// actor plays a schedule at the calls of a VM.
-type actor struct {
-	s     *schedule
-	calls *int
-	// first is the VM that the schedule's end is for.
-	first *vm
+// faultInjector applies a schedule to the calls of a VM.
+type faultInjector struct {
+	schedule  *schedule
+	callCount *int
+	// first is the VM to which the schedule's event applies.
+	first *testVM
 }
 
-// next returns the fate of the next call of a VM, and what happens to the VM at it.
-func (a actor) next(v *vm) (fate, end int) {
-	n := *a.calls
-	*a.calls++
-	if v == a.first && n == a.s.at {
-		end = a.s.end
+// next returns the outcome of the next call of a VM, and the event that hits the VM at this call.
+func (f faultInjector) next(v *testVM) (outcome, event int) {
+	n := *f.callCount
+	*f.callCount++
+	if v == f.first && n == f.schedule.eventCall {
+		event = f.schedule.event
 	}
-	fate = works
-	if n < len(a.s.fates) {
-		fate = a.s.fates[n]
+	outcome = works
+	if n < len(f.schedule.outcomes) {
+		outcome = f.schedule.outcomes[n]
 	}
-	return fate, end
+	return outcome, event
 }
 
-// commit plays a write of a sum.
-func (a actor) commit(v *vm) func(table.Txn) memtable.Fault {
+// commit injects faults into writes of a sum.
+func (f faultInjector) commit(v *testVM) func(table.Txn) memtable.Fault {
 	return func(table.Txn) memtable.Fault {
-		fate, end := a.next(v)
-		switch end {
+		outcome, event := f.next(v)
+		switch event {
 		case diesBefore:
 			v.kill()
 			return memtable.Fault{Fail: true}
-		case standsStill:
-			time.Sleep(frozen)
+		case freezes:
+			time.Sleep(freezeTime)
 		case diesAfter:
 			defer v.kill()
 		}
-		switch fate {
-		case answerLost:
+		switch outcome {
+		case responseLost:
 			return memtable.Fault{LoseAnswer: true}
-		case notTaken:
+		case notApplied:
 			return memtable.Fault{Fail: true}
-		case takenLate:
-			return memtable.Fault{ApplyAfter: takenLateAfter}
+		case appliedLate:
+			return memtable.Fault{ApplyAfter: appliedLateAfter}
 		}
 		return memtable.Fault{}
 	}
 }
 
-// report plays a report. What is on its way when its time is over is dropped with its connection.
-func (a actor) report(v *vm) func(context.Context, func()) error {
+// report injects faults into reports. A report still in flight when its context ends is dropped
+// with its connection.
+func (f faultInjector) report(v *testVM) func(context.Context, func()) error {
 	return func(ctx context.Context, deliver func()) error {
-		fate, end := a.next(v)
-		switch end {
+		outcome, event := f.next(v)
+		switch event {
 		case diesBefore:
 			v.kill()
-		case standsStill:
-			time.Sleep(frozen)
+		case freezes:
+			time.Sleep(freezeTime)
 		case diesAfter:
 			defer v.kill()
 		}
@@ -112,13 +114,13 @@
 			<-ctx.Done()
 			return errFault
 		}
-		switch fate {
-		case answerLost:
+		switch outcome {
+		case responseLost:
 			deliver()
 			return errFault
-		case notTaken:
+		case notApplied:
 			return errFault
-		case takenLate:
+		case appliedLate:
 			time.Sleep(callTimeout / 2)
 			deliver()
 			<-ctx.Done()
@@ -129,27 +131,28 @@
 	}
 }
 
-// play carries out a schedule with two VMs that know different counts, and returns what broke.
-func (s *schedule) play(t *testing.T) (broken string) {
+// run executes a schedule with two VMs that hold different counts, and returns the violated rule,
+// if any.
+func (s *schedule) run(t *testing.T) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t)
-		first := r.add()
+		r := newTestRegion(t)
+		first := r.addVM()
 		time.Sleep(length)
-		second := r.add()
-		calls := 0
-		a := actor{s: s, calls: &calls, first: first}
+		second := r.addVM()
+		callCount := 0
+		faults := faultInjector{schedule: s, callCount: &callCount, first: first}
 		for _, v := range r.vms {
 			v.ledger.RequestStarted("north")
 		}
-		// Neither can read the other's account, so that their sums differ.
-		first.setCut(true)
-		second.setCut(true)
+		// The VMs cannot read each other's accounts, so that their sums differ.
+		first.setPartitioned(true)
+		second.setPartitioned(true)
 		second.ledger.RequestStarted("north")
-		w := now()
+		w := windowNow()
 		for _, v := range r.vms {
-			commit, report := a.commit(v), a.report(v)
-			v.fail(func(ctx context.Context, deliver func()) error {
-				if now() > w+2 {
+			commit, report := faults.commit(v), faults.report(v)
+			v.setFaults(func(ctx context.Context, deliver func()) error {
+				if windowNow() > w+2 {
 					deliver()
 					return nil
 				}
@@ -161,45 +164,46 @@
 				return commit(txn)
 			})
 		}
-		time.Sleep(length + late + frozen)
+		time.Sleep(length + late + freezeTime)
 		r.stop()
-		broken = r.platform.breaks()
-		if n, _ := r.platform.taken(); n == 0 {
-			broken = "nothing was ever reported"
+		violation = r.platform.violationText()
+		if n, _ := r.platform.counts(); n == 0 {
+			violation = "no window was reported"
 		}
 	})
-	return broken
+	return violation
 }
 
-// Whatever becomes of each write and each report of a window, and of the VM that makes them, no two
-// sums of the window are taken, and none under a fence lower than one before.
-func TestNoWindowIsReportedWithTwoSums(t *testing.T) {
+// Whatever happens to the writes and reports of a window and to the VM that makes them, the
+// platform never accepts two different sums for the window, nor a report whose fencing token is
+// lower than an earlier one.
+func TestNoWindowReportedWithTwoSums(t *testing.T) {
 	const depth = 3
-	played := 0
-	for at := range depth {
-		for end := range ends {
-			if end == lives && at > 0 {
-				continue // the same for each call
+	schedules := 0
+	for eventCall := range depth {
+		for event := range eventCount {
+			if event == survives && eventCall > 0 {
+				continue // survives does not depend on the call
 			}
-			for n := range pow(fates, depth) {
-				s := &schedule{end: end, at: at}
-				for rest := n; len(s.fates) < depth; rest /= fates {
-					s.fates = append(s.fates, rest%fates)
+			for n := range pow(outcomeCount, depth) {
+				sched := &schedule{event: event, eventCall: eventCall}
+				for remainder := n; len(sched.outcomes) < depth; remainder /= outcomeCount {
+					sched.outcomes = append(sched.outcomes, remainder%outcomeCount)
 				}
-				played++
-				if broken := s.play(t); broken != "" {
-					t.Fatalf("%+v: %s", *s, broken)
+				schedules++
+				if violation := sched.run(t); violation != "" {
+					t.Fatalf("%+v: %s", *sched, violation)
 				}
 			}
 		}
 	}
-	t.Log(fmt.Sprint(played), "schedules")
+	t.Log(fmt.Sprint(schedules), "schedules")
 }
 
 func pow(base, n int) int {
-	out := 1
+	result := 1
 	for range n {
-		out *= base
+		result *= base
 	}
-	return out
+	return result
 }
--- a/duties/usage/ledger.go
+++ b/duties/usage/ledger.go
@@ -11,71 +11,72 @@
 )
 
 const (
-	// keptWindows is how many windows are kept: a report is late by then.
-	keptWindows = 8
-	// accountMemory is how long a process is remembered that tells nothing any more. One that is
-	// cut off and goes on to count is back before that.
-	accountMemory = 30 * time.Second
-	// sealSlack is how long after its end a window is sealed: answers that came just before it
-	// may still wait for their turn.
-	sealSlack = 100 * time.Millisecond
-	// forever is the last window of a process that has ended.
-	forever = Window(math.MaxUint64)
+	// retainedWindows is the number of past windows that are kept; reports of older ones would be
+	// late.
+	retainedWindows = 8
+	// accountTTL is how long the account of an unresponsive process is kept. A process that was
+	// disconnected but still counts reconnects within this time.
+	accountTTL = 30 * time.Second
+	// sealDelay is the time between the end of a window and its seal: responses that arrived just
+	// before the end may not have been processed yet.
+	sealDelay = 100 * time.Millisecond
+	// allWindows seals all windows; it is the seal of a process that has ended.
+	allWindows = Window(math.MaxUint64)
 )
 
-// Identity names the own process.
+// Identity identifies the local process.
 type Identity struct{ VM, Zone string }
 
-// Ledger holds the own counts and those that other processes have told. It is safe for concurrent
-// use; mu is a leaf.
+// Ledger holds the counts of the local process and those received from other processes. It is safe
+// for concurrent use; mu is a leaf in the lock order.
 type Ledger struct {
 	length time.Duration
-	// day is the time of day, and now the VM's clock.
-	day, now func() time.Time
-
-	mu  sync.Mutex
-	own *account
-	// open counts the runs that were sent in a window and have not ended.
-	open map[Window]int
-	// others are the accounts of other processes, by boot.
-	others map[uint64]*account
+	// wallClock returns the time of day, now the VM's clock.
+	wallClock, now func() time.Time
+
+	mu    sync.Mutex
+	local *account
+	// inFlight counts the requests that were sent in a window and have not finished.
+	inFlight map[Window]int
+	// remote holds the accounts of other processes by boot number.
+	remote map[uint64]*account
 }
 
-// NewLedger returns a ledger of windows of a length. Nil clocks are the VM's.
-func NewLedger(self Identity, length time.Duration, day, now func() time.Time) *Ledger {
-	if day == nil {
-		day = clock.NewWall().Now
+// NewLedger returns a ledger with windows of the given length. Nil clocks default to the VM's.
+func NewLedger(self Identity, length time.Duration, wallClock, now func() time.Time) *Ledger {
+	if wallClock == nil {
+		wallClock = clock.NewWall().Now
 	}
 	return &Ledger{
-		length: length, day: day, now: clock.OrSystem(now), own: newAccount(self.VM, self.Zone, rand.Uint64()),
-		open: map[Window]int{}, others: map[uint64]*account{},
+		length: length, wallClock: wallClock, now: clock.OrSystem(now), local: newAccount(self.VM, self.Zone, rand.Uint64()),
+		inFlight: map[Window]int{}, remote: map[uint64]*account{},
 	}
 }
 
-// RequestStarted counts a request that an endpoint has just begun to run.
+// RequestStarted counts a request that an endpoint has just started to run.
 func (l *Ledger) RequestStarted(organisation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.count(l.current(), organisation)
+	l.count(l.currentWindow(), organisation)
 }
 
-// Run is a request that was sent to an endpoint, which begins it at once if it runs it at all.
+// Run is a request that was sent to an endpoint. If the endpoint runs it, it starts at once.
 type Run struct {
 	ledger       *Ledger
 	window       Window
 	organisation string
 }
 
-// RequestSent notes a request that is just being sent. Its window stays open until it ends.
+// RequestSent registers a request that is about to be sent. Its window is not sealed before Finish.
 func (l *Ledger) RequestSent(organisation string) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &Run{ledger: l, window: l.current(), organisation: organisation}
-	l.open[r.window]++
+	r := &Run{ledger: l, window: l.currentWindow(), organisation: organisation}
+	l.inFlight[r.window]++
 	return r
 }
 
-// Finish tells whether the request ran. It must be called once.
+// Finish records whether the endpoint ran the request. It must be called exactly once.
 func (r *Run) Finish(ran bool) {
 	l := r.ledger
 	l.mu.Lock()
@@ -83,94 +84,96 @@
 	if ran {
 		l.count(r.window, r.organisation)
 	}
-	if l.open[r.window]--; l.open[r.window] == 0 {
-		delete(l.open, r.window)
+	if l.inFlight[r.window]--; l.inFlight[r.window] == 0 {
+		delete(l.inFlight, r.window)
 	}
 }
 
-func (l *Ledger) current() Window { return windowAt(l.day(), l.length) }
+func (l *Ledger) currentWindow() Window { return windowAt(l.wallClock(), l.length) }
 
 func (l *Ledger) count(w Window, organisation string) {
 	hash := Hash(organisation)
-	l.own.raise(w, hash, l.own.cell(w, hash).count+1)
+	l.local.raise(w, hash, l.local.counter(w, hash).count+1)
 }
 
-// seal closes the windows that are over and in which nothing is open. The caller holds mu.
+// seal seals the windows that are over and have no request in flight. The caller holds mu.
 func (l *Ledger) seal() {
-	last := windowAt(l.day().Add(-sealSlack), l.length) - 1
-	for w := range l.open {
+	last := windowAt(l.wallClock().Add(-sealDelay), l.length) - 1
+	for w := range l.inFlight {
 		last = min(last, w-1)
 	}
-	l.own.seal(last)
-	l.own.heard = l.now()
-	l.own.forget(last - keptWindows)
+	l.local.seal(last)
+	l.local.lastSeen = l.now()
+	l.local.dropBefore(last - retainedWindows)
 }
 
-// Close seals all windows to come: this process counts nothing more.
+// Close seals all windows, including future ones: this process counts nothing more.
 func (l *Ledger) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own.seal(forever)
+	l.local.seal(allWindows)
 }
 
-// Due returns what to tell in this round: of the own process, and, with forward, of the others of
-// the own zone.
+// Due returns the messages to send in this round: the changes of the local account and, with
+// forward, those of the other accounts of the local zone.
 func (l *Ledger) Due(forward bool) []*usagepb.Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seal()
-	list := l.own.due()
+	messages := l.local.pending()
 	if !forward {
-		return list
+		return messages
 	}
-	for _, a := range l.others {
-		if a.zone == l.own.zone {
-			list = append(list, a.due()...)
+	for _, a := range l.remote {
+		if a.zone == l.local.zone {
+			messages = append(messages, a.pending()...)
 		}
 	}
-	return list
+	return messages
 }
 
-// Take takes in an account that another VM told.
-func (l *Ledger) Take(told *usagepb.Account) {
+// Take merges an account received from another VM. Malformed and outdated ones are ignored, as is
+// the local account.
+func (l *Ledger) Take(update *usagepb.Account) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.current() - keptWindows
-	if told.Boot == l.own.boot || len(told.Organisation) != len(told.Count) || Window(told.Window) < oldest {
+	oldest := l.currentWindow() - retainedWindows
+	if update.Boot == l.local.boot || len(update.Organisation) != len(update.Count) || Window(update.Window) < oldest {
 		return
 	}
-	a := l.others[told.Boot]
+	a := l.remote[update.Boot]
 	if a == nil {
-		a = newAccount(told.Vm, told.Zone, told.Boot)
-		l.others[told.Boot] = a
+		a = newAccount(update.Vm, update.Zone, update.Boot)
+		l.remote[update.Boot] = a
 	}
-	a.take(told)
-	a.heard = l.now().Add(-time.Duration(told.SilentMs) * time.Millisecond)
-	a.forget(oldest)
-	l.forget()
+	a.merge(update)
+	a.lastSeen = l.now().Add(-time.Duration(update.SilentMs) * time.Millisecond)
+	a.dropBefore(oldest)
+	l.dropExpired()
 }
 
-// forget drops processes that have been silent for long. The caller holds mu.
-func (l *Ledger) forget() {
+// dropExpired removes processes that have been unresponsive for longer than accountTTL. The caller
+// holds mu.
+func (l *Ledger) dropExpired() {
 	now := l.now()
-	for boot, a := range l.others {
-		if now.Sub(a.heard) > accountMemory {
-			delete(l.others, boot)
+	for boot, a := range l.remote {
+		if now.Sub(a.lastSeen) > accountTTL {
+			delete(l.remote, boot)
 		}
 	}
 }
 
-// Read returns the accounts of a window, the own included.
+// Read returns all accounts of a window, including the local one.
 func (l *Ledger) Read(w Window) []*usagepb.Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seal()
 	now := l.now()
-	list := []*usagepb.Account{l.own.whole(w)}
-	for _, a := range l.others {
-		m := a.whole(w)
-		m.SilentMs = uint32(max(0, now.Sub(a.heard).Milliseconds()))
-		list = append(list, m)
+	accounts := []*usagepb.Account{l.local.export(w)}
+	for _, other := range l.remote {
+		account := other.export(w)
+		account.SilentMs = uint32(max(0, now.Sub(other.lastSeen).Milliseconds()))
+		accounts = append(accounts, account)
 	}
-	return list
+	return accounts
 }
--- a/duties/usage/metrics.go
+++ b/duties/usage/metrics.go
@@ -3,14 +3,15 @@
 import "github.com/VictoriaMetrics/metrics"
 
 var (
-	// reported counts the windows that the platform took, and missed those that were not reported
-	// while this VM held the lease.
-	reported = metrics.NewCounter("springweir_usage_windows_reported_total")
-	missed   = metrics.NewCounter("springweir_usage_windows_missed_total")
-	// failed counts reports that were not taken and were tried again.
-	failed = metrics.NewCounter("springweir_usage_reports_failed_total")
-	// nameless counts requests of organisations whose names the holder did not know.
-	nameless = metrics.NewCounter("springweir_usage_requests_nameless_total")
-	// unread counts keepers that did not give their accounts.
-	unread = metrics.NewCounter("springweir_usage_keepers_unread_total")
+	// windowsReported counts windows that the platform accepted, windowsMissed those that were not
+	// reported in time while this VM held the lease.
+	windowsReported = metrics.NewCounter("springweir_usage_windows_reported_total")
+	windowsMissed   = metrics.NewCounter("springweir_usage_windows_missed_total")
+	// reportsFailed counts reports that were not accepted and are retried.
+	reportsFailed = metrics.NewCounter("springweir_usage_reports_failed_total")
+	// requestsUnnamed counts requests that were not reported because this VM has no name for the
+	// organisation.
+	requestsUnnamed = metrics.NewCounter("springweir_usage_requests_nameless_total")
+	// replicasUnread counts failed reads from replicas.
+	replicasUnread = metrics.NewCounter("springweir_usage_keepers_unread_total")
 )
--- a/duties/usage/model_test.go
+++ b/duties/usage/model_test.go
@@ -2,68 +2,71 @@
 
 import "testing"
 
-// The protocol by which a window is reported, as a state that is searched through all orders of its
-// steps: two VMs that take turns as the lease's holder, a store that loses answers, carries writes out
-// late and comes back from a copy, a platform that takes reports. It is a model of Reporter's steps
-// (settle, agree, find, advance), not the code itself; each fault takes away one point of it.
+// Model of the protocol that reports a window, searched exhaustively over all orders of its steps.
+// It consists of two VMs that hold the lease in turn; a store that loses responses, applies writes
+// late and is restored from a backup; and a platform that accepts reports. It models the steps of
+// Reporter (resolveSum, commitSum, readCommitted, advance) rather than running its code. Each fault
+// removes one safeguard of the protocol.
 
 const (
 	modelVMs = 2
-	// modelTenures bounds how often the lease changes hands.
+	// modelTenures is the maximum number of tenures.
 	modelTenures = 3
-	// noSum is a sum that there is none of. The window's true sum is one at first and two in the end.
+	// noSum stands for no sum. The sum of the window is 1 at first and 2 in the end.
 	noSum = 0
 )
 
-// modelReporter is one VM.
+// modelReporter is the state of one VM.
 type modelReporter struct {
-	// fence is that of its tenure, zero without one.
+	// fence is the fencing token of the VM's tenure, or zero if it does not hold the lease.
 	fence int
-	// agreed is the sum that it knows to be agreed on.
-	agreed int
-	// done is set once it has reported the window, or given it up.
+	// committed is the sum that the VM knows to be committed.
+	committed int
+	// done is set once the VM has reported the window or given it up.
 	done bool
 }
 
-// modelWrite is a write of a sum, or a report of one, that is on its way.
+// modelWrite is a write or a report of a sum that is in flight.
 type modelWrite struct{ sum, fence, epoch int }
 
 type modelState struct {
 	vms [modelVMs]modelReporter
-	// sum is what all accounts hold now.
+	// sum is the current sum of all accounts.
 	sum int
-	// holder is the VM that has the lease, or -1; fence the number of its tenure.
+	// holder is the VM that holds the lease, or -1, and fence the number of tenures so far.
 	holder, fence int
-	// row is the sum that the store holds, and epoch how often it came back from a copy.
+	// row is the stored sum, and epoch the number of restores of the store.
 	row, epoch int
 	write      modelWrite
 	reports    [modelVMs]modelWrite
-	// accepted is the sum that the platform took, highest the highest fence that it saw.
+	// accepted is the sum accepted by the platform, and highest the highest fencing token that it
+	// has seen.
 	accepted, highest int
-	broken            string
+	violation         string
 }
 
-// modelFault is a point of the protocol that is taken away.
+// modelFault selects safeguards of the protocol that are removed.
 type modelFault struct {
-	// noAgreement reports a sum without writing it first, ownSum reports the own sum though another
-	// stands in the store, noEpoch trusts a store that has come back, and late lets a report arrive
-	// after its tenure.
-	noAgreement, ownSum, noEpoch, late bool
+	// noCommit reports a sum without writing it first, ignoreStored reports the local sum although
+	// another one is stored, ignoreEpoch trusts a restored store, and lateReports lets a report
+	// arrive after its tenure.
+	noCommit, ignoreStored, ignoreEpoch, lateReports bool
 }
 
-// accept lets a report reach the platform.
+// accept delivers a report to the platform.
 func (s *modelState) accept(r modelWrite) {
 	switch {
 	case r.fence < s.highest:
-		s.broken = "a report of an earlier tenure came after one of a later"
+		s.violation = "a report of an earlier tenure arrived after one of a later tenure"
 	case s.accepted != noSum && s.accepted != r.sum:
-		s.broken = "a window was reported with two sums"
+		s.violation = "a window was reported with two different sums"
 	}
 	s.accepted, s.highest = r.sum, max(s.highest, r.fence)
 }
 
-// apply lets a write reach the store, and tells whether it took it: the sum is the first, the lease is
-// held by the same tenure, and the store has not come back since.
+// apply delivers a write to the store, and reports whether the store applied it. It does so if it
+// holds no sum yet, the writer's tenure still holds the lease, and the store was not restored
+// since.
 func (s *modelState) apply(w modelWrite) bool {
 	if s.row != noSum || w.epoch != s.epoch || s.holder < 0 || w.fence != s.fence {
 		return false
@@ -72,8 +75,8 @@
 	return true
 }
 
-// after returns the states that one step leads to.
-func (s modelState) after(fault modelFault) []modelState {
+// successors returns the states that can follow by one step.
+func (s modelState) successors(fault modelFault) []modelState {
 	var list []modelState
 	add := func(change func(*modelState)) {
 		next := s
@@ -81,11 +84,11 @@
 		list = append(list, next)
 	}
 	if s.sum == 1 {
-		add(func(n *modelState) { n.sum = 2 }) // a VM's last count comes
+		add(func(n *modelState) { n.sum = 2 }) // the last count of a VM arrives
 	}
 	if s.holder >= 0 {
-		add(func(n *modelState) { // the lease lapses; what was sent under it ends
-			if !fault.late {
+		add(func(n *modelState) { // the lease expires, and calls under it end
+			if !fault.lateReports {
 				n.reports[n.holder] = modelWrite{}
 			}
 			n.vms[n.holder].fence, n.holder = 0, -1
@@ -95,7 +98,7 @@
 		add(func(n *modelState) { n.epoch, n.row = 1, noSum })
 	}
 	if s.write != (modelWrite{}) {
-		add(func(n *modelState) { n.apply(n.write); n.write = modelWrite{} }) // late, its answer lost
+		add(func(n *modelState) { n.apply(n.write); n.write = modelWrite{} }) // applied late, its response is lost
 		add(func(n *modelState) { n.write = modelWrite{} })
 	}
 	for i := range s.vms {
@@ -103,25 +106,25 @@
 			add(func(n *modelState) { n.accept(n.reports[i]); n.reports[i] = modelWrite{} })
 			add(func(n *modelState) { n.reports[i] = modelWrite{} })
 		}
-		list = append(list, s.steps(i, fault)...)
+		list = append(list, s.vmSteps(i, fault)...)
 	}
 	return list
 }
 
-// steps are those of one VM.
-func (s modelState) steps(i int, fault modelFault) []modelState {
+// vmSteps returns the states that can follow by a step of one VM.
+func (s modelState) vmSteps(i int, fault modelFault) []modelState {
 	var list []modelState
 	add := func(change func(*modelState, *modelReporter)) {
 		next := s
 		change(&next, &next.vms[i])
 		list = append(list, next)
 	}
-	v := s.vms[i]
-	add(func(n *modelState, me *modelReporter) { // it dies and starts again
+	reporter := s.vms[i]
+	add(func(n *modelState, me *modelReporter) { // the VM dies and restarts
 		if n.holder == i {
 			n.holder = -1
 		}
-		if !fault.late {
+		if !fault.lateReports {
 			n.reports[i] = modelWrite{}
 		}
 		*me = modelReporter{}
@@ -132,87 +135,89 @@
 			n.holder, me.fence = i, n.fence
 		})
 	}
-	if s.holder != i || v.done {
+	if s.holder != i || reporter.done {
 		return list
 	}
-	if v.agreed != noSum {
-		add(func(n *modelState, me *modelReporter) { n.reports[i] = modelWrite{sum: me.agreed, fence: me.fence} })
+	if reporter.committed != noSum {
+		add(func(n *modelState, me *modelReporter) { n.reports[i] = modelWrite{sum: me.committed, fence: me.fence} })
 		return list
 	}
-	return append(list, s.settles(i, fault)...)
+	return append(list, s.resolveSteps(i, fault)...)
 }
 
-// settles are the steps of a holder that knows no sum that was agreed on.
-func (s modelState) settles(i int, fault modelFault) []modelState {
+// resolveSteps returns the states that can follow when a holder without a committed sum resolves
+// one.
+func (s modelState) resolveSteps(i int, fault modelFault) []modelState {
 	var list []modelState
 	add := func(change func(*modelState, *modelReporter)) {
 		next := s
 		change(&next, &next.vms[i])
 		list = append(list, next)
 	}
-	if s.epoch > 0 && !fault.noEpoch {
-		add(func(n *modelState, me *modelReporter) { me.agreed, me.done = n.row, n.row == noSum })
+	if s.epoch > 0 && !fault.ignoreEpoch {
+		add(func(n *modelState, me *modelReporter) { me.committed, me.done = n.row, n.row == noSum })
 		return list
 	}
-	for sum := 1; sum <= s.sum; sum++ { // a keeper that does not answer leaves a part out
-		if fault.noAgreement {
-			add(func(_ *modelState, me *modelReporter) { me.agreed = sum })
+	for sum := 1; sum <= s.sum; sum++ { // an unresponsive replica can reduce the sum
+		if fault.noCommit {
+			add(func(_ *modelState, me *modelReporter) { me.committed = sum })
 			continue
 		}
 		w := modelWrite{sum: sum, fence: s.fence, epoch: s.epoch}
-		add(func(n *modelState, _ *modelReporter) { n.write = w }) // its answer does not come
+		add(func(n *modelState, _ *modelReporter) { n.write = w }) // the response is lost
 		add(func(n *modelState, me *modelReporter) {
 			switch {
-			case n.apply(w), fault.ownSum:
-				me.agreed = sum
+			case n.apply(w), fault.ignoreStored:
+				me.committed = sum
 			default:
-				me.agreed = n.row
+				me.committed = n.row
 			}
 		})
 	}
 	return list
 }
 
-// search goes through all runs, and returns what broke first and the number of states.
-func search(fault modelFault) (broken string, states int) {
+// search explores all reachable states, and returns the first violation, if any, and the number of
+// states.
+func search(fault modelFault) (violation string, states int) {
 	start := modelState{sum: 1, holder: -1}
 	seen := map[modelState]bool{start: true}
-	for front := []modelState{start}; len(front) > 0; {
+	for frontier := []modelState{start}; len(frontier) > 0; {
 		var next []modelState
-		for _, s := range front {
-			for _, n := range s.after(fault) {
-				if n.broken != "" {
-					return n.broken, len(seen)
+		for _, s := range frontier {
+			for _, successor := range s.successors(fault) {
+				if successor.violation != "" {
+					return successor.violation, len(seen)
 				}
-				if !seen[n] {
-					seen[n] = true
-					next = append(next, n)
+				if !seen[successor] {
+					seen[successor] = true
+					next = append(next, successor)
 				}
 			}
 		}
-		front = next
+		frontier = next
 	}
 	return "", len(seen)
 }
 
-// No order of steps reports a window with two sums, or lets a report of an earlier tenure come after a
-// later one's; without a point of the protocol, some order does.
-func TestNoOrderOfStepsReportsTwoSums(t *testing.T) {
-	broken, states := search(modelFault{})
-	if broken != "" {
-		t.Error(broken)
+// No order of steps reports a window with two different sums, or lets a report of an earlier tenure
+// arrive after one of a later tenure. With any safeguard removed, some order does.
+func TestModelReportsNoWindowWithTwoSums(t *testing.T) {
+	violation, states := search(modelFault{})
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states", states)
 	for name, fault := range map[string]modelFault{
-		"nothing is agreed on":                 {noAgreement: true},
-		"another's sum is ignored":             {ownSum: true},
-		"a store that came back is trusted":    {noEpoch: true},
-		"a report may arrive after its tenure": {late: true},
+		"reports without a committed sum":      {noCommit: true},
+		"a stored sum is ignored":              {ignoreStored: true},
+		"a restored store is trusted":          {ignoreEpoch: true},
+		"a report may arrive after its tenure": {lateReports: true},
 	} {
-		if broken, states := search(fault); broken == "" {
-			t.Errorf("%s: nothing broke in %d states", name, states)
+		if violation, states := search(fault); violation == "" {
+			t.Errorf("%s: no violation in %d states", name, states)
 		} else {
-			t.Logf("%s: %s", name, broken)
+			t.Logf("%s: %s", name, violation)
 		}
 	}
 }
--- a/duties/usage/region_test.go
+++ b/duties/usage/region_test.go
@@ -18,161 +18,161 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// late is how long after its end a report is of use in these tests.
+// late is the time after a window's end within which a report is useful in these tests.
 const late = 10 * time.Second
 
 var errFault = errors.New("fault")
 
-// platform takes reports, and notes what would break the users' rules.
-type platform struct {
+// fakePlatform accepts reports and records violations of the platform's rules.
+type fakePlatform struct {
 	mu       sync.Mutex
 	accepted map[Window]Report
-	// at is how long after a window's end its first report was taken.
-	at      map[Window]time.Duration
-	calls   int
-	highest uint64
-	broken  []string
+	// delays holds the time from each window's end to its first accepted report.
+	delays     map[Window]time.Duration
+	calls      int
+	highest    uint64
+	violations []string
 }
 
-func newPlatform() *platform {
-	return &platform{accepted: map[Window]Report{}, at: map[Window]time.Duration{}}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{accepted: map[Window]Report{}, delays: map[Window]time.Duration{}}
 }
 
-func (p *platform) take(r Report) {
+func (p *fakePlatform) accept(r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
 	if r.Fence < p.highest {
-		p.broken = append(p.broken, fmt.Sprintf("fence %d after %d", r.Fence, p.highest))
+		p.violations = append(p.violations, fmt.Sprintf("fencing token %d after %d", r.Fence, p.highest))
 	}
 	p.highest = max(p.highest, r.Fence)
-	before, reported := p.accepted[r.Window]
-	if reported && !maps.Equal(before.Counts, r.Counts) {
-		p.broken = append(p.broken, fmt.Sprintf("window %d with %v and %v", r.Window, before.Counts, r.Counts))
+	first, reported := p.accepted[r.Window]
+	if reported && !maps.Equal(first.Counts, r.Counts) {
+		p.violations = append(p.violations, fmt.Sprintf("window %d reported with %v and %v", r.Window, first.Counts, r.Counts))
 	}
 	if !reported {
 		r.Counts = maps.Clone(r.Counts)
 		p.accepted[r.Window] = r
-		p.at[r.Window] = time.Since(r.Window.end(length))
+		p.delays[r.Window] = time.Since(r.Window.end(length))
 	}
 }
 
-// reported returns the report of a window, and how long after its end it was first taken.
-func (p *platform) reported(w Window) (r Report, at time.Duration, taken bool) {
+// reported returns the first accepted report of a window and its delay after the window's end.
+func (p *fakePlatform) reported(w Window) (r Report, delay time.Duration, accepted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r, taken = p.accepted[w]
-	return r, p.at[w], taken
+	r, accepted = p.accepted[w]
+	return r, p.delays[w], accepted
 }
 
-// taken is how many windows were reported, with how many calls.
-func (p *platform) taken() (windows, calls int) {
+// counts returns the number of reported windows and the number of calls.
+func (p *fakePlatform) counts() (windows, calls int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.accepted), p.calls
 }
 
-// breaks returns what broke a rule.
-func (p *platform) breaks() string {
+// violationText returns the recorded violations, joined.
+func (p *fakePlatform) violationText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.broken, "; ")
+	return strings.Join(p.violations, "; ")
 }
 
-// vm is one VM that contends for the lease to report.
-type vm struct {
+// testVM is a VM that contends for the lease and reports usage.
+type testVM struct {
 	ledger *Ledger
 	stop   func()
 
 	mu   sync.Mutex
 	dead bool
-	// cut is set while the other VMs cannot read its accounts.
-	cut bool
-	// report and commit are what becomes of a report, and of a write to the store; nil is that it
-	// works.
-	report func(ctx context.Context, deliver func()) error
-	commit func(txn table.Txn) memtable.Fault
+	// partitioned is set while the other VMs cannot read its accounts.
+	partitioned bool
+	// onReport and onCommit replace a report or a write to the store with a fault; nil means
+	// success.
+	onReport func(ctx context.Context, deliver func()) error
+	onCommit func(txn table.Txn) memtable.Fault
 }
 
-// kill makes the VM do nothing any more, without a word.
-func (v *vm) kill() {
+// kill makes the VM stop all activity without notice.
+func (v *testVM) kill() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.dead = true
 }
 
-func (v *vm) isDead() bool {
+func (v *testVM) isDead() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.dead
 }
 
-func (v *vm) setCut(cut bool) {
+func (v *testVM) setPartitioned(partitioned bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.cut = cut
+	v.partitioned = partitioned
 }
 
-// reads tells whether the others can read its accounts.
-func (v *vm) reads() bool {
+// readable reports whether the other VMs can read its accounts.
+func (v *testVM) readable() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.dead && !v.cut
+	return !v.dead && !v.partitioned
 }
 
-func (v *vm) fail(report func(ctx context.Context, deliver func()) error, commit func(txn table.Txn) memtable.Fault) {
+func (v *testVM) setFaults(report func(ctx context.Context, deliver func()) error, commit func(txn table.Txn) memtable.Fault) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.report, v.commit = report, commit
+	v.onReport, v.onCommit = report, commit
 }
 
-func (v *vm) reporting() func(ctx context.Context, deliver func()) error {
+func (v *testVM) reportFault() func(ctx context.Context, deliver func()) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.report
+	return v.onReport
 }
 
-func (v *vm) committing() func(txn table.Txn) memtable.Fault {
+func (v *testVM) commitFault() func(txn table.Txn) memtable.Fault {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.commit
+	return v.onCommit
 }
 
-// region is a store, a platform and the VMs before them.
-type region struct {
+// testRegion is a store, a platform and the VMs that use them.
+type testRegion struct {
 	t        *testing.T
 	rows     *memtable.Table
-	platform *platform
+	platform *fakePlatform
 
 	mu  sync.Mutex
-	vms []*vm
+	vms []*testVM
 	// epochSince is when the store's epoch was first seen.
 	epochSince time.Time
 }
 
-func newRegion(t *testing.T) *region {
-	return &region{t: t, rows: memtable.New(), platform: newPlatform()}
+func newTestRegion(t *testing.T) *testRegion {
+	return &testRegion{t: t, rows: memtable.New(), platform: newFakePlatform()}
 }
 
-func (r *region) all() []*vm {
+func (r *testRegion) allVMs() []*testVM {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.vms)
 }
 
-func (r *region) epoch() time.Time {
+func (r *testRegion) epochSeenSince() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.epochSince
 }
 
-// storeOf is the store as a VM reaches it.
-type storeOf struct {
+// vmStore is the store as seen by one VM.
+type vmStore struct {
 	table.Service
-	vm *vm
+	vm *testVM
 }
 
-func (s storeOf) Get(ctx context.Context, keys ...table.Key) ([]table.Row, error) {
+func (s vmStore) Get(ctx context.Context, keys ...table.Key) ([]table.Row, error) {
 	if s.vm.isDead() {
 		<-ctx.Done()
 		return nil, &table.UnavailableError{Cause: errFault}
@@ -180,12 +180,12 @@
 	return s.Service.Get(ctx, keys...)
 }
 
-func (s storeOf) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
+func (s vmStore) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
 	if s.vm.isDead() {
 		<-ctx.Done()
 		return nil, &table.UnknownError{Cause: errFault}
 	}
-	if commit := s.vm.committing(); commit != nil && txn.Writes[0].Key.Table == Table {
+	if commit := s.vm.commitFault(); commit != nil && txn.Writes[0].Key.Table == Table {
 		switch f := commit(txn); {
 		case f.Fail:
 			return nil, &table.UnavailableError{Cause: errFault}
@@ -200,23 +200,23 @@
 	return s.Service.Commit(ctx, txn)
 }
 
-// platformOf is the platform as a VM reaches it.
-type platformOf struct {
-	r  *region
-	vm *vm
+// vmPlatform is the platform as seen by one VM.
+type vmPlatform struct {
+	r  *testRegion
+	vm *testVM
 }
 
-func (p platformOf) ReportUsage(ctx context.Context, r Report) error {
+func (p vmPlatform) ReportUsage(ctx context.Context, r Report) error {
 	if p.vm.isDead() {
 		<-ctx.Done()
 		return errFault
 	}
 	deliver := func() {
-		if ctx.Err() == nil { // what has not come by then is dropped with its connection
-			p.r.platform.take(r)
+		if ctx.Err() == nil { // a report that arrives later is dropped with its connection
+			p.r.platform.accept(r)
 		}
 	}
-	if report := p.vm.reporting(); report != nil {
+	if report := p.vm.reportFault(); report != nil {
 		return report(ctx, deliver)
 	}
 	time.Sleep(5 * time.Millisecond)
@@ -224,103 +224,104 @@
 	return nil
 }
 
-// keepersOf are the other VMs as one reaches them.
-type keepersOf struct {
-	r    *region
+// vmReplicas are the other VMs as seen by one VM.
+type vmReplicas struct {
+	r    *testRegion
 	self int
 }
 
-func (k keepersOf) Read(_ context.Context, w Window) []Accounts {
+func (replicas vmReplicas) Read(_ context.Context, w Window) []Accounts {
 	var list []Accounts
-	for i, v := range k.r.all() {
-		if i != k.self && v.reads() {
+	for i, v := range replicas.r.allVMs() {
+		if i != replicas.self && v.readable() {
 			list = append(list, v.ledger.Read(w))
 		}
 	}
 	return list
 }
 
-// add starts a VM.
-func (r *region) add() *vm {
-	i := len(r.all())
+// addVM starts a VM.
+func (r *testRegion) addVM() *testVM {
+	i := len(r.allVMs())
 	name := fmt.Sprint("vm", i)
-	v := &vm{ledger: NewLedger(Identity{VM: name, Zone: "z"}, length, time.Now, time.Now)}
+	v := &testVM{ledger: NewLedger(Identity{VM: name, Zone: "z"}, length, time.Now, time.Now)}
 	r.mu.Lock()
 	r.vms = append(r.vms, v)
 	r.mu.Unlock()
 	reporter := NewReporter(Config{
-		VM: name, Rows: storeOf{r.rows, v}, Ledger: v.ledger, Replicas: keepersOf{r, i}, Platform: platformOf{r, v},
+		VM: name, Rows: vmStore{r.rows, v}, Ledger: v.ledger, Replicas: vmReplicas{r, i}, Platform: vmPlatform{r, v},
 		OrganisationNames: func() map[uint64]string { return map[uint64]string{Hash("north"): "north", Hash("south"): "south"} },
-		Tolerance:         0.05, WindowLength: length, ReportWithin: late, WallClock: time.Now, EpochSince: r.epoch,
+		Tolerance:         0.05, WindowLength: length, ReportWithin: late, WallClock: time.Now, EpochSince: r.epochSeenSince,
 	})
-	keeper := duties.NewRunner(duties.Config{
-		Rows: storeOf{r.rows, v}, Self: lease.Identity{VM: name, Process: name, Address: "a"},
+	runner := duties.NewRunner(duties.Config{
+		Rows: vmStore{r.rows, v}, Self: lease.Identity{VM: name, Process: name, Address: "a"},
 		Rank: func() int { return i }, HandoverDelay: 3 * time.Second, Epoch: r.rows.Epoch,
 	}, reporter)
 	ctx, cancel := context.WithCancel(r.t.Context())
 	var running sync.WaitGroup
-	running.Go(func() { keeper.Run(ctx) })
+	running.Go(func() { runner.Run(ctx) })
 	v.stop = func() { cancel(); running.Wait() }
 	return v
 }
 
-// tell makes VMs know the accounts of each other, as datagrams do.
-func (r *region) tell() {
-	for _, from := range r.all() {
+// exchange sends the pending changes of every VM to all VMs, as datagrams do.
+func (r *testRegion) exchange() {
+	for _, from := range r.allVMs() {
 		if from.isDead() {
 			continue
 		}
 		for _, a := range from.ledger.Due(false) {
-			for _, to := range r.all() {
+			for _, to := range r.allVMs() {
 				to.ledger.Take(a)
 			}
 		}
 	}
 }
 
-// serve lets each VM begin a request in each tenth of a second.
-func (r *region) serve(d time.Duration) {
+// serveFor makes every VM start a request every 100 ms.
+func (r *testRegion) serveFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for i, v := range r.all() {
+		for i, v := range r.allVMs() {
 			if !v.isDead() {
 				v.ledger.RequestStarted([]string{"north", "south"}[i%2])
 			}
 		}
-		r.tell()
+		r.exchange()
 	}
 }
 
-func (r *region) stop() {
-	for _, v := range r.all() {
+func (r *testRegion) stop() {
+	for _, v := range r.allVMs() {
 		v.stop()
 	}
 }
 
-// playRegion runs steps in virtual time, which begin with a window. The first VM holds the lease.
-func playRegion(t *testing.T, vms int, steps func(r *region)) {
+// runRegion runs steps in virtual time, starting at the start of a window. The first VM holds the
+// lease.
+func runRegion(t *testing.T, vms int, steps func(r *testRegion)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t)
+		r := newTestRegion(t)
 		for i := range vms {
-			r.add()
+			r.addVM()
 			if i == 0 {
 				time.Sleep(length)
 			}
 		}
 		steps(r)
 		r.stop()
-		if broken := r.platform.breaks(); broken != "" {
-			t.Error(broken)
+		if violation := r.platform.violationText(); violation != "" {
+			t.Error(violation)
 		}
 	})
 }
 
-// exact lists the windows, of some, that were not reported with all requests of n VMs.
-func (r *region) exact(from, to Window, want map[string]uint64) string {
-	var wrong []string
+// mismatches lists the windows in [from, to) that were not reported with exactly the given counts.
+func (r *testRegion) mismatches(from, to Window, want map[string]uint64) string {
+	var mismatches []string
 	for w := from; w < to; w++ {
 		if got, _, _ := r.platform.reported(w); !maps.Equal(got.Counts, want) {
-			wrong = append(wrong, fmt.Sprint(w-from, ": ", got.Counts))
+			mismatches = append(mismatches, fmt.Sprint(w-from, ": ", got.Counts))
 		}
 	}
-	return strings.Join(wrong, ", ")
+	return strings.Join(mismatches, ", ")
 }
--- a/duties/usage/keepers.go
+++ b/duties/usage/replicas.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// readTimeout bounds a question to a keeper. One that does not answer is asked again, if
-	// something is missing without it.
+	// readTimeout bounds one read from a replica. A replica that does not respond is read again if
+	// the window is incomplete without it.
 	readTimeout = 400 * time.Millisecond
-	// idleKeepers is how long a connection to a keeper is kept unused: longer than a window.
-	idleKeepers = 30 * time.Second
+	// idleConnTimeout is how long an unused connection to a replica is kept open: longer than a
+	// window.
+	idleConnTimeout = 30 * time.Second
 )
 
-// Accounts are those of one window that one VM holds.
+// Accounts are the accounts of one window held by one VM.
 type Accounts = []*usagepb.Account
 
-// server answers other VMs from the ledger of this one. It implements usagepb.Ledger.
+// server serves the local ledger to other VMs. It implements usagepb.Ledger.
 type server struct{ ledger *Ledger }
 
-// Handler serves a ledger to the other VMs, below PathPrefix.
+// Handler returns the HTTP handler that serves a ledger to other VMs below PathPrefix.
 func Handler(l *Ledger) http.Handler { return usagepb.NewLedgerServer(&server{l}) }
 
-// PathPrefix is where Handler serves.
+// PathPrefix is the path prefix of Handler.
 const PathPrefix = usagepb.LedgerPathPrefix
 
 // Read implements usagepb.Ledger.
@@ -39,42 +40,43 @@
 	return &usagepb.ReadResponse{Accounts: s.ledger.Read(Window(r.Window))}, nil
 }
 
-// Client reads the accounts of other VMs. It implements Replicas.
+// Client reads accounts from other VMs. It implements Replicas.
 type Client struct {
 	http *http.Client
-	// addresses returns where the keepers take questions.
+	// addresses returns the addresses of the replicas.
 	addresses func() []string
 }
 
 var _ Replicas = (*Client)(nil)
 
-// NewClient returns a client of the keepers at addresses (host:port), which may change.
+// NewClient returns a client of the replicas at addresses (host:port). The result of addresses may
+// change over time.
 func NewClient(n network.Network, addresses func() []string) *Client {
 	transport := &http.Transport{
 		DialContext:     func(ctx context.Context, _, address string) (net.Conn, error) { return n.Connect(ctx, address) },
-		IdleConnTimeout: idleKeepers,
+		IdleConnTimeout: idleConnTimeout,
 	}
 	return &Client{http: &http.Client{Transport: transport}, addresses: addresses}
 }
 
-// Read implements Replicas. All are asked at once.
+// Read implements Replicas. It queries all replicas concurrently.
 func (c *Client) Read(ctx context.Context, w Window) []Accounts {
 	ctx, cancel := clock.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	addresses := c.addresses()
-	answers := make([]Accounts, len(addresses))
-	var asked sync.WaitGroup
+	responses := make([]Accounts, len(addresses))
+	var queries sync.WaitGroup
 	for i, address := range addresses {
-		asked.Go(func() {
-			answer, err := usagepb.NewLedgerProtobufClient("http://"+address, c.http).Read(ctx, &usagepb.ReadRequest{Window: uint64(w)})
+		queries.Go(func() {
+			response, err := usagepb.NewLedgerProtobufClient("http://"+address, c.http).Read(ctx, &usagepb.ReadRequest{Window: uint64(w)})
 			if err != nil {
-				unread.Inc()
-				klog.InfoS("usage: VM gave no accounts", "vm", address, "window", w, "err", err)
+				replicasUnread.Inc()
+				klog.InfoS("usage: reading accounts from VM failed", "vm", address, "window", w, "err", err)
 				return
 			}
-			answers[i] = answer.Accounts
+			responses[i] = response.Accounts
 		})
 	}
-	asked.Wait()
-	return answers
+	queries.Wait()
+	return responses
 }
--- a/duties/usage/reporter.go
+++ b/duties/usage/reporter.go
@@ -15,90 +15,93 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Report is the sum of one window, for the platform.
+// Report is the sum of one window as sent to the platform.
 type Report struct {
 	Window Window
-	// Counts are by the organisation's name.
+	// Counts holds the number of requests by organisation name.
 	Counts map[string]uint64
-	// Holder names the VM that reports, and Fence its tenure.
+	// Holder is the VM that sends the report, and Fence the fencing token of its tenure.
 	Holder string
 	Fence  uint64
 }
 
-// Platform takes reports. What it has not taken in when ctx ends must never come to count.
+// Platform accepts reports. A report that was not accepted when ctx ends must never take effect.
 type Platform interface {
 	ReportUsage(ctx context.Context, r Report) error
 }
 
-// Replicas reads the accounts that other VMs hold.
+// Replicas reads the accounts held by other VMs.
 type Replicas interface {
-	// Read returns the accounts of a window of all VMs that answer in time.
+	// Read returns the accounts of a window from every VM that responds in time.
 	Read(ctx context.Context, w Window) []Accounts
 }
 
-// Config is what a Reporter works with.
+// Config holds the dependencies and settings of a Reporter.
 type Config struct {
 	VM       string
 	Rows     table.Service
 	Ledger   *Ledger
 	Replicas Replicas
 	Platform Platform
-	// EpochSince returns since when the present epoch of the store is known here (see
-	// table.Version), zero for a store without any; nil is such a store.
+	// EpochSince returns the time since which this VM has known the store's current epoch (see
+	// table.Version), or zero if the store has no epochs. Nil means the same as zero.
 	EpochSince func() time.Time
-	// OrganisationNames returns the names of organisations by their hashes.
+	// OrganisationNames returns the names of organisations by hash.
 	OrganisationNames func() map[uint64]string
-	// Tolerance is by which part a report may be off.
+	// Tolerance is the fraction by which a report may deviate from the true counts.
 	Tolerance float64
-	// WindowLength is that of a window, and ReportWithin is how long after its end a report is of use.
+	// WindowLength is the length of a window. ReportWithin is the time after a window's end within
+	// which its report is useful.
 	WindowLength, ReportWithin time.Duration
-	// WallClock is the time of day.
+	// WallClock returns the time of day.
 	WallClock func() time.Time
 }
 
 const (
-	// period is how often windows are looked at.
-	period = 100 * time.Millisecond
-	// readPause is how long after one look at the keepers' accounts the next one may come.
-	readPause = 400 * time.Millisecond
-	// patiencePart is the part of the time for a report up to which a VM that has not sealed its
-	// account is waited for. What is left is for the store and the platform, which may be slow.
-	patiencePart = 0.6
-	// fewPart is the part of the tolerance that VMs which are waited for only shortly may make up, and
-	// fewPatience that time.
-	fewPart     = 0.5
-	fewPatience = time.Second
-	// callTimeout bounds a report: within it the report is taken or will not be.
+	// pollInterval is the time between two checks for reportable windows.
+	pollInterval = 100 * time.Millisecond
+	// collectRetryInterval is the time between two reads of the replicas' accounts of a window.
+	collectRetryInterval = 400 * time.Millisecond
+	// sealWaitFraction is the fraction of ReportWithin for which the reporter waits for VMs that
+	// have not sealed a window. The rest is left for the store and the platform, which may be slow.
+	sealWaitFraction = 0.6
+	// fewVMsFraction is the fraction of the tolerance below which unsealed VMs count as few, and
+	// fewVMsSealWait the time for which the reporter then waits for them.
+	fewVMsFraction = 0.5
+	fewVMsSealWait = time.Second
+	// callTimeout bounds one report, which is either accepted within this time or has no effect.
 	callTimeout = 800 * time.Millisecond
-	// retryPause is the mean pause after a report that was not taken.
-	retryPause = 300 * time.Millisecond
-	// agreeTimeout bounds the writing of a sum. If it came to be all the same, the next try finds it.
-	agreeTimeout = 2 * time.Second
-	// storedWindows is how many windows the store keeps, longer than any write may be late, and
-	// cleanEvery how many are removed at once.
-	storedWindows = 24
-	cleanEvery    = 12
+	// retryInterval is the mean time until the next attempt after a failure.
+	retryInterval = 300 * time.Millisecond
+	// commitTimeout bounds the write of a sum. If the write took effect after all, the next attempt
+	// finds the row.
+	commitTimeout = 2 * time.Second
+	// storedWindows is the number of windows whose sums the store keeps, longer than any write can
+	// be delayed. Every cleanupInterval windows the older ones are removed.
+	storedWindows   = 24
+	cleanupInterval = 12
 )
 
 // Reporter reports windows while this VM holds the lease of package duties. It implements
-// duties.Duty and belongs to the goroutine of one tenure at a time.
+// duties.Duty and must be used by the goroutine of one tenure at a time.
 type Reporter struct {
 	cfg Config
-	// windows are those that can still be reported, and what has become of them. They outlast a
-	// tenure: what was agreed on stays so, also if the store has lost it.
+	// windows holds the state of the windows that can still be reported. It survives the end of a
+	// tenure: a committed sum stays valid even if the store loses it.
 	windows map[Window]*progress
 }
 
-// progress is how far the report of a window has come.
+// progress is the state of the report of one window.
 type progress struct {
-	// agreed is the sum as the store holds it, nil before that.
-	agreed map[string]uint64
-	// next is when to try again what failed, or what waits for others.
-	next time.Time
-	done bool
+	// committed is the sum as stored; nil until a sum is stored or found.
+	committed map[string]uint64
+	// nextAttempt is the earliest time of the next attempt, after a failure or while VMs have not
+	// sealed the window.
+	nextAttempt time.Time
+	done        bool
 }
 
-// NewReporter returns a reporter.
+// NewReporter returns a Reporter.
 func NewReporter(cfg Config) *Reporter {
 	if cfg.EpochSince == nil {
 		cfg.EpochSince = func() time.Time { return time.Time{} }
@@ -110,24 +113,25 @@
 
 // Lead implements duties.Duty.
 func (r *Reporter) Lead(ctx context.Context, l *lease.Lease) {
-	for loop.Sleep(ctx, period) {
-		for _, w := range r.due() {
+	for loop.Sleep(ctx, pollInterval) {
+		for _, w := range r.reportable() {
 			r.advance(ctx, l, w)
 		}
 	}
 }
 
-// due returns the windows that are over and can still be reported, the oldest first.
-func (r *Reporter) due() []Window {
+// reportable returns the windows that are over and can still be reported, oldest first. It drops
+// those that are too old.
+func (r *Reporter) reportable() []Window {
 	now := r.cfg.WallClock()
 	last := windowAt(now, r.cfg.WindowLength) - 1
-	var list []Window
+	var windows []Window
 	for w := last; now.Before(w.end(r.cfg.WindowLength).Add(r.cfg.ReportWithin)); w-- {
 		if r.windows[w] == nil {
 			r.windows[w] = &progress{}
 		}
-		if p := r.windows[w]; !p.done && !clock.Now().Before(p.next) {
-			list = append(list, w)
+		if p := r.windows[w]; !p.done && !clock.Now().Before(p.nextAttempt) {
+			windows = append(windows, w)
 		}
 	}
 	for w, p := range r.windows {
@@ -135,128 +139,129 @@
 			continue
 		}
 		if !p.done {
-			missed.Inc()
-			klog.InfoS("usage: window not reported in time", "window", w, "agreed", p.agreed != nil)
+			windowsMissed.Inc()
+			klog.InfoS("usage: window not reported in time", "window", w, "agreed", p.committed != nil)
 		}
 		delete(r.windows, w)
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(windows)
+	return windows
 }
 
-// advance brings a window one step nearer to its report.
+// advance performs the next step towards the report of a window.
 func (r *Reporter) advance(ctx context.Context, l *lease.Lease, w Window) {
 	p := r.windows[w]
-	if p.agreed == nil && !r.settle(ctx, l, w, p) {
+	if p.committed == nil && !r.resolveSum(ctx, l, w, p) {
 		return
 	}
 	err := duties.Call(ctx, l, callTimeout, func(ctx context.Context, fence uint64) error {
-		return r.cfg.Platform.ReportUsage(ctx, Report{Window: w, Counts: p.agreed, Holder: r.cfg.VM, Fence: fence})
+		return r.cfg.Platform.ReportUsage(ctx, Report{Window: w, Counts: p.committed, Holder: r.cfg.VM, Fence: fence})
 	})
 	if err != nil {
-		failed.Inc()
-		klog.InfoS("usage: report not taken yet", "window", w, "fence", l.Fence(), "err", err)
-		p.next = clock.Now().Add(loop.Jitter(retryPause))
+		reportsFailed.Inc()
+		klog.InfoS("usage: report not accepted yet", "window", w, "fence", l.Fence(), "err", err)
+		p.nextAttempt = clock.Now().Add(loop.Jitter(retryInterval))
 		return
 	}
 	p.done = true
-	reported.Inc()
-	r.clean(ctx, w)
-	klog.InfoS("usage: window reported", "window", w, "fence", l.Fence(), "organisations", len(p.agreed), "requests", sumOf(p.agreed),
+	windowsReported.Inc()
+	r.removeOldSums(ctx, w)
+	klog.InfoS("usage: window reported", "window", w, "fence", l.Fence(), "organisations", len(p.committed), "requests", totalRequests(p.committed),
 		"sinceEndMS", r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)).Milliseconds())
 }
 
-// settle finds the sum that is to be reported, and tells whether there is one now.
-func (r *Reporter) settle(ctx context.Context, l *lease.Lease, w Window, p *progress) bool {
-	if r.mayBeLost(w) {
-		return r.find(ctx, w, p)
+// resolveSum determines the sum to report, and reports whether there is one now.
+func (r *Reporter) resolveSum(ctx context.Context, l *lease.Lease, w Window, p *progress) bool {
+	if r.sumMayBeLost(w) {
+		return r.readCommitted(ctx, w, p)
 	}
 	counts, ready := r.collect(ctx, w)
 	if !ready {
-		p.next = clock.Now().Add(readPause)
+		p.nextAttempt = clock.Now().Add(collectRetryInterval)
 		return false
 	}
-	agreed, err := r.agree(ctx, l, w, counts)
+	committed, err := r.commitSum(ctx, l, w, counts)
 	if err != nil {
-		klog.InfoS("usage: sum not agreed in the store yet", "window", w, "err", err)
-		p.next = clock.Now().Add(loop.Jitter(retryPause))
+		klog.InfoS("usage: sum not committed to the store yet", "window", w, "err", err)
+		p.nextAttempt = clock.Now().Add(loop.Jitter(retryInterval))
 		return false
 	}
-	p.agreed = agreed
+	p.committed = committed
 	return true
 }
 
-// mayBeLost tells whether a sum of the window may have been agreed on and reported of which the
-// store knows no more, since it has come back from a copy.
-func (r *Reporter) mayBeLost(w Window) bool {
+// sumMayBeLost reports whether a sum of the window may have been committed and reported that the
+// store no longer holds, because the store was restored from a backup since.
+func (r *Reporter) sumMayBeLost(w Window) bool {
 	since := r.cfg.EpochSince()
 	return !since.IsZero() && r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)) > clock.Since(since)
 }
 
-// find reads the sum that was agreed on, and gives the window up if there is none: another sum than
-// one that was reported must not be.
-func (r *Reporter) find(ctx context.Context, w Window, p *progress) bool {
-	agreed, err := read(ctx, r.cfg.Rows, w)
+// readCommitted reads the committed sum of a window. If there is none, it gives the window up,
+// since a sum that differs from a reported one must never be reported.
+func (r *Reporter) readCommitted(ctx context.Context, w Window, p *progress) bool {
+	committed, err := readSum(ctx, r.cfg.Rows, w)
 	switch {
 	case err != nil:
-		p.next = clock.Now().Add(loop.Jitter(retryPause))
-	case agreed == nil:
+		p.nextAttempt = clock.Now().Add(loop.Jitter(retryInterval))
+	case committed == nil:
 		p.done = true
-		missed.Inc()
-		klog.InfoS("usage: window not reported, a sum of it may be lost with the store's last writes", "window", w)
+		windowsMissed.Inc()
+		klog.InfoS("usage: window not reported, its sum may have been lost when the store was restored", "window", w)
 	default:
-		p.agreed = agreed
+		p.committed = committed
 	}
-	return p.agreed != nil
+	return p.committed != nil
 }
 
-// collect adds up a window. It is ready once all VMs have sealed it, or have been waited for long
-// enough.
+// collect adds up the accounts of a window. ready is false while the reporter should wait for VMs
+// that have not sealed the window.
 func (r *Reporter) collect(ctx context.Context, w Window) (counts map[string]uint64, ready bool) {
-	s := newSum(w)
-	s.add(r.cfg.Ledger.Read(w))
+	total := newSum(w)
+	total.add(r.cfg.Ledger.Read(w))
 	for _, accounts := range r.cfg.Replicas.Read(ctx, w) {
-		s.add(accounts)
+		total.add(accounts)
 	}
-	missing := s.missing()
-	if len(missing) > 0 && r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)) < r.patience(len(missing), s.vms()) {
+	unsealed := total.unsealed()
+	if len(unsealed) > 0 && r.cfg.WallClock().Sub(w.end(r.cfg.WindowLength)) < r.sealWait(len(unsealed), total.vmCount()) {
 		return nil, false
 	}
-	if len(missing) > 0 {
-		klog.InfoS("usage: window added up without the last of some VMs", "window", w, "vms", missing)
+	if len(unsealed) > 0 {
+		klog.InfoS("usage: window summed without the final counts of some VMs", "window", w, "vms", unsealed)
 	}
-	return r.named(w, s.counts()), true
+	return r.byName(w, total.counts()), true
 }
 
-// patience is how long after a window's end VMs that have not sealed it are waited for. What some few
-// may still have counted lies within the tolerance, and a report that has gone out cannot be lost.
-func (r *Reporter) patience(missing, vms int) time.Duration {
-	if float64(missing) <= fewPart*r.cfg.Tolerance*float64(vms) {
-		return fewPatience
+// sealWait returns the time after a window's end for which the reporter waits for VMs that have not
+// sealed it. It is short for few VMs: their missing counts lie within the tolerance, and an early
+// report cannot be lost with the holder.
+func (r *Reporter) sealWait(unsealed, vms int) time.Duration {
+	if float64(unsealed) <= fewVMsFraction*r.cfg.Tolerance*float64(vms) {
+		return fewVMsSealWait
 	}
-	return time.Duration(patiencePart * float64(r.cfg.ReportWithin))
+	return time.Duration(sealWaitFraction * float64(r.cfg.ReportWithin))
 }
 
-// named gives a sum by names.
-func (r *Reporter) named(w Window, counts map[uint64]uint64) map[string]uint64 {
+// byName returns a sum by organisation name, without organisations whose names are unknown.
+func (r *Reporter) byName(w Window, counts map[uint64]uint64) map[string]uint64 {
 	names := r.cfg.OrganisationNames()
-	out := make(map[string]uint64, len(counts))
+	byName := make(map[string]uint64, len(counts))
 	for hash, n := range counts {
-		name, known := names[hash]
-		if !known {
-			nameless.Add(int(n))
-			klog.InfoS("usage: requests of an organisation that is not known here", "window", w, "hash", hash, "requests", n)
+		name, found := names[hash]
+		if !found {
+			requestsUnnamed.Add(int(n))
+			klog.InfoS("usage: requests of an unknown organisation not reported", "window", w, "hash", hash, "requests", n)
 			continue
 		}
-		out[name] = n
+		byName[name] = n
 	}
-	return out
+	return byName
 }
 
-// agree makes a sum the one that is reported for its window, whoever reports it, and returns it: a
-// holder before this one may have made another.
-func (r *Reporter) agree(ctx context.Context, l *lease.Lease, w Window, counts map[string]uint64) (map[string]uint64, error) {
-	ctx, cancel := clock.WithTimeout(ctx, agreeTimeout)
+// commitSum stores a sum as the only one that any holder may report for the window, and returns the
+// stored sum, which is another one if an earlier holder has stored it.
+func (r *Reporter) commitSum(ctx context.Context, l *lease.Lease, w Window, counts map[string]uint64) (map[string]uint64, error) {
+	ctx, cancel := clock.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	rec := record{ID: rand.Text(), Counts: counts}
 	txn := table.Txn{
@@ -273,20 +278,21 @@
 	case !isConflict(err):
 		return nil, err
 	}
-	before, err := read(ctx, r.cfg.Rows, w)
-	if err == nil && before == nil {
-		err = &VanishedError{Window: w}
+	committed, err := readSum(ctx, r.cfg.Rows, w)
+	if err == nil && committed == nil {
+		err = &SumMissingError{Window: w}
 	}
-	return before, err
+	return committed, err
 }
 
-// clean removes the rows of old windows, a number at a time. What fails is done with the next.
-func (r *Reporter) clean(ctx context.Context, w Window) {
-	if w%cleanEvery != 0 {
+// removeOldSums removes the rows of old windows in batches. Rows that remain after a failure are
+// removed by the next batch.
+func (r *Reporter) removeOldSums(ctx context.Context, w Window) {
+	if w%cleanupInterval != 0 {
 		return
 	}
 	var txn table.Txn
-	for old := w - storedWindows - 2*cleanEvery; old <= w-storedWindows; old++ {
+	for old := w - storedWindows - 2*cleanupInterval; old <= w-storedWindows; old++ {
 		txn.Writes = append(txn.Writes, table.Write{Key: rowKey(old), Delete: true})
 	}
 	if _, err := r.cfg.Rows.Commit(ctx, txn); err != nil {
@@ -294,7 +300,7 @@
 	}
 }
 
-func sumOf(counts map[string]uint64) uint64 {
+func totalRequests(counts map[string]uint64) uint64 {
 	total := uint64(0)
 	for _, n := range counts {
 		total += n
--- a/duties/usage/row.go
+++ b/duties/usage/row.go
@@ -12,21 +12,22 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Table is the table that holds the sums of windows, from before they are first reported.
+// Table is the table that holds the sums of windows. A sum is written before it is first reported.
 const Table = "springweir-usage"
 
-// record is a sum as a row of the table holds it: JSON, compressed, since that of thousands of
-// organisations would not fit.
+// record is the value of a row: JSON, compressed because the counts of thousands of organisations
+// would otherwise exceed the size limit of a row.
 type record struct {
-	// ID is of the write that made the row.
+	// ID identifies the write that created the row.
 	ID     string            `json:"id"`
 	Counts map[string]uint64 `json:"counts"`
 }
 
-// rowKey names a window's row.
+// rowKey returns the key of a window's row.
 func rowKey(w Window) table.Key { return table.Key{Table: Table, Row: fmt.Sprintf("%012d", uint64(w))} }
 
-// encode cannot fail: the record holds only strings and numbers, and goes to memory.
+// encode returns the compressed record. It panics on errors, which cannot occur: the record holds
+// only strings and numbers and is written to memory.
 func (r record) encode() []byte {
 	var out bytes.Buffer
 	z := gzip.NewWriter(&out)
@@ -36,7 +37,7 @@
 	return out.Bytes()
 }
 
-// decode reads a row. The error is *table.MalformedRowError.
+// decode decodes a row. The error is *table.MalformedRowError.
 func decode(row table.Row) (record, error) {
 	var r record
 	z, err := gzip.NewReader(bytes.NewReader(row.Value))
@@ -46,13 +47,13 @@
 		err = errors.Join(err, json.Unmarshal(text, &r))
 	}
 	if err != nil {
-		return record{}, &table.MalformedRowError{Key: row.Key, Version: row.Version, Problem: "no sum of a window", Cause: err}
+		return record{}, &table.MalformedRowError{Key: row.Key, Version: row.Version, Problem: "row holds no window sum", Cause: err}
 	}
 	return r, nil
 }
 
-// read returns the sum of a window as the store holds it, or nil if it holds none.
-func read(ctx context.Context, rows table.Service, w Window) (map[string]uint64, error) {
+// readSum returns the stored sum of a window, or nil if there is none.
+func readSum(ctx context.Context, rows table.Service, w Window) (map[string]uint64, error) {
 	list, err := rows.Get(ctx, rowKey(w))
 	if err != nil || list[0].Version == table.Absent {
 		return nil, err
@@ -61,7 +62,7 @@
 	return r.Counts, err
 }
 
-// isConflict tells whether a write met a row that was there already.
+// isConflict reports whether a write failed because the row already exists.
 func isConflict(err error) bool {
 	var conflict *table.ConflictError
 	return errors.As(err, &conflict)
--- a/duties/usage/sum.go
+++ b/duties/usage/sum.go
@@ -6,44 +6,45 @@
 	"github.com/springweir/springweir/duties/usage/usagepb"
 )
 
-// sum adds up the accounts of a window that several VMs gave. Of one process each may know a part.
+// sum adds up the accounts of a window that were read from several VMs, each of which may hold only
+// a part of a process's counts.
 type sum struct {
 	window    Window
 	processes map[uint64]*process
 }
 
-// process is what is known of one process in a window.
+// process holds the combined account of one process.
 type process struct {
 	vm     string
 	counts map[uint64]uint32
 	sealed Window
-	// silent is how long ago it was last heard of by any VM.
-	silent time.Duration
+	// sinceSeen is the time since any VM last received a message from the process.
+	sinceSeen time.Duration
 }
 
 func newSum(w Window) *sum { return &sum{window: w, processes: map[uint64]*process{}} }
 
-// add takes in accounts. A malformed one is passed over.
-func (s *sum) add(list []*usagepb.Account) {
-	for _, a := range list {
+// add merges accounts. Malformed ones are ignored.
+func (s *sum) add(accounts []*usagepb.Account) {
+	for _, a := range accounts {
 		if Window(a.Window) != s.window || len(a.Organisation) != len(a.Count) {
 			continue
 		}
-		silent := time.Duration(a.SilentMs) * time.Millisecond
+		sinceSeen := time.Duration(a.SilentMs) * time.Millisecond
 		p := s.processes[a.Boot]
 		if p == nil {
-			p = &process{vm: a.Vm, counts: map[uint64]uint32{}, silent: silent}
+			p = &process{vm: a.Vm, counts: map[uint64]uint32{}, sinceSeen: sinceSeen}
 			s.processes[a.Boot] = p
 		}
 		for i, organisation := range a.Organisation {
 			p.counts[organisation] = max(p.counts[organisation], a.Count[i])
 		}
-		p.sealed, p.silent = max(p.sealed, Window(a.Sealed)), min(p.silent, silent)
+		p.sealed, p.sinceSeen = max(p.sealed, Window(a.Sealed)), min(p.sinceSeen, sinceSeen)
 	}
 }
 
-// vms is the number of VMs of which anything is known.
-func (s *sum) vms() int {
+// vmCount returns the number of VMs with at least one account.
+func (s *sum) vmCount() int {
 	names := map[string]bool{}
 	for _, p := range s.processes {
 		names[p.vm] = true
@@ -51,25 +52,25 @@
 	return len(names)
 }
 
-// missing lists the VMs that may still count something in the window: those whose process last heard
-// of has not sealed it. An earlier process of a VM has ended.
-func (s *sum) missing() []string {
-	last := map[string]*process{}
+// unsealed returns the VMs that may still count requests in the window: those whose most recently
+// seen process has not sealed it. Earlier processes of a VM have ended.
+func (s *sum) unsealed() []string {
+	latest := map[string]*process{}
 	for _, p := range s.processes {
-		if known := last[p.vm]; known == nil || p.silent < known.silent {
-			last[p.vm] = p
+		if previous := latest[p.vm]; previous == nil || p.sinceSeen < previous.sinceSeen {
+			latest[p.vm] = p
 		}
 	}
-	var list []string
-	for vm, p := range last {
+	var vms []string
+	for vm, p := range latest {
 		if p.sealed < s.window {
-			list = append(list, vm)
+			vms = append(vms, vm)
 		}
 	}
-	return list
+	return vms
 }
 
-// counts are those of all processes together.
+// counts returns the total counts of all processes.
 func (s *sum) counts() map[uint64]uint64 {
 	total := map[uint64]uint64{}
 	for _, p := range s.processes {
--- a/duties/usage/usagepb/usage.twirp.go
+++ b/duties/usage/usagepb/usage.twirp.go
@@ -31,9 +31,9 @@
 // Ledger Interface
 // ================
 
-// Ledger gives the accounts that a VM holds.
+// Ledger serves the accounts that a VM holds.
 type Ledger interface {
-	// Read returns the accounts of a window, of all processes that are known.
+	// Read returns the accounts of a window for all known processes.
 	Read(context.Context, *ReadRequest) (*ReadResponse, error)
 }
 
