--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,15 +1,16 @@
-// Package freshness tells how old a VM's knowledge of the configuration can be. A VM that nobody
-// can reach does not learn that a key was taken away, so it may accept keys only while it can show
-// that what it knows was the newest a short while ago.
+// Package freshness bounds the age of a VM's copy of the configuration. A VM that is cut off from
+// all others does not learn that an API key was revoked, so it may accept keys only while it can
+// prove that its configuration was the newest one a short time ago.
 //
-// What shows that is a Confirmation: at some moment the newest version that the store had
-// acknowledged was no later than a given one. The VMs that read the store make confirmations, dated
-// to when they sent the question that the store answered, and the others learn them from these.
+// The proof is a Confirmation: at some point in time, the newest version acknowledged by the store
+// was not later than a given version. VMs that read the store create confirmations, dated to the
+// time at which they sent the query, and the other VMs receive the confirmations from them.
 //
-// Invariant: a confirmation is never dated later than the moment it is true of. Each step that
-// passes one on dates it by what the receiver knows to lie before the sender's reading of its age:
-// when the receiver sent the question, not when the answer came. A pause anywhere on the way then
-// makes a confirmation look older than it is, never younger.
+// Invariant: a confirmation is never dated later than the time for which it holds. Each VM that
+// receives a confirmation dates it relative to an event that is known to precede the sender's
+// reading of the age: the time at which the receiver sent its request, not the time at which the
+// response arrived. A delay at any point then makes a confirmation look older than it is, never
+// younger.
 package freshness
 
 import (
@@ -19,74 +20,77 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// Confirmation says that the newest version acknowledged before a moment was Version or an earlier
-// one.
+// Confirmation states that the newest version acknowledged before the time At was Version or an
+// earlier one.
 type Confirmation struct {
 	Version uint64
-	// At is the moment, by this VM's clock.
+	// At is measured by this VM's clock.
 	At time.Time
 }
 
-// ReceivedConfirmation returns the confirmation that another VM told of a version and an age. It read the age after
-// something of this VM had come that was sent at sent.
+// ReceivedConfirmation returns a confirmation received from another VM with a version and an age.
+// The other VM must have read the age after it received a message that this VM sent at sent.
 func ReceivedConfirmation(version uint64, age time.Duration, sent time.Time) Confirmation {
 	return Confirmation{Version: version, At: sent.Add(-age)}
 }
 
-// Tracker holds the newest confirmations. It is safe for concurrent use; mu is a leaf.
+// Tracker holds the newest confirmations. It is safe for concurrent use; mu is a leaf in the lock
+// order.
 type Tracker struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// inForce is the version that this VM decides by, and highest the highest that it has heard of.
-	// They also differ for longer: a store that comes back from a copy confirms the version of the
-	// copy, which is not what a VM may go by that knows of a later one.
-	inForce, highest uint64
-	// newest is the newest confirmation, of whatever version; current is the newest of a version
-	// that is in force here. They differ while this VM lacks a version that others know.
+	// appliedVersion is the version in force on this VM, and highestVersion the highest version in
+	// any confirmation or in force. They can differ permanently: a store that was restored from a
+	// backup confirms the version of the backup, on which a VM that has received a later one must
+	// not rely.
+	appliedVersion, highestVersion uint64
+	// newest is the newest confirmation of any version, and current the newest confirmation that
+	// covers the version in force. They differ while other VMs have a version that this VM lacks.
 	newest, current Confirmation
 }
 
-// New returns a tracker without any confirmation. A nil now is the VM's clock.
+// New returns a tracker without any confirmation. A nil now defaults to the VM's clock.
 func New(now func() time.Time) *Tracker { return &Tracker{now: clock.OrSystem(now)} }
 
-// SetInForce notes that this VM decides by a version from now on. It must be called after that is so,
-// and versions must not fall.
+// SetInForce records that a version is in force on this VM. It must be called after the version
+// took effect. Lower versions than before are ignored.
 func (t *Tracker) SetInForce(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.inForce = max(t.inForce, version)
-	t.highest = max(t.highest, version)
-	t.take(t.newest)
+	t.appliedVersion = max(t.appliedVersion, version)
+	t.highestVersion = max(t.highestVersion, version)
+	t.updateCurrent(t.newest)
 }
 
-// Decides tells whether this VM decides by any version yet.
-func (t *Tracker) Decides() bool {
+// HasVersion reports whether any version is in force.
+func (t *Tracker) HasVersion() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.inForce != 0
+	return t.appliedVersion != 0
 }
 
-// Confirm takes in a confirmation.
+// Confirm records a confirmation.
 func (t *Tracker) Confirm(c Confirmation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.highest = max(t.highest, c.Version)
+	t.highestVersion = max(t.highestVersion, c.Version)
 	if c.At.After(t.newest.At) {
 		t.newest = c
 	}
-	t.take(c)
+	t.updateCurrent(c)
 }
 
-// take makes a confirmation the current one if it is of what is in force, and newer. The caller
-// holds mu.
-func (t *Tracker) take(c Confirmation) {
-	if t.highest <= t.inForce && c.At.After(t.current.At) {
+// updateCurrent replaces the current confirmation by c if c is newer and no version higher than the
+// one in force is known. The caller holds mu.
+func (t *Tracker) updateCurrent(c Confirmation) {
+	if t.highestVersion <= t.appliedVersion && c.At.After(t.current.At) {
 		t.current = c
 	}
 }
 
-// Age is how old what this VM decides by can be; false if nothing has ever shown it.
+// Age returns the maximum age of the configuration in force. The result is false if it was never
+// confirmed.
 func (t *Tracker) Age() (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,8 +100,8 @@
 	return t.now().Sub(t.current.At), true
 }
 
-// Newest returns what to tell other VMs, with the age that the confirmation has now; false if there
-// is none.
+// Newest returns the newest confirmation for other VMs, with its current age. known is false if
+// there is none.
 func (t *Tracker) Newest() (version uint64, age time.Duration, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/freshness/model_test.go
+++ b/freshness/model_test.go
@@ -7,267 +7,268 @@
 	"time"
 )
 
-// The protocol by which knowledge of the configuration stays fresh, as a state that is searched
-// through all orders of its steps: a store, a reader that asks it, and a member that the reader
-// tells. Any step may come at any time after the one before it, so that every delay on the way and
-// every suspension of a VM is among them. The trackers and the dating are the ones that serve.
+// Model of the protocol that keeps the configuration up to date, searched exhaustively over all
+// orders of its steps: a store, a reader that queries it, and a member that receives confirmations
+// from the reader. Any step may follow at any time after the previous one, so that the search
+// covers every network delay and every suspension of a VM. The model runs the real Tracker and
+// ReceivedConfirmation.
 //
-// The configuration goes from version 1 to version 2, which takes a key away.
+// The configuration changes from version 1 to version 2, which revokes a key.
 
 const (
-	// maxAge is how old, in steps of time, what a key is accepted by may be.
-	maxAge = 1
-	// horizon is how many steps of time are looked at.
-	horizon = 3
-	none    = -1
+	// maxAgeSteps is the maximum age of a configuration by which keys are accepted, in time steps.
+	maxAgeSteps = 1
+	// maxSteps is the number of time steps that are searched.
+	maxSteps = 3
+	none     = -1
 )
 
-// known is the state of a Tracker, with times in steps.
-type known struct {
+// trackerState is the state of a Tracker, with times in steps.
+type trackerState struct {
 	inForce, highest uint64
-	newest, current  seen
+	newest, current  confirmationState
 }
 
-type seen struct {
+type confirmationState struct {
 	version uint64
 	at      int
 }
 
-// message is one datagram, or a question to the store, on its way.
-type message struct {
-	there bool
-	// stamp is when the sender of the stamp sent it, or none.
+// messageState is the state of a datagram, or of a query to the store.
+type messageState struct {
+	inFlight bool
+	// stamp is the time at which the request was sent, or none.
 	stamp int
-	// told is set once the reader has answered, with version and age; for a question to the store,
-	// version is its answer.
-	told    bool
-	version uint64
-	age     int
+	// responded is set once the message carries a version and an age, or, for a query, the version
+	// that the store returned.
+	responded bool
+	version   uint64
+	age       int
 }
 
-type state struct {
+type protocolState struct {
 	now int
-	// acked is when version 2 was acknowledged, or none.
-	acked          int
-	reader, member known
-	// question is the reader's to the store, which it sent at stamp.
-	question message
-	// up and down are datagrams from the member to the reader and back.
-	up, down message
-	// echo is the stamp that the reader has to send back, or none.
+	// ackedAt is the time at which the store acknowledged version 2, or none.
+	ackedAt        int
+	reader, member trackerState
+	// query is the reader's query to the store, sent at its stamp.
+	query messageState
+	// upward and downward are datagrams from the member to the reader and back.
+	upward, downward messageState
+	// echo is the stamp that the reader has to return, or none.
 	echo int
 }
 
-func initial() state {
-	start := known{inForce: 1, highest: 1, newest: seen{at: none}, current: seen{at: none}}
-	return state{acked: none, reader: start, member: start, echo: none}
+func initial() protocolState {
+	start := trackerState{inForce: 1, highest: 1, newest: confirmationState{at: none}, current: confirmationState{at: none}}
+	return protocolState{ackedAt: none, reader: start, member: start, echo: none}
 }
 
-func moment(at int) time.Time {
-	if at == none {
+func toTime(step int) time.Time {
+	if step == none {
 		return time.Time{}
 	}
-	return time.Unix(int64(1000+at), 0)
+	return time.Unix(int64(1000+step), 0)
 }
 
-func step(at time.Time) int {
-	if at.IsZero() {
+func toStep(t time.Time) int {
+	if t.IsZero() {
 		return none
 	}
-	return int(at.Unix()) - 1000
+	return int(t.Unix()) - 1000
 }
 
-// with lets f work on a tracker in a known state, and returns its state after that.
-func (k known) with(now int, f func(*Tracker)) known {
-	t := &Tracker{
-		now: func() time.Time { return moment(now) }, inForce: k.inForce, highest: k.highest,
-		newest: Confirmation{k.newest.version, moment(k.newest.at)}, current: Confirmation{k.current.version, moment(k.current.at)},
+// withTracker runs f on a tracker in state s and returns the tracker's new state.
+func (s trackerState) withTracker(now int, f func(*Tracker)) trackerState {
+	tracker := &Tracker{
+		now: func() time.Time { return toTime(now) }, appliedVersion: s.inForce, highestVersion: s.highest,
+		newest: Confirmation{s.newest.version, toTime(s.newest.at)}, current: Confirmation{s.current.version, toTime(s.current.at)},
 	}
-	f(t)
-	return known{
-		inForce: t.inForce, highest: t.highest,
-		newest: seen{t.newest.Version, step(t.newest.At)}, current: seen{t.current.Version, step(t.current.At)},
+	f(tracker)
+	return trackerState{
+		inForce: tracker.appliedVersion, highest: tracker.highestVersion,
+		newest: confirmationState{tracker.newest.Version, toStep(tracker.newest.At)}, current: confirmationState{tracker.current.Version, toStep(tracker.current.At)},
 	}
 }
 
-// accepts tells whether a VM accepts keys, and by which version.
-func (k known) accepts(now int) (version uint64, accepted bool) {
-	k.with(now, func(t *Tracker) {
-		age, shown := t.Age()
-		accepted = shown && age <= maxAge*time.Second
+// accepts reports whether a VM accepts keys, and by which version.
+func (s trackerState) accepts(now int) (version uint64, accepted bool) {
+	s.withTracker(now, func(tracker *Tracker) {
+		age, known := tracker.Age()
+		accepted = known && age <= maxAgeSteps*time.Second
 	})
-	return k.inForce, accepted
+	return s.inForce, accepted
 }
 
-func (s state) stored() uint64 {
-	if s.acked == none {
+func (s protocolState) storedVersion() uint64 {
+	if s.ackedAt == none {
 		return 1
 	}
 	return 2
 }
 
-// rules are the protocol's points on which its safety rests; a fault changes one.
-type rules struct {
-	// date returns when the answer to something sent at sent, which comes now, is true of.
-	date func(sent, now int) int
-	// confirmFirst makes a VM take a confirmation before what it confirms is in force.
-	confirmFirst bool
-	// anyVersion makes a confirmation count whatever version is in force.
-	anyVersion bool
+// protocol holds the rules on which safety depends; each fault changes one of them.
+type protocol struct {
+	// dateOf returns the date of a response that arrives now to a request sent at sent.
+	dateOf func(sent, now int) int
+	// confirmBeforeApply makes a VM record a confirmation before the confirmed version is in force.
+	confirmBeforeApply bool
+	// ignoreVersion makes a confirmation count for any version in force.
+	ignoreVersion bool
 }
 
-var sound = rules{date: func(sent, _ int) int { return sent }}
+var correctProtocol = protocol{dateOf: func(sent, _ int) int { return sent }}
 
-type action struct {
+type transition struct {
 	name string
-	next state
+	next protocolState
 }
 
-// actions are the steps that can come next.
-func (r rules) actions(s state) []action {
-	var list []action
-	add := func(name string, change func(*state)) {
+// transitions returns the steps that are possible in a state.
+func (p protocol) transitions(s protocolState) []transition {
+	var transitions []transition
+	add := func(name string, change func(*protocolState)) {
 		next := s
 		change(&next)
-		list = append(list, action{name, next})
+		transitions = append(transitions, transition{name, next})
 	}
-	if s.now < horizon {
-		add("time passes", func(n *state) { n.now++ })
+	if s.now < maxSteps {
+		add("time passes", func(n *protocolState) { n.now++ })
 	}
-	if s.acked == none {
-		add("store acknowledges version 2", func(n *state) { n.acked = n.now })
+	if s.ackedAt == none {
+		add("store acknowledges version 2", func(n *protocolState) { n.ackedAt = n.now })
 	}
-	r.readerAsks(s, add)
-	r.memberAsks(s, add)
+	p.readerTransitions(s, add)
+	p.memberTransitions(s, add)
 	if s.member.inForce < s.reader.inForce {
-		add("member gets the reader's version", func(n *state) {
-			n.member = n.member.with(n.now, func(t *Tracker) { t.SetInForce(n.reader.inForce) })
+		add("member applies the reader's version", func(n *protocolState) {
+			n.member = n.member.withTracker(n.now, func(t *Tracker) { t.SetInForce(n.reader.inForce) })
 		})
 	}
-	return list
+	return transitions
 }
 
-func (r rules) readerAsks(s state, add func(string, func(*state))) {
-	q := s.question
+func (p protocol) readerTransitions(s protocolState, add func(string, func(*protocolState))) {
+	query := s.query
 	switch {
-	case !q.there:
-		add("reader asks the store", func(n *state) { n.question = message{there: true, stamp: n.now} })
-	case !q.told:
-		add("store answers", func(n *state) { n.question.told, n.question.version = true, n.stored() })
+	case !query.inFlight:
+		add("reader queries the store", func(n *protocolState) { n.query = messageState{inFlight: true, stamp: n.now} })
+	case !query.responded:
+		add("store responds", func(n *protocolState) { n.query.responded, n.query.version = true, n.storedVersion() })
 	default:
-		at := r.date(q.stamp, s.now)
-		confirm := func(n *state) {
-			n.reader = n.reader.with(n.now, func(t *Tracker) {
-				if r.confirmFirst {
-					t.current = Confirmation{q.version, moment(at)}
+		at := p.dateOf(query.stamp, s.now)
+		confirm := func(n *protocolState) {
+			n.reader = n.reader.withTracker(n.now, func(t *Tracker) {
+				if p.confirmBeforeApply {
+					t.current = Confirmation{query.version, toTime(at)}
 				}
-				t.Confirm(Confirmation{q.version, moment(at)})
+				t.Confirm(Confirmation{query.version, toTime(at)})
 			})
 		}
-		if r.confirmFirst && q.version > s.reader.inForce {
-			add("reader notes the confirmation", confirm)
+		if p.confirmBeforeApply && query.version > s.reader.inForce {
+			add("reader records the confirmation", confirm)
 		}
-		add("reader takes the answer", func(n *state) {
-			n.reader = n.reader.with(n.now, func(t *Tracker) { t.SetInForce(q.version) })
+		add("reader receives the response", func(n *protocolState) {
+			n.reader = n.reader.withTracker(n.now, func(t *Tracker) { t.SetInForce(query.version) })
 			confirm(n)
-			n.question = message{}
+			n.query = messageState{}
 		})
-		add("the answer is lost", func(n *state) { n.question = message{} })
+		add("the response is lost", func(n *protocolState) { n.query = messageState{} })
 	}
 }
 
-func (r rules) memberAsks(s state, add func(string, func(*state))) {
-	if !s.up.there {
-		add("member sends a stamp", func(n *state) { n.up = message{there: true, stamp: n.now} })
+func (p protocol) memberTransitions(s protocolState, add func(string, func(*protocolState))) {
+	if !s.upward.inFlight {
+		add("member sends a stamp", func(n *protocolState) { n.upward = messageState{inFlight: true, stamp: n.now} })
 	} else {
-		add("reader takes the stamp", func(n *state) { n.echo, n.up = n.up.stamp, message{} })
-		add("the stamp is lost", func(n *state) { n.up = message{} })
+		add("reader receives the stamp", func(n *protocolState) { n.echo, n.upward = n.upward.stamp, messageState{} })
+		add("the stamp is lost", func(n *protocolState) { n.upward = messageState{} })
 	}
-	if s.down.there {
-		at := r.date(s.down.stamp, s.now)
-		add("member takes the confirmation", func(n *state) {
-			n.member = n.member.with(n.now, func(t *Tracker) {
-				c := ReceivedConfirmation(n.down.version, time.Duration(n.down.age)*time.Second, moment(at))
-				if r.anyVersion {
-					c.Version = min(c.Version, t.inForce)
+	if s.downward.inFlight {
+		at := p.dateOf(s.downward.stamp, s.now)
+		add("member receives the confirmation", func(n *protocolState) {
+			n.member = n.member.withTracker(n.now, func(t *Tracker) {
+				c := ReceivedConfirmation(n.downward.version, time.Duration(n.downward.age)*time.Second, toTime(at))
+				if p.ignoreVersion {
+					c.Version = min(c.Version, t.appliedVersion)
 				}
 				t.Confirm(c)
 			})
-			n.down = message{}
+			n.downward = messageState{}
 		})
 		return
 	}
 	if s.echo == none || s.reader.newest.at == none {
 		return
 	}
-	add("reader tells its confirmation", func(n *state) {
-		n.reader.with(n.now, func(t *Tracker) {
+	add("reader sends its confirmation", func(n *protocolState) {
+		n.reader.withTracker(n.now, func(t *Tracker) {
 			version, age, _ := t.Newest()
-			n.down = message{there: true, stamp: n.echo, told: true, version: version, age: int(age / time.Second)}
+			n.downward = messageState{inFlight: true, stamp: n.echo, responded: true, version: version, age: int(age / time.Second)}
 		})
 		n.echo = none
 	})
 }
 
-// broken tells whether a VM accepts a key that was taken away too long ago.
-func (s state) broken() bool {
-	for _, vm := range []known{s.reader, s.member} {
+// violated reports whether a VM accepts a key whose revocation is older than the bound.
+func (s protocolState) violated() bool {
+	for _, vm := range []trackerState{s.reader, s.member} {
 		version, accepted := vm.accepts(s.now)
-		if accepted && version < s.stored() && s.now-s.acked > maxAge {
+		if accepted && version < s.storedVersion() && s.now-s.ackedAt > maxAgeSteps {
 			return true
 		}
 	}
 	return false
 }
 
-// search looks at all states that can be reached, and returns the steps to the first broken one.
-func (r rules) search() (states int, trace []string) {
+// search explores all reachable states, and returns the steps to the first violation.
+func (p protocol) search() (states int, trace []string) {
 	type origin struct {
-		from state
+		from protocolState
 		step string
 	}
 	start := initial()
-	came := map[state]origin{start: {}}
-	for queue := []state{start}; len(queue) > 0; queue = queue[1:] {
+	reachedFrom := map[protocolState]origin{start: {}}
+	for queue := []protocolState{start}; len(queue) > 0; queue = queue[1:] {
 		s := queue[0]
-		if s.broken() {
-			for at := s; at != start; at = came[at].from {
-				trace = append(trace, came[at].step)
+		if s.violated() {
+			for at := s; at != start; at = reachedFrom[at].from {
+				trace = append(trace, reachedFrom[at].step)
 			}
 			slices.Reverse(trace)
-			return len(came), trace
+			return len(reachedFrom), trace
 		}
-		for _, a := range r.actions(s) {
-			if _, had := came[a.next]; !had {
-				came[a.next] = origin{s, a.name}
-				queue = append(queue, a.next)
+		for _, t := range p.transitions(s) {
+			if _, reached := reachedFrom[t.next]; !reached {
+				reachedFrom[t.next] = origin{s, t.name}
+				queue = append(queue, t.next)
 			}
 		}
 	}
-	return len(came), nil
+	return len(reachedFrom), nil
 }
 
-// No order of steps makes a VM accept a key that was taken away longer ago than the bound, and the
-// search finds each of the faults that it is there for.
-func TestNoOrderOfStepsKeepsAKeyAlive(t *testing.T) {
-	states, trace := sound.search()
+// No order of steps makes a VM accept a key whose revocation is older than the bound, and the
+// search detects each of the injected faults.
+func TestModelRejectsRevokedKeysInTime(t *testing.T) {
+	states, trace := correctProtocol.search()
 	if trace != nil {
-		t.Errorf("a key lives on after:\n%s", fmt.Sprint(trace))
+		t.Errorf("a revoked key is accepted after:\n%s", fmt.Sprint(trace))
 	}
 	if states < 10000 {
-		t.Errorf("only %d states were looked at", states)
+		t.Errorf("only %d states were searched", states)
 	}
 	t.Logf("%d states", states)
 	arrival := func(_, now int) int { return now }
-	for name, fault := range map[string]rules{
-		"dated to the arrival":            {date: arrival},
-		"confirmed before it is in force": {date: sound.date, confirmFirst: true},
-		"confirmed for another version":   {date: sound.date, anyVersion: true},
+	for name, fault := range map[string]protocol{
+		"dated to the arrival":            {dateOf: arrival},
+		"confirmed before it is in force": {dateOf: correctProtocol.dateOf, confirmBeforeApply: true},
+		"confirmed for another version":   {dateOf: correctProtocol.dateOf, ignoreVersion: true},
 	} {
 		if states, trace := fault.search(); trace == nil {
-			t.Errorf("%s: not found in %d states", name, states)
+			t.Errorf("%s: no violation in %d states", name, states)
 		} else {
-			t.Logf("%s: found after %d states: %v", name, states, trace)
+			t.Logf("%s: violation after %d states: %v", name, states, trace)
 		}
 	}
 }
--- a/leaving/leaving.go
+++ b/leaving/leaving.go
@@ -1,6 +1,6 @@
-// Package leaving tells which endpoints are about to stop. Three signals say
-// so, any one enough: the operators' tree, the platform's membership list, and
-// the endpoint itself. None of them needs another to be in reach.
+// Package leaving records which endpoints are about to stop. Three independent signals report this,
+// and each is sufficient: the operators' tree, the platform's membership list, and the endpoint
+// itself. No signal depends on the availability of another.
 package leaving
 
 import (
@@ -11,61 +11,60 @@
 	"github.com/springweir/springweir/membership"
 )
 
-// ListPollInterval is how often each entry reads the membership list, and EndpointPollInterval
-// how often each endpoint is asked by the entry that polls it. An endpoint that
-// says it leaves is passed on at once to all entries of the zone, so each
-// signal stops new work within MaxStopDelay of its being visible.
+// ListPollInterval is the time between two reads of the membership list by an entry, and
+// EndpointPollInterval the time between two polls of an endpoint by the entry responsible for it.
+// When an endpoint reports that it is leaving, all entries of the zone are notified at once, so
+// that each signal stops new requests within MaxStopDelay of becoming visible.
 const (
 	ListPollInterval     = 1500 * time.Millisecond
 	EndpointPollInterval = time.Second
 	MaxStopDelay         = 3 * time.Second
 )
 
-// Signal is what says that an endpoint is leaving.
+// Signal is the source that reports an endpoint as leaving.
 type Signal string
 
-// The signals.
+// The signals. If several apply to an endpoint, Leaving returns the first of these.
 const (
 	// SignalTree is a drain, replacement or withdrawal in the operators' tree.
 	SignalTree Signal = "tree"
 	// SignalList is the platform's membership list.
 	SignalList Signal = "membership-list"
-	// SignalEndpoint is the endpoint itself.
+	// SignalEndpoint is the endpoint's own report.
 	SignalEndpoint Signal = "endpoint"
 )
 
-// Set joins the three signals. It is safe for concurrent use; Leaving takes no
-// lock.
+// Set combines the three signals. It is safe for concurrent use; Leaving takes no lock.
 //
-// Invariant: joined is the union of the three maps, replaced under mu with
-// each change.
+// Invariant: union is the union of the three maps, replaced under mu with each change.
 type Set struct {
-	joined atomic.Pointer[map[string]Signal]
+	union atomic.Pointer[map[string]Signal]
 
-	// mu guards all below. It is a leaf.
+	// mu guards the fields below. It is a leaf in the lock order.
 	mu   sync.Mutex
 	tree map[string]bool
 	list map[string]bool
-	// listed holds the endpoints that the list has shown.
+	// listed holds all endpoints that have ever been in the membership list.
 	listed map[string]bool
-	// said holds the incarnation that each endpoint said is leaving.
-	said map[string]string
+	// reported holds, for each endpoint that reported that it is leaving, the incarnation that did
+	// so.
+	reported map[string]string
 }
 
-// NewSet returns a set in which nothing is leaving.
+// NewSet returns a set without leaving endpoints.
 func NewSet() *Set {
-	s := &Set{listed: map[string]bool{}, said: map[string]string{}}
-	s.joined.Store(&map[string]Signal{})
+	s := &Set{listed: map[string]bool{}, reported: map[string]string{}}
+	s.union.Store(&map[string]Signal{})
 	return s
 }
 
-// Leaving tells whether the endpoint is leaving, and by which signal.
+// Leaving reports whether the endpoint is leaving, and by which signal.
 func (s *Set) Leaving(endpoint string) (Signal, bool) {
-	signal, ok := (*s.joined.Load())[endpoint]
+	signal, ok := (*s.union.Load())[endpoint]
 	return signal, ok
 }
 
-// SetTree takes over the endpoints that the tree in force marks.
+// SetTree replaces the endpoints marked as leaving in the tree.
 func (s *Set) SetTree(endpoints []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,12 +72,11 @@
 	for _, name := range endpoints {
 		s.tree[name] = true
 	}
-	s.join()
+	s.updateUnion()
 }
 
-// SetList takes over a membership list that was read. An endpoint that the
-// list had and has no more is gone. While the list is out of reach nothing is
-// taken over, and what it said last stands.
+// SetList applies a membership list. An endpoint that was in an earlier list and no longer is
+// counts as leaving. While the list is unavailable, the state of the last list remains.
 func (s *Set) SetList(vms []membership.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,41 +97,41 @@
 			s.list[name] = true
 		}
 	}
-	s.join()
+	s.updateUnion()
 }
 
-// Record records what an endpoint said of itself, and returns whether that is
-// news, to be passed on to the zone. A new incarnation is a new start: the
-// endpoint came back and is leaving no more unless it says so again.
+// Record records an endpoint's report about itself. It returns true if the report changes the
+// endpoint to leaving and has to be forwarded to the zone. A new incarnation is a restart: the
+// endpoint is available again unless it reports that it is leaving.
 func (s *Set) Record(endpoint, incarnation string, leaving bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was, known := s.said[endpoint]
+	previous, known := s.reported[endpoint]
 	switch {
-	case leaving && known && was == incarnation:
+	case leaving && known && previous == incarnation:
 		return false
 	case leaving:
-		s.said[endpoint] = incarnation
-	case known && was != incarnation:
-		delete(s.said, endpoint)
+		s.reported[endpoint] = incarnation
+	case known && previous != incarnation:
+		delete(s.reported, endpoint)
 	default:
 		return false
 	}
-	s.join()
+	s.updateUnion()
 	return leaving
 }
 
-// join rebuilds the union. The caller holds mu.
-func (s *Set) join() {
-	joined := map[string]Signal{}
-	for name := range s.said {
-		joined[name] = SignalEndpoint
+// updateUnion rebuilds the union. The caller holds mu.
+func (s *Set) updateUnion() {
+	union := map[string]Signal{}
+	for name := range s.reported {
+		union[name] = SignalEndpoint
 	}
 	for name := range s.list {
-		joined[name] = SignalList
+		union[name] = SignalList
 	}
 	for name := range s.tree {
-		joined[name] = SignalTree
+		union[name] = SignalTree
 	}
-	s.joined.Store(&joined)
+	s.union.Store(&union)
 }
--- a/leaving/leaving_test.go
+++ b/leaving/leaving_test.go
@@ -17,31 +17,31 @@
 }
 
 func TestSignals(t *testing.T) {
-	present := func(s *Set) { s.SetList([]membership.VM{endpoint("e", false)}) }
+	listed := func(s *Set) { s.SetList([]membership.VM{endpoint("e", false)}) }
 	tests := []struct {
-		name string
-		do   []func(*Set)
-		want Signal
+		name  string
+		steps []func(*Set)
+		want  Signal
 	}{
-		{"none", []func(*Set){present}, ""},
-		{"tree", []func(*Set){present, func(s *Set) { s.SetTree([]string{"e"}) }}, SignalTree},
-		{"tree takes back", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.SetTree(nil) }}, ""},
+		{"none", []func(*Set){listed}, ""},
+		{"tree", []func(*Set){listed, func(s *Set) { s.SetTree([]string{"e"}) }}, SignalTree},
+		{"tree mark removed", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.SetTree(nil) }}, ""},
 		{"list", []func(*Set){func(s *Set) { s.SetList([]membership.VM{endpoint("e", true)}) }}, SignalList},
-		{"list drops", []func(*Set){present, func(s *Set) { s.SetList(nil) }}, SignalList},
-		{"list never had it", []func(*Set){func(s *Set) { s.SetList(nil) }}, ""},
-		{"an entry of that name", []func(*Set){func(s *Set) {
+		{"removed from list", []func(*Set){listed, func(s *Set) { s.SetList(nil) }}, SignalList},
+		{"never in list", []func(*Set){func(s *Set) { s.SetList(nil) }}, ""},
+		{"entry of the same name", []func(*Set){func(s *Set) {
 			s.SetList([]membership.VM{{Name: "e", Kind: membership.Entry, Leaving: true}})
 		}}, ""},
-		{"endpoint", []func(*Set){present, func(s *Set) { s.Record("e", "1", true) }}, SignalEndpoint},
-		{"a late report of it staying", []func(*Set){func(s *Set) { s.Record("e", "1", true) }, func(s *Set) { s.Record("e", "1", false) }}, SignalEndpoint},
-		{"started anew", []func(*Set){func(s *Set) { s.Record("e", "1", true) }, func(s *Set) { s.Record("e", "2", false) }}, ""},
-		{"endpoint back but tree says so", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.Record("e", "2", false) }}, SignalTree},
+		{"endpoint", []func(*Set){listed, func(s *Set) { s.Record("e", "1", true) }}, SignalEndpoint},
+		{"late report that it is not leaving", []func(*Set){func(s *Set) { s.Record("e", "1", true) }, func(s *Set) { s.Record("e", "1", false) }}, SignalEndpoint},
+		{"restarted", []func(*Set){func(s *Set) { s.Record("e", "1", true) }, func(s *Set) { s.Record("e", "2", false) }}, ""},
+		{"restarted but marked in tree", []func(*Set){func(s *Set) { s.SetTree([]string{"e"}) }, func(s *Set) { s.Record("e", "2", false) }}, SignalTree},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := NewSet()
-			for _, do := range tt.do {
-				do(s)
+			for _, step := range tt.steps {
+				step(s)
 			}
 			got, _ := s.Leaving("e")
 			if diff := cmp.Diff(tt.want, got); diff != "" {
@@ -51,16 +51,15 @@
 	}
 }
 
-func TestNoteIsNewsOnce(t *testing.T) {
+func TestRecordReportsChangeOnce(t *testing.T) {
 	s := NewSet()
 	got := []bool{s.Record("e", "1", false), s.Record("e", "1", true), s.Record("e", "1", true), s.Record("e", "2", false), s.Record("e", "2", true)}
 	if diff := cmp.Diff([]bool{false, true, false, false, true}, got); diff != "" {
-		t.Errorf("news (-want +got):\n%s", diff)
+		t.Errorf("changes (-want +got):\n%s", diff)
 	}
 }
 
-// hangingList hangs on every second read until its caller gives up, and
-// answers the others.
+// hangingList hangs on every second read until the caller cancels it, and responds to the others.
 type hangingList struct {
 	vms   atomic.Pointer[[]membership.VM]
 	reads int
@@ -75,23 +74,23 @@
 	return *l.vms.Load(), nil
 }
 
-// A mark on the list stops new work within MaxStopDelay, also when the read before
-// it hangs, and stays when the list is then out of reach.
+// A mark in the list stops new requests within MaxStopDelay even if the read before it hangs, and
+// remains in effect while the list is unavailable.
 func TestListStopsWithinBound(t *testing.T) {
-	for at := time.Duration(0); at < 2*ListPollInterval; at += 100 * time.Millisecond {
+	for markedAt := time.Duration(0); markedAt < 2*ListPollInterval; markedAt += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			s, l := NewSet(), &hangingList{}
 			l.vms.Store(&[]membership.VM{endpoint("e", false)})
 			go s.WatchList(ctx, l)
-			time.Sleep(at)
+			time.Sleep(markedAt)
 			synctest.Wait()
 			l.vms.Store(&[]membership.VM{endpoint("e", true)})
 			time.Sleep(MaxStopDelay)
 			synctest.Wait()
-			if _, is := s.Leaving("e"); !is {
-				t.Errorf("marked at %v: still gets work %v later", at, MaxStopDelay)
+			if _, leaving := s.Leaving("e"); !leaving {
+				t.Errorf("marked at %v: not reported as leaving %v later", markedAt, MaxStopDelay)
 			}
 		})
 	}
--- a/leaving/watch.go
+++ b/leaving/watch.go
@@ -11,16 +11,16 @@
 	"github.com/springweir/springweir/membership"
 )
 
-// listTimeout bounds one read of the list, so that a read that hangs and the
-// next one together stay within MaxStopDelay.
+// listTimeout bounds one read of the list, so that a read that hangs and the next one stay within
+// MaxStopDelay together.
 const listTimeout = time.Second
 
 // WatchList reads the membership list into the set until ctx ends.
 func (s *Set) WatchList(ctx context.Context, list membership.List) {
 	for ctx.Err() == nil {
-		began := clock.Now()
+		started := clock.Now()
 		s.readList(ctx, list)
-		loop.Sleep(ctx, ListPollInterval-clock.Since(began))
+		loop.Sleep(ctx, ListPollInterval-clock.Since(started))
 	}
 }
 
