--- a/duties/scaling/scaling.go
+++ b/duties/scaling/scaling.go
@@ -193,7 +193,9 @@
 		return 0, nil
 	}
 	if err := writeBase(ctx, s.cfg.Rows, service, state.highest); err != nil {
-		return 0, err // a row written by another holder, or by this one without a response, is read by the next attempt
+		// Another holder may have written the row, or this one without receiving the response. The
+		// next attempt reads it.
+		return 0, err
 	}
 	return state.highest, nil
 }
--- a/duties/usage/ledger_test.go
+++ b/duties/usage/ledger_test.go
@@ -187,8 +187,8 @@
 }
 
 func TestUnsealed(t *testing.T) {
-	account := func(vm string, boot uint64, sealed Window, silent time.Duration) *usagepb.Account {
-		return &usagepb.Account{Vm: vm, Boot: boot, Window: 100, Sealed: uint64(sealed), SilentMs: uint32(silent.Milliseconds())}
+	account := func(vm string, boot uint64, sealed Window, sinceSeen time.Duration) *usagepb.Account {
+		return &usagepb.Account{Vm: vm, Boot: boot, Window: 100, Sealed: uint64(sealed), SilentMs: uint32(sinceSeen.Milliseconds())}
 	}
 	for _, tc := range []struct {
 		name     string
--- a/duties/usage/model_test.go
+++ b/duties/usage/model_test.go
@@ -98,7 +98,7 @@
 		add(func(n *modelState) { n.epoch, n.row = 1, noSum })
 	}
 	if s.write != (modelWrite{}) {
-		add(func(n *modelState) { n.apply(n.write); n.write = modelWrite{} }) // applied late, its response is lost
+		add(func(n *modelState) { n.apply(n.write); n.write = modelWrite{} }) // late, response lost
 		add(func(n *modelState) { n.write = modelWrite{} })
 	}
 	for i := range s.vms {
@@ -201,7 +201,7 @@
 }
 
 // No order of steps reports a window with two different sums, or lets a report of an earlier tenure
-// arrive after one of a later tenure. With any safeguard removed, some order does.
+// arrive after one of a later tenure. With any safeguard removed, at least one order does.
 func TestModelReportsNoWindowWithTwoSums(t *testing.T) {
 	violation, states := search(modelFault{})
 	if violation != "" {
