--- a/directory/announced.go
+++ b/directory/announced.go
@@ -6,50 +6,51 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// announcementMemory is how long a drain is remembered of an endpoint whose row is missing: the row
-// may come back after an outage of the store.
-const announcementMemory = 10 * time.Minute
+// drainRetention is how long an announced drain is kept for an endpoint whose row is missing: the
+// row may come back after an outage of the store.
+const drainRetention = 10 * time.Minute
 
-// Drain makes the incarnation of an endpoint a draining one by its own word, whatever its row says. It
-// tells whether that is news of a registered endpoint.
+// Drain marks the incarnation of an endpoint as draining because the endpoint announced it,
+// whatever its row contains. It reports whether that changed a registered endpoint.
 //
-// Invariant: a drain that was announced holds for as long as the incarnation lasts. A row that still
-// says that the endpoint is ready was written before it, or by another part of the endpoint.
+// Invariant: an announced drain holds as long as the incarnation lasts. A row that still shows the
+// endpoint as ready was written before the announcement, or by another part of the endpoint.
 func (d *Directory) Drain(e *Endpoint) bool {
-	if now := d.Snapshot().Endpoint(e.ID); now == nil || now.Draining || now.StartedAt != e.StartedAt {
+	if current := d.Snapshot().Endpoint(e.ID); current == nil || current.Draining || current.StartedAt != e.StartedAt {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.byID[e.ID]
-	if now == nil || now.Draining || now.StartedAt != e.StartedAt {
+	current := d.byID[e.ID]
+	if current == nil || current.Draining || current.StartedAt != e.StartedAt {
 		return false
 	}
-	d.announced[now.Incarnation()] = clock.Now()
+	d.announcedDrains[current.Incarnation()] = clock.Now()
 	d.publish()
 	return true
 }
 
-// applyAnnouncements makes endpoints draining that have announced it. The caller holds mu.
-func (d *Directory) applyAnnouncements(now time.Time) {
-	if len(d.announced) == 0 {
+// applyAnnouncedDrains marks endpoints as draining that have announced it, and discards
+// announcements after drainRetention. The caller holds mu.
+func (d *Directory) applyAnnouncedDrains(now time.Time) {
+	if len(d.announcedDrains) == 0 {
 		return
 	}
 	for id, e := range d.byID {
 		incarnation := e.Incarnation()
-		if _, announced := d.announced[incarnation]; !announced {
+		if _, announced := d.announcedDrains[incarnation]; !announced {
 			continue
 		}
-		d.announced[incarnation] = now
+		d.announcedDrains[incarnation] = now
 		if !e.Draining {
 			draining := *e
 			draining.Draining = true
 			d.byID[id] = &draining
 		}
 	}
-	for incarnation, seen := range d.announced {
-		if now.Sub(seen) > announcementMemory {
-			delete(d.announced, incarnation)
+	for incarnation, lastSeen := range d.announcedDrains {
+		if now.Sub(lastSeen) > drainRetention {
+			delete(d.announcedDrains, incarnation)
 		}
 	}
 }
--- a/directory/announced_test.go
+++ b/directory/announced_test.go
@@ -6,12 +6,12 @@
 	"github.com/springweir/springweir/table"
 )
 
-func row(id string, born int64, version int, draining bool) Registration {
-	return Registration{ID: id, StartedAt: born, Version: table.Version(version), Service: "llm", Draining: draining}
+func row(id string, startedAt int64, version int, draining bool) Registration {
+	return Registration{ID: id, StartedAt: startedAt, Version: table.Version(version), Service: "llm", Draining: draining}
 }
 
-// A drain that an endpoint has announced holds against rows that say that it is ready, against an outage
-// of the store in which its row is missing, and ends with its incarnation.
+// A drain that an endpoint announced holds against rows that show it as ready and against a store
+// outage in which its row is missing. It ends with the incarnation.
 func TestAnnouncedDrainHoldsForAnIncarnation(t *testing.T) {
 	d := New(nil)
 	d.Put(row("e1", 1, 1, false), row("e2", 1, 2, false))
@@ -21,11 +21,11 @@
 		t.Fatalf("%d usable", usable())
 	}
 	if d.Drain(first) {
-		t.Error("the same drain is news again")
+		t.Error("the same drain was reported as a change again")
 	}
 	d.Put(row("e1", 1, 3, false))
 	if usable() != 1 {
-		t.Error("a later row that says ready made it usable")
+		t.Error("a later row that shows it as ready made it usable")
 	}
 	d.Remove("e1")
 	d.Put(row("e1", 1, 4, false))
@@ -37,6 +37,6 @@
 		t.Error("the next incarnation is not usable")
 	}
 	if d.Drain(&Endpoint{Registration: row("unknown", 1, 9, false)}) || d.Drain(first) {
-		t.Error("a drain of no registered incarnation is news")
+		t.Error("a drain of an unregistered incarnation was reported as a change")
 	}
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory knows the endpoints that registered themselves in the
-// platform's store, as an immutable snapshot that every decision is made on.
+// Package directory tracks the endpoints registered in the platform's store. It provides immutable
+// snapshots, on which every decision is made.
 package directory
 
 import (
@@ -14,38 +14,39 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Registration is what an endpoint's row in the store says.
+// Registration is the content of an endpoint's row in the store.
 type Registration struct {
-	// ID names the endpoint. One that starts again may keep it.
+	// ID identifies the endpoint. A restarted endpoint may keep its ID.
 	ID string
-	// StartedAt is when this start of the endpoint began, in Unix milliseconds by its own
-	// clock; zero if it does not say. Of two starts under one ID the larger is the later.
+	// StartedAt is the start time of the endpoint's incarnation, in Unix milliseconds by its own
+	// clock; zero if not reported. Of two incarnations with the same ID the larger value is the
+	// later.
 	StartedAt int64
-	// Version is that of the row.
+	// Version is the version of the row.
 	Version table.Version
-	// Service is what it serves.
+	// Service is the service that the endpoint provides.
 	Service string
-	// Address is its host:port. After the endpoint has ended, the address may
-	// belong to another service's endpoint.
+	// Address is its host:port. After the endpoint has exited, the address may be reused by an
+	// endpoint of another service.
 	Address string
 	Zone    string
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Draining endpoints take no new work: their row says so, or a response of theirs has.
+	// Draining endpoints accept no new work, as reported by their row or by one of their responses.
 	Draining bool
-	// WarmupRemaining is how long it is still slow after its start, when the row was written.
+	// WarmupRemaining is the remaining warm-up, during which it is slow, when the row was written.
 	WarmupRemaining time.Duration
-	// Revocable endpoints cost less and may be taken away at short notice, all of a zone at once.
+	// Revocable endpoints cost less and may be revoked at short notice, all of a zone at once.
 	Revocable bool
 	// Role is an engine's role; empty for a plain service.
 	Role engine.Role
-	// Models are the models that an engine has loaded, with their versions.
+	// Models maps the models that an engine has loaded to their versions.
 	Models map[string]int
 }
 
-// Incarnation names one start of the endpoint. Whatever was learned of an endpoint
-// (its cache, open work, refusals, role orders, connections) is kept under it, so that
-// a start that remembers nothing is not taken for the one before.
+// Incarnation identifies one start of the endpoint. Everything recorded about an endpoint (its
+// cache, in-flight work, refusals, role orders, connections) is keyed by it, so that a restarted
+// endpoint, which has lost that state, is not mistaken for its predecessor.
 func (r *Registration) Incarnation() string {
 	if r.StartedAt == 0 {
 		return r.ID
@@ -53,42 +54,42 @@
 	return r.ID + "@" + strconv.FormatInt(r.StartedAt, 10)
 }
 
-// Endpoint is one endpoint as last registered. It is immutable.
+// Endpoint is an endpoint as last registered. It is immutable.
 type Endpoint struct {
 	Registration
-	// ReceivedAt is when this VM came to know of the registration.
+	// ReceivedAt is when this VM received the current version of the registration.
 	ReceivedAt time.Time
-	// Expired is set while the row is missing but may come back: the store has
-	// just returned from an outage, at ExpiredAt.
+	// Expired is set while the row is missing but may come back, because the store has just
+	// recovered from an outage. ExpiredAt is when it was set.
 	Expired   bool
 	ExpiredAt time.Time
 }
 
-// Usable tells whether new work may be sent.
+// Usable reports whether new work may be sent.
 func (e *Endpoint) Usable() bool { return !e.Draining }
 
-// Snapshot is an immutable picture of all endpoints.
+// Snapshot is an immutable view of all endpoints.
 type Snapshot struct {
 	byID      map[string]*Endpoint
 	byService map[string][]*Endpoint
-	// inZone counts the endpoints that take new work.
+	// inZone counts the usable endpoints by zone.
 	inZone map[string]int
 }
 
-// UsableInZone is the number of endpoints of a zone that take new work.
+// UsableInZone returns the number of usable endpoints in a zone.
 func (s *Snapshot) UsableInZone(zone string) int { return s.inZone[zone] }
 
 // Endpoint returns an endpoint by ID, or nil.
 func (s *Snapshot) Endpoint(id string) *Endpoint { return s.byID[id] }
 
-// Service returns the endpoints of a service that take new work, by ID. The
-// caller must not change the slice.
+// Service returns the usable endpoints of a service, sorted by ID. The caller must not change the
+// slice.
 func (s *Snapshot) Service(name string) []*Endpoint { return s.byService[name] }
 
-// Len is the number of endpoints, those that leave included.
+// Len returns the number of endpoints, including those that are draining.
 func (s *Snapshot) Len() int { return len(s.byID) }
 
-// All returns every endpoint in no order.
+// All returns every endpoint in unspecified order.
 func (s *Snapshot) All() []*Endpoint {
 	all := make([]*Endpoint, 0, len(s.byID))
 	for _, e := range s.byID {
@@ -97,68 +98,68 @@
 	return all
 }
 
-// Directory follows the registrations. It is safe for concurrent use; Snapshot
-// takes no lock.
+// Directory tracks the registrations. It is safe for concurrent use; Snapshot takes no lock.
 type Directory struct {
-	// mu guards writes. It is a leaf, but OnChange is called under it.
+	// mu guards writes. It is a leaf lock, except that onChange is called with it held.
 	mu   sync.Mutex
 	byID map[string]*Endpoint
-	// departed are the endpoints that have been dropped lately, and disputed are rows that the store
-	// holds and that do not count: see ReplaceFromRestore.
-	departed map[string]departure
+	// removed holds the endpoints that were removed recently, and disputed the rows of the store
+	// that are not applied yet: see ReplaceFromRestore.
+	removed  map[string]removal
 	disputed map[string]Registration
-	// announced are the incarnations that have announced a drain, and when they were last registered.
-	announced map[string]time.Time
-	snapshot  atomic.Pointer[Snapshot]
-	onChange  func(old, now *Snapshot)
+	// announcedDrains maps incarnations that announced a drain to the time they were last
+	// registered.
+	announcedDrains map[string]time.Time
+	snapshot        atomic.Pointer[Snapshot]
+	onChange        func(old, next *Snapshot)
 }
 
-// New returns an empty directory. onChange, which may be nil, is called with
-// each new snapshot and the one before it, in order.
-func New(onChange func(old, now *Snapshot)) *Directory {
-	d := &Directory{byID: map[string]*Endpoint{}, departed: map[string]departure{}, disputed: map[string]Registration{}, announced: map[string]time.Time{}, onChange: onChange}
+// New returns an empty directory. onChange, which may be nil, is called for each change, in order,
+// with the previous and the next snapshot.
+func New(onChange func(old, next *Snapshot)) *Directory {
+	d := &Directory{byID: map[string]*Endpoint{}, removed: map[string]removal{}, disputed: map[string]Registration{}, announcedDrains: map[string]time.Time{}, onChange: onChange}
 	d.snapshot.Store(&Snapshot{})
 	return d
 }
 
-// Snapshot returns the newest picture.
+// Snapshot returns the latest snapshot.
 func (d *Directory) Snapshot() *Snapshot { return d.snapshot.Load() }
 
-// Put takes in registrations that are new or have changed. One of an earlier start
-// than the known one changes nothing: the last words of a process that died may arrive
-// after the first of the next.
+// Put applies registrations that are new or have changed. A registration of an earlier incarnation
+// than the recorded one is ignored: the last write of a process that died may arrive after the
+// first of its successor.
 func (d *Directory) Put(list ...Registration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range list {
-		d.take(r)
+		d.apply(r)
 	}
 	d.publish()
 }
 
-// take takes in an endpoint's own word. The caller holds mu.
-func (d *Directory) take(r Registration) {
+// apply records a registration and ends a dispute about it. The caller holds mu.
+func (d *Directory) apply(r Registration) {
 	delete(d.disputed, r.ID)
-	delete(d.departed, r.ID)
+	delete(d.removed, r.ID)
 	d.byID[r.ID] = d.newer(r)
 }
 
-// newer returns the endpoint of a registration, or the known one if that is of a later
-// start. The caller holds mu.
+// newer returns the endpoint of a registration, or the recorded one if its incarnation is later.
+// The caller holds mu.
 func (d *Directory) newer(r Registration) *Endpoint {
 	now := clock.Now()
-	known := d.byID[r.ID]
+	recorded := d.byID[r.ID]
 	switch {
-	case known == nil:
-	case known.StartedAt > r.StartedAt:
-		return known
-	case known.Version == r.Version:
-		now = known.ReceivedAt
+	case recorded == nil:
+	case recorded.StartedAt > r.StartedAt:
+		return recorded
+	case recorded.Version == r.Version:
+		now = recorded.ReceivedAt
 	}
 	return &Endpoint{Registration: r, ReceivedAt: now}
 }
 
-// Remove drops endpoints whose rows are gone.
+// Remove removes endpoints whose rows were deleted.
 func (d *Directory) Remove(ids ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,29 +169,29 @@
 	d.publish()
 }
 
-// drop forgets an endpoint, and remembers for a while that it did. The caller holds mu.
+// drop removes an endpoint and records the removal. The caller holds mu.
 func (d *Directory) drop(id string) {
 	delete(d.disputed, id)
 	if e := d.byID[id]; e != nil {
-		d.departed[id] = departure{born: e.StartedAt, at: clock.Now()}
+		d.removed[id] = removal{startedAt: e.StartedAt, removedAt: clock.Now()}
 	}
 	delete(d.byID, id)
 }
 
-// MarkExpired marks an endpoint whose row is missing but may come back.
+// MarkExpired marks an endpoint as expired: its row is missing but may come back.
 func (d *Directory) MarkExpired(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if old := d.byID[id]; old != nil {
-		d.byID[id] = old.lapsed()
+		d.byID[id] = old.asExpired()
 		d.publish()
 	}
 }
 
-// Replace takes in a whole list. An endpoint that it lacks is dropped, unless
-// keepMissing is set: then it is marked as lapsed, its IDs are returned, and it
-// stays until a later Put, Remove or Replace. A row that is disputed since a step back stays so.
-func (d *Directory) Replace(list []Registration, keepMissing bool) (lapsed []string) {
+// Replace applies a complete list. An endpoint that is not in it is removed, unless keepMissing is
+// set: then it is marked as expired, its ID is returned, and it stays until a later Put, Remove,
+// RemoveExpired or Replace. A row that is disputed since a restore stays disputed.
+func (d *Directory) Replace(list []Registration, keepMissing bool) (expired []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := make(map[string]*Endpoint, len(list))
@@ -198,8 +199,8 @@
 	for _, r := range list {
 		if d.isDisputed(r) {
 			disputed[r.ID] = r
-			if known := d.byID[r.ID]; known != nil {
-				next[r.ID] = known
+			if recorded := d.byID[r.ID]; recorded != nil {
+				next[r.ID] = recorded
 			}
 			continue
 		}
@@ -209,8 +210,8 @@
 		if next[id] != nil || !keepMissing {
 			continue
 		}
-		next[id] = old.lapsed()
-		lapsed = append(lapsed, id)
+		next[id] = old.asExpired()
+		expired = append(expired, id)
 	}
 	for id := range d.byID {
 		if next[id] == nil {
@@ -219,18 +220,18 @@
 	}
 	d.byID, d.disputed = next, disputed
 	d.publish()
-	return lapsed
+	return expired
 }
 
-// lapsed returns an endpoint whose row is missing as of now.
-func (e *Endpoint) lapsed() *Endpoint {
-	kept := *e
-	kept.Expired, kept.ExpiredAt = true, clock.Now()
-	return &kept
+// asExpired returns a copy of the endpoint that is marked as expired now.
+func (e *Endpoint) asExpired() *Endpoint {
+	marked := *e
+	marked.Expired, marked.ExpiredAt = true, clock.Now()
+	return &marked
 }
 
-// RemoveExpired drops those of ids whose rows have been missing since a time. One whose row was
-// back since, and is missing again after another outage, has its time anew.
+// RemoveExpired removes those of ids that expired at since or before. An endpoint whose row came
+// back and is missing again after another outage has a later ExpiredAt, and stays.
 func (d *Directory) RemoveExpired(ids []string, since time.Time) (removed []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -244,10 +245,10 @@
 	return removed
 }
 
-// publish makes the next snapshot. The caller holds mu.
+// publish builds the next snapshot and calls onChange. The caller holds mu.
 func (d *Directory) publish() {
-	d.forgetDepartures()
-	d.applyAnnouncements(clock.Now())
+	d.pruneRemovals()
+	d.applyAnnouncedDrains(clock.Now())
 	s := &Snapshot{byID: make(map[string]*Endpoint, len(d.byID)), byService: map[string][]*Endpoint{}, inZone: map[string]int{}}
 	for id, e := range d.byID {
 		s.byID[id] = e
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -11,8 +11,8 @@
 	return Registration{ID: id, Service: service, Address: id + ":1", Draining: draining}
 }
 
-// ids are the endpoints of a service that take new work.
-func ids(d *Directory, service string) []string {
+// usableIDs returns the IDs of the usable endpoints of a service.
+func usableIDs(d *Directory, service string) []string {
 	var list []string
 	for _, e := range d.Snapshot().Service(service) {
 		list = append(list, e.ID)
@@ -20,80 +20,81 @@
 	return list
 }
 
-func want(t *testing.T, d *Directory, service string, list ...string) {
+func expectUsable(t *testing.T, d *Directory, service string, list ...string) {
 	t.Helper()
-	if diff := cmp.Diff(list, ids(d, service)); diff != "" {
+	if diff := cmp.Diff(list, usableIDs(d, service)); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestDirectory(t *testing.T) {
 	changes := 0
-	d := New(func(old, now *Snapshot) {
+	d := New(func(old, next *Snapshot) {
 		changes++
-		if old == now {
-			t.Error("a change without a difference")
+		if old == next {
+			t.Error("onChange was called without a change")
 		}
 	})
 	d.Put(registration("b", "s", false), registration("a", "s", false), registration("c", "other", false))
-	want(t, d, "s", "a", "b")
+	expectUsable(t, d, "s", "a", "b")
 	d.Put(registration("a", "s", true))
-	want(t, d, "s", "b")
+	expectUsable(t, d, "s", "b")
 	if d.Snapshot().Endpoint("a") == nil {
-		t.Error("an endpoint that drains is forgotten")
+		t.Error("a draining endpoint was removed")
 	}
 	d.Remove("b", "unknown")
-	want(t, d, "s")
+	expectUsable(t, d, "s")
 	if changes != 3 {
-		t.Errorf("%d changes told, want 3", changes)
+		t.Errorf("onChange was called %d times, want 3", changes)
 	}
 }
 
-// A row that is missing after an outage may come back, until it had the time to.
-func TestLapsedEndpoints(t *testing.T) {
+// An endpoint whose row is missing after an outage stays until RemoveExpired, because the row may
+// come back.
+func TestExpiredEndpoints(t *testing.T) {
 	d := New(nil)
 	d.Put(registration("a", "s", false), registration("b", "s", false), registration("c", "s", false))
-	lapsed := d.Replace([]Registration{registration("c", "s", false)}, true)
-	if len(lapsed) != 2 {
-		t.Fatalf("lapsed: %v", lapsed)
+	expired := d.Replace([]Registration{registration("c", "s", false)}, true)
+	if len(expired) != 2 {
+		t.Fatalf("expired: %v", expired)
 	}
-	want(t, d, "s", "a", "b", "c")
-	d.Put(registration("a", "s", false)) // its row is back
-	if gone := d.RemoveExpired(lapsed, time.Now()); len(gone) != 1 || gone[0] != "b" {
-		t.Errorf("gone: %v", gone)
+	expectUsable(t, d, "s", "a", "b", "c")
+	d.Put(registration("a", "s", false)) // the row came back
+	if removed := d.RemoveExpired(expired, time.Now()); len(removed) != 1 || removed[0] != "b" {
+		t.Errorf("removed: %v", removed)
 	}
-	want(t, d, "s", "a", "c")
+	expectUsable(t, d, "s", "a", "c")
 	d.MarkExpired("a")
 	d.MarkExpired("unknown")
-	want(t, d, "s", "a", "c")
+	expectUsable(t, d, "s", "a", "c")
 	d.RemoveExpired([]string{"a", "unknown"}, time.Now())
-	want(t, d, "s", "c")
-	if lapsed := d.Replace(nil, false); lapsed != nil {
-		t.Errorf("lapsed without an outage: %v", lapsed)
+	expectUsable(t, d, "s", "c")
+	if expired := d.Replace(nil, false); expired != nil {
+		t.Errorf("expired without an outage: %v", expired)
 	}
-	want(t, d, "s")
+	expectUsable(t, d, "s")
 }
 
-// What a start of an endpoint said of itself may arrive after the first words of the
-// next one, which keeps its ID.
-func TestEarlierStartChangesNothing(t *testing.T) {
-	start := func(born int64, address string) Registration {
-		return Registration{ID: "a", StartedAt: born, Service: "s", Address: address}
+// A registration of an earlier incarnation may arrive after the first one of its successor, which
+// has the same ID. It is ignored.
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
+	incarnation := func(startedAt int64, address string) Registration {
+		return Registration{ID: "a", StartedAt: startedAt, Service: "s", Address: address}
 	}
 	d := New(nil)
-	d.Put(start(5, "old"))
-	d.Put(start(9, "new"))
-	d.Put(start(5, "late"))
+	d.Put(incarnation(5, "old"))
+	d.Put(incarnation(9, "new"))
+	d.Put(incarnation(5, "late"))
 	if e := d.Snapshot().Endpoint("a"); e.Address != "new" || e.Incarnation() != "a@9" {
-		t.Errorf("a late word of an earlier start counts: %+v", e)
+		t.Errorf("a late registration of an earlier incarnation was applied: %+v", e)
 	}
-	d.Replace([]Registration{start(5, "late")}, false)
+	d.Replace([]Registration{incarnation(5, "late")}, false)
 	if e := d.Snapshot().Endpoint("a"); e.Address != "new" {
-		t.Errorf("a list with a late word of an earlier start counts: %+v", e)
+		t.Errorf("a list with a late registration of an earlier incarnation was applied: %+v", e)
 	}
 	d.Remove("a")
-	d.Put(start(5, "again"))
+	d.Put(incarnation(5, "again"))
 	if e := d.Snapshot().Endpoint("a"); e.Address != "again" {
-		t.Errorf("a removed start still counts: %+v", e)
+		t.Errorf("a removed incarnation still takes precedence: %+v", e)
 	}
 }
--- a/directory/stepback.go
+++ b/directory/stepback.go
@@ -7,30 +7,30 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// departure is an endpoint that was dropped.
-type departure struct {
-	born int64
-	at   time.Time
+// removal records which incarnation of an endpoint was removed, and when.
+type removal struct {
+	startedAt int64
+	removedAt time.Time
 }
 
-// departureMemory is how long departures are remembered: longer than a copy of the store is old,
-// and as long again.
-const departureMemory = time.Minute
+// removalRetention is how long removals are kept: at least twice as long as a restored backup of
+// the store can be old.
+const removalRetention = time.Minute
 
-// ReplaceFromRestore takes in the whole list of a store that has come back from a copy. What was known stands
-// against what the copy says of the same start of an endpoint, and a row of one that has left since
-// does not bring it back: such rows are disputed, and returned. They count once the endpoint writes
-// its row again, or with ResolveDisputed. Endpoints that the copy lacks are marked as lapsed, as with
-// Replace.
-func (d *Directory) ReplaceFromRestore(list []Registration) (lapsed []string, disputed []Registration) {
+// ReplaceFromRestore applies the complete list of a store that was restored from a backup. The
+// recorded state takes precedence over an older row of the same incarnation, and a row does not
+// bring back an incarnation that was removed after the backup: such rows are disputed, and
+// returned. They take effect once the endpoint writes its row again, or with ResolveDisputed.
+// Endpoints that the backup lacks are marked as expired, as with Replace.
+func (d *Directory) ReplaceFromRestore(list []Registration) (expired []string, disputed []Registration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgetDepartures() // before they decide
+	d.pruneRemovals() // expired removals must not dispute rows
 	clear(d.disputed)
 	listed := make(map[string]bool, len(list))
 	for _, r := range list {
 		listed[r.ID] = true
-		if d.outdated(r) {
+		if d.isOutdated(r) {
 			d.disputed[r.ID] = r
 			disputed = append(disputed, r)
 			continue
@@ -41,48 +41,48 @@
 		if listed[id] {
 			continue
 		}
-		d.byID[id] = old.lapsed()
-		lapsed = append(lapsed, id)
+		d.byID[id] = old.asExpired()
+		expired = append(expired, id)
 	}
 	d.publish()
-	return lapsed, disputed
+	return expired, disputed
 }
 
-// outdated tells whether a row of a copy is older than what is known of the same start of its
-// endpoint. A row keeps its number in a copy, so that the lower number is the older row; only of an
-// endpoint that leaves is it never believed that it does not. The caller holds mu.
-func (d *Directory) outdated(r Registration) bool {
-	if known := d.byID[r.ID]; known != nil {
-		same := known.StartedAt == r.StartedAt
-		return same && (known.Version.Number() > r.Version.Number() || known.Draining && !r.Draining)
+// isOutdated reports whether a restored row is older than the recorded state of the same
+// incarnation. A row keeps its number in a backup, so the lower number is the older row. A row that
+// shows a draining endpoint as ready is always outdated. The caller holds mu.
+func (d *Directory) isOutdated(r Registration) bool {
+	if recorded := d.byID[r.ID]; recorded != nil {
+		same := recorded.StartedAt == r.StartedAt
+		return same && (recorded.Version.Number() > r.Version.Number() || recorded.Draining && !r.Draining)
 	}
-	left, is := d.departed[r.ID]
-	return is && left.born == r.StartedAt
+	removed, ok := d.removed[r.ID]
+	return ok && removed.startedAt == r.StartedAt
 }
 
-// isDisputed tells whether a row is one that does not count yet. The caller holds mu.
+// isDisputed reports whether a row is disputed, and so not applied yet. The caller holds mu.
 func (d *Directory) isDisputed(r Registration) bool {
-	known, is := d.disputed[r.ID]
-	return is && known.Version == r.Version
+	recorded, ok := d.disputed[r.ID]
+	return ok && recorded.Version == r.Version
 }
 
-// ResolveDisputed lets those rows count that are still disputed, and returns their IDs: had the endpoints said
-// otherwise, or gone, the store would know it by now. A row of a later step back is another dispute,
-// which has its own time.
-func (d *Directory) ResolveDisputed(rows []Registration) (settled []string) {
+// ResolveDisputed applies those of rows that are still disputed, and returns their IDs: if the
+// endpoints had changed or left, the store would contain it by now. A row of a later restore is
+// another dispute, with its own deadline.
+func (d *Directory) ResolveDisputed(rows []Registration) (resolved []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, row := range rows {
-		if r, is := d.disputed[row.ID]; is && r.Version == row.Version {
-			d.take(r)
-			settled = append(settled, r.ID)
+		if r, ok := d.disputed[row.ID]; ok && r.Version == row.Version {
+			d.apply(r)
+			resolved = append(resolved, r.ID)
 		}
 	}
 	d.publish()
-	return settled
+	return resolved
 }
 
-// forgetDepartures keeps the departures to those of the last while. The caller holds mu.
-func (d *Directory) forgetDepartures() {
-	maps.DeleteFunc(d.departed, func(_ string, left departure) bool { return clock.Since(left.at) > departureMemory })
+// pruneRemovals deletes removals older than removalRetention. The caller holds mu.
+func (d *Directory) pruneRemovals() {
+	maps.DeleteFunc(d.removed, func(_ string, r removal) bool { return clock.Since(r.removedAt) > removalRetention })
 }
--- a/signals/backoff.go
+++ b/signals/backoff.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// rampDoubling is the time in which what may be sent doubles after a backoff, from one request
-	// on, and rampFor how long that bounds it.
-	rampDoubling = 150 * time.Millisecond
-	rampFor      = 1500 * time.Millisecond
+	// rampDoublingTime is the time in which the number of requests admitted after a backoff
+	// doubles, starting at one. The ramp lasts for rampDuration.
+	rampDoublingTime = 150 * time.Millisecond
+	rampDuration     = 1500 * time.Millisecond
 )
 
-// backoff is the time in which an endpoint wants nothing from this VM, and its gradual return.
+// backoff holds the end of the backoff that an endpoint requested from this VM, and the state of
+// the ramp that follows it.
 type backoff struct {
 	until time.Time
-	// sent counts the requests that were let through since then.
+	// sent counts the requests admitted since until was set.
 	sent int
 }
 
-// learn takes in a response. Of two backoffs the one that ends later holds: each was asked for.
-func (b *backoff) learn(now time.Time, r Response) {
+// observe applies the backoff of a response. Of two overlapping backoffs the later end applies,
+// because the endpoint requested both.
+func (b *backoff) observe(now time.Time, r Response) {
 	if r.Signal.Backoff <= 0 {
 		return
 	}
@@ -33,28 +35,28 @@
 	if until := now.Add(r.Signal.Backoff); until.After(b.until) {
 		b.until, b.sent = until, 0
 	}
-	count("backoff", event)
+	countEvent("backoff", event)
 	klog.InfoS("signals: backoff requested", "endpoint", r.Endpoint.ID, "request", r.Request, "for", r.Signal.Backoff)
 }
 
-// wait is how long until a request may go.
+// wait returns how long until the next request may be sent.
 func (b *backoff) wait(now time.Time) time.Duration {
-	since := now.Sub(b.until)
-	if b.until.IsZero() || since >= rampFor {
+	elapsed := now.Sub(b.until)
+	if b.until.IsZero() || elapsed >= rampDuration {
 		return 0
 	}
-	if since < 0 {
-		return -since
+	if elapsed < 0 {
+		return -elapsed
 	}
-	due := time.Duration(math.Log2(float64(b.sent+1)) * float64(rampDoubling))
-	return max(0, due-since)
+	due := time.Duration(math.Log2(float64(b.sent+1)) * float64(rampDoublingTime))
+	return max(0, due-elapsed)
 }
 
-// take lets a request go. It tells whether that is the first one since the backoff ended.
-func (b *backoff) take() (first bool) {
+// admit records a request and reports whether it is the first since the backoff ended.
+func (b *backoff) admit() (first bool) {
 	b.sent++
 	return b.sent == 1 && !b.until.IsZero()
 }
 
-// active tells whether the endpoint wants nothing now.
+// active reports whether the backoff is in force.
 func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
--- a/signals/backoff_test.go
+++ b/signals/backoff_test.go
@@ -5,120 +5,120 @@
 	"time"
 )
 
-// bench is a board with a clock of the test's.
-type bench struct {
+// testTracker is a Tracker with a manual clock.
+type testTracker struct {
 	*Tracker
 	now time.Time
 }
 
-func newBench() *bench {
-	b := &bench{now: time.Unix(1000, 0)}
-	b.Tracker = New(Config{VM: "vm", Now: func() time.Time { return b.now }})
-	return b
+func newTestTracker() *testTracker {
+	tracker := &testTracker{now: time.Unix(1000, 0)}
+	tracker.Tracker = New(Config{VM: "vm", Now: func() time.Time { return tracker.now }})
+	return tracker
 }
 
-func (b *bench) pass(d time.Duration) { b.now = b.now.Add(d) }
+func (t *testTracker) advance(d time.Duration) { t.now = t.now.Add(d) }
 
-func (b *bench) refused(id string, born int64, backoff time.Duration) {
-	b.Observe(Response{Endpoint: endpoint(id, born), Sent: b.now, Signal: Signal{Backoff: backoff}})
+func (t *testTracker) observeBackoff(id string, startedAt int64, backoff time.Duration) {
+	t.Observe(Response{Endpoint: endpoint(id, startedAt), Sent: t.now, Signal: Signal{Backoff: backoff}})
 }
 
-// sends tells how many of so many requests would go now.
-func (b *bench) sends(n int, id string, born int64) int {
+// admitted acquires n permits and returns how many were granted.
+func (t *testTracker) admitted(n int, id string, startedAt int64) int {
 	sent := 0
 	for range n {
-		if _, block := b.Acquire(endpoint(id, born)); block.Reason == "" {
+		if _, block := t.Acquire(endpoint(id, startedAt)); block.Reason == "" {
 			sent++
 		}
 	}
 	return sent
 }
 
-// Nothing goes to an endpoint during its backoff, which runs from the response on by the VM's clock, and
-// traffic returns gradually.
+// No request is sent during an endpoint's backoff, which starts with the response by the VM's
+// clock. Afterwards traffic ramps up.
 func TestBackoff(t *testing.T) {
-	b := newBench()
-	b.refused("e1", 1, 3*time.Second)
+	tracker := newTestTracker()
+	tracker.observeBackoff("e1", 1, 3*time.Second)
 	for range 30 {
-		if n := b.sends(5, "e1", 1); n != 0 {
-			t.Fatalf("%d requests went at %v", n, b.now)
+		if n := tracker.admitted(5, "e1", 1); n != 0 {
+			t.Fatalf("%d requests were admitted at %v, during the backoff", n, tracker.now)
 		}
-		b.pass(100 * time.Millisecond)
+		tracker.advance(100 * time.Millisecond)
 	}
 	total := 0
 	for step := range 15 {
-		n := b.sends(1000, "e1", 1)
+		n := tracker.admitted(1000, "e1", 1)
 		if total += n; step == 0 && n != 1 || total >= 1000 {
-			t.Errorf("%d requests went in step %d after the backoff, %d in all", n, step, total)
+			t.Errorf("%d requests were admitted in step %d after the backoff, %d in total", n, step, total)
 		}
-		b.pass(100 * time.Millisecond)
+		tracker.advance(100 * time.Millisecond)
 	}
-	if n := b.sends(1000, "e1", 1); n != 1000 {
-		t.Errorf("%d of 1000 requests went long after the backoff", n)
+	if n := tracker.admitted(1000, "e1", 1); n != 1000 {
+		t.Errorf("%d of 1000 requests were admitted long after the backoff", n)
 	}
 }
 
-// A backoff is of one incarnation, and is not shortened by a later response.
-func TestBackoffIsOfOneIncarnation(t *testing.T) {
-	b := newBench()
-	b.refused("e1", 1, 3*time.Second)
-	b.refused("e1", 1, time.Second)
-	b.pass(2 * time.Second)
-	if n := b.sends(1, "e1", 1); n != 0 {
+// A backoff applies to one incarnation only, and a later response does not shorten it.
+func TestBackoffAppliesToOneIncarnation(t *testing.T) {
+	tracker := newTestTracker()
+	tracker.observeBackoff("e1", 1, 3*time.Second)
+	tracker.observeBackoff("e1", 1, time.Second)
+	tracker.advance(2 * time.Second)
+	if n := tracker.admitted(1, "e1", 1); n != 0 {
 		t.Error("a shorter backoff ended the longer one")
 	}
-	if n := b.sends(1, "e1", 2); n != 1 {
-		t.Error("the next incarnation got nothing")
+	if n := tracker.admitted(1, "e1", 2); n != 1 {
+		t.Error("the next incarnation was blocked")
 	}
-	if n := b.sends(1, "e2", 1); n != 1 {
-		t.Error("another endpoint got nothing")
+	if n := tracker.admitted(1, "e2", 1); n != 1 {
+		t.Error("another endpoint was blocked")
 	}
 }
 
-// A request that was placed before the response is not sent after it.
-func TestBackoffStopsRequestsUnderWay(t *testing.T) {
-	b := newBench()
-	permit, _ := b.Acquire(endpoint("e1", 1))
+// A backoff that arrives between Acquire and sending blocks the request.
+func TestRecheckBlocksDuringBackoff(t *testing.T) {
+	tracker := newTestTracker()
+	permit, _ := tracker.Acquire(endpoint("e1", 1))
 	if block := permit.Recheck(); block.Reason != "" {
 		t.Fatal(block)
 	}
-	b.refused("e1", 1, time.Second)
+	tracker.observeBackoff("e1", 1, time.Second)
 	if block := permit.Recheck(); block != (Block{Reason: BackingOff, RetryAfter: time.Second}) {
 		t.Errorf("%+v", block)
 	}
-	b.pass(1100 * time.Millisecond)
+	tracker.advance(1100 * time.Millisecond)
 	if block := permit.Recheck(); block.Reason != "" {
 		t.Errorf("%+v after the backoff", block)
 	}
 }
 
-// A permit from before a limit was known is taken out of the limit before its request is sent, and one
-// that has waited for long is taken anew.
-func TestPermitsAreTakenAnew(t *testing.T) {
-	b := newBench()
+// Recheck charges a permit that was acquired before the limit was known to that limit, and acquires
+// a permit again that is older than permitTTL.
+func TestRecheckReacquiresPermits(t *testing.T) {
+	tracker := newTestTracker()
 	e := endpoint("e1", 1)
-	early, _ := b.Acquire(e)
-	late, _ := b.Acquire(e)
-	b.Observe(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 1}}})
+	early, _ := tracker.Acquire(e)
+	late, _ := tracker.Acquire(e)
+	tracker.Observe(Response{Endpoint: e, Sent: tracker.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 1}}})
 	if block := early.Recheck(); block.Reason != RateLimited {
-		t.Errorf("%+v although the limit has just begun", block)
+		t.Errorf("%+v although the limit was just reported", block)
 	}
-	b.pass(time.Second)
+	tracker.advance(time.Second)
 	if block := early.Recheck(); block.Reason != "" {
 		t.Errorf("%+v", block)
 	}
 	if block := early.Recheck(); block.Reason != "" {
-		t.Errorf("%+v for a permit that was just taken", block)
+		t.Errorf("%+v for a permit that was just acquired", block)
 	}
 	if block := late.Recheck(); block.Reason != RateLimited {
 		t.Errorf("%+v for a second request", block)
 	}
 	early.Release()
 	if block := late.Recheck(); block.Reason != "" {
-		t.Errorf("%+v after the first was not sent", block)
+		t.Errorf("%+v after the first permit was released", block)
 	}
-	b.pass(permitTTL + time.Millisecond)
-	other, block := b.Acquire(e)
+	tracker.advance(permitTTL + time.Millisecond)
+	other, block := tracker.Acquire(e)
 	if block.Reason != RateLimited {
 		t.Errorf("%+v within a second", block)
 	}
--- a/signals/block.go
+++ b/signals/block.go
@@ -6,50 +6,51 @@
 	"github.com/springweir/springweir/directory"
 )
 
-// Reason is why nothing may be sent to an endpoint now; empty if something may.
+// Reason is the reason why no request may be sent to an endpoint now; empty if one may.
 type Reason string
 
 const (
-	// RateLimited is an endpoint whose limit leaves this VM nothing now.
+	// RateLimited means that the endpoint's rate limit admits no request from this VM now.
 	RateLimited Reason = "rate-limited"
-	// BackingOff is an endpoint that wants nothing from this VM for a time, or little right after it.
+	// BackingOff means that the endpoint requested a backoff from this VM, or that the ramp after
+	// the backoff admits no request yet.
 	BackingOff Reason = "backing-off"
 )
 
-// Block is why an endpoint takes nothing from this VM now, and for how long it does from none, as far as
-// this one can tell. The zero value is none.
+// Block states why an endpoint accepts no request from this VM now, and estimates how long until it
+// accepts one from any VM. The zero value means that the endpoint is not blocked.
 type Block struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Check tells whether a request of a priority (0 is the most urgent) may be planned for an endpoint, and
-// whether the endpoint has a limit. draw, which returns numbers from 0 to 1, decides between requests
-// of different priorities.
-func (b *Tracker) Check(e *directory.Endpoint, priority int, draw func() float64) (block Block, limited bool) {
-	if b.quiet(e) {
+// Check reports whether a request of the given priority (0 is the most urgent) may be planned for
+// an endpoint, and whether the endpoint has a rate limit. draw returns random numbers from 0 to 1
+// and decides whether a less urgent request yields to a more urgent one.
+func (t *Tracker) Check(e *directory.Endpoint, priority int, draw func() float64) (block Block, limited bool) {
+	if t.hasNoState(e) {
 		return Block{}, false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(e)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.stateOf(e)
 	if s == nil {
 		return Block{}, false
 	}
-	now := b.now()
-	b.lapse(now)
+	now := t.now()
+	t.expireShares(now)
 	block = s.block(now)
-	if block.Reason == "" && s.yields(now, priority, draw) {
-		block = Block{Reason: RateLimited, RetryAfter: yieldFor}
+	if block.Reason == "" && s.yieldsToUrgent(now, priority, draw) {
+		block = Block{Reason: RateLimited, RetryAfter: yieldDuration}
 	}
 	if block.Reason == RateLimited {
-		s.deny(now, priority)
+		s.recordDenial(now, priority)
 	}
 	return block, s.limit.limited
 }
 
-// block is why the endpoint takes nothing from this VM now.
-func (s *state) block(now time.Time) Block {
+// block returns the reason why the endpoint accepts no request from this VM now.
+func (s *endpointState) block(now time.Time) Block {
 	if wait := s.backoff.wait(now); wait > 0 {
 		return Block{Reason: BackingOff, RetryAfter: wait}
 	}
@@ -57,18 +58,18 @@
 		return Block{}
 	}
 	if s.limit.wait(now) > 0 {
-		return Block{Reason: RateLimited, RetryAfter: s.limit.freeIn(now)}
+		return Block{Reason: RateLimited, RetryAfter: s.limit.availableIn(now)}
 	}
 	return Block{}
 }
 
-// Active returns how many endpoints have a rate limit, and how many want nothing from this VM for a
-// time.
-func (b *Tracker) Active() (limits, backoffs int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	for _, s := range b.states {
+// Active returns the number of endpoints with a rate limit and the number of endpoints with a
+// backoff in force for this VM.
+func (t *Tracker) Active() (limits, backoffs int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	for _, s := range t.states {
 		if s.limit.limited {
 			limits++
 		}
@@ -80,20 +81,22 @@
 }
 
 const (
-	// yieldFor is how long less urgent requests yield after a more urgent one was not let through.
-	yieldFor = time.Second
-	// yieldPart is the part of them that does. The others go on: no kind of request is to be starved.
-	yieldPart = 0.5
+	// yieldDuration is how long less urgent requests yield after a more urgent one was blocked.
+	yieldDuration = time.Second
+	// yieldProbability is the fraction of them that yields. The others proceed, so that no priority
+	// is starved.
+	yieldProbability = 0.5
 )
 
-// yields tells whether a request leaves its place to more urgent ones.
-func (s *state) yields(now time.Time, priority int, draw func() float64) bool {
-	return s.limit.limited && priority > s.deniedPriority && now.Sub(s.denied) < yieldFor && draw() < yieldPart
+// yieldsToUrgent reports whether a request yields to more urgent requests that were blocked.
+func (s *endpointState) yieldsToUrgent(now time.Time, priority int, draw func() float64) bool {
+	return s.limit.limited && priority > s.deniedPriority && now.Sub(s.deniedAt) < yieldDuration && draw() < yieldProbability
 }
 
-// deny notes a request that was not let through.
-func (s *state) deny(now time.Time, priority int) {
-	if now.Sub(s.denied) >= yieldFor || priority <= s.deniedPriority {
-		s.denied, s.deniedPriority = now, priority
+// recordDenial records a blocked request, unless a more urgent one was recorded within
+// yieldDuration.
+func (s *endpointState) recordDenial(now time.Time, priority int) {
+	if now.Sub(s.deniedAt) >= yieldDuration || priority <= s.deniedPriority {
+		s.deniedAt, s.deniedPriority = now, priority
 	}
 }
--- a/signals/board.go
+++ b/signals/board.go
@@ -14,217 +14,217 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// Config is what a Tracker works with.
+// Config configures a Tracker.
 type Config struct {
-	// VM is this VM's name.
+	// VM is the name of this VM.
 	VM string
-	// Now is where the time comes from; nil is the VM's clock, which goes on during a suspension.
+	// Now returns the current time; nil uses the VM's clock, which keeps running during a
+	// suspension.
 	Now func() time.Time
 	// Publish sends signals to all other VMs; nil sends none.
 	Publish func(loadshare.News)
-	// Endpoints returns the newest picture of the endpoints; nil names none.
+	// Endpoints returns the latest snapshot of the endpoints; nil means that none are registered.
 	Endpoints func() *directory.Snapshot
-	// Drain makes an endpoint's incarnation a draining one, and tells whether it was not yet; nil does
-	// nothing.
+	// Drain marks an endpoint's incarnation as draining and reports whether it was not yet marked;
+	// nil does nothing.
 	Drain func(*directory.Endpoint) bool
 }
 
-// Tracker holds the signals of all endpoints. It is safe for concurrent use; its lock is a leaf, and
-// Publish and Drain are called without it.
+// Tracker holds the signals of all endpoints. It is safe for concurrent use. Its lock is a leaf;
+// Publish and Drain are called without holding it.
 type Tracker struct {
 	cfg Config
 	now func() time.Time
-	// known are the IDs of the endpoints that have a state, so that all others cost no lock. It is
-	// replaced, never changed.
-	known atomic.Pointer[map[string]bool]
+	// idsWithState holds the IDs of the endpoints that have a state, so that requests to all other
+	// endpoints take no lock. The map is replaced, never modified.
+	idsWithState atomic.Pointer[map[string]bool]
 
 	mu sync.Mutex
-	// states are by the hash of the endpoint's incarnation, and hold only endpoints that have sent a
-	// signal.
-	states  map[uint64]*state
+	// states maps the Hash of an endpoint to its state. Only endpoints that sent a signal have one.
+	states  map[uint64]*endpointState
 	members loadshare.Membership
-	// membersAt is when the members were last confirmed, and sharesFrom before when no share is used,
-	// since the others may not know yet that this VM is there.
-	membersAt, sharesFrom time.Time
+	// membersConfirmedAt is when the membership was last confirmed. No share is used before
+	// sharesUsableFrom, because the other VMs may not have registered this VM as live yet.
+	membersConfirmedAt, sharesUsableFrom time.Time
 }
 
-// state is what is known of one incarnation of an endpoint.
-type state struct {
-	// id and zone are the endpoint's, empty until it is known here.
+// endpointState holds the signals of one incarnation of an endpoint.
+type endpointState struct {
+	// id and zone belong to the endpoint; they are empty until it is registered here.
 	id, zone string
-	// touched is when something was last learned of it.
-	touched time.Time
-	limit   limit
-	backoff backoff
-	// denied is when a request was last not let through, and deniedPriority the most urgent one of
-	// that moment.
-	denied         time.Time
+	// updatedAt is when a response or an update from another VM was last applied.
+	updatedAt time.Time
+	limit     limit
+	backoff   backoff
+	// deniedAt is when a request was last blocked, and deniedPriority the most urgent priority
+	// blocked around that time.
+	deniedAt       time.Time
 	deniedPriority int
 }
 
-// New returns a board that knows nothing, of a VM that knows no other.
+// New returns a Tracker without signals, whose membership is this VM alone.
 func New(c Config) *Tracker {
-	b := &Tracker{cfg: c, now: clock.OrSystem(c.Now), states: map[uint64]*state{}}
-	b.known.Store(&map[string]bool{})
-	b.members = loadshare.Membership{Live: []loadshare.Member{{Name: c.VM}}, Registered: 1}
-	b.membersAt = b.now()
-	return b
+	t := &Tracker{cfg: c, now: clock.OrSystem(c.Now), states: map[uint64]*endpointState{}}
+	t.idsWithState.Store(&map[string]bool{})
+	t.members = loadshare.Membership{Live: []loadshare.Member{{Name: c.VM}}, Registered: 1}
+	t.membersConfirmedAt = t.now()
+	return t
 }
 
-// Hash names an incarnation of an endpoint between VMs.
+// Hash identifies an incarnation of an endpoint in messages between VMs.
 func Hash(e *directory.Endpoint) uint64 { return xxhash.Sum64String(e.Incarnation()) }
 
-// quiet tells whether an endpoint has sent no signal.
-func (b *Tracker) quiet(e *directory.Endpoint) bool { return !(*b.known.Load())[e.ID] }
+// hasNoState reports whether an endpoint has no state because it sent no signal. It takes no lock.
+func (t *Tracker) hasNoState(e *directory.Endpoint) bool { return !(*t.idsWithState.Load())[e.ID] }
 
 // stateOf returns the state of an endpoint, or nil. The caller holds mu.
-func (b *Tracker) stateOf(e *directory.Endpoint) *state { return b.states[Hash(e)] }
+func (t *Tracker) stateOf(e *directory.Endpoint) *endpointState { return t.states[Hash(e)] }
 
-// add makes a state, of an endpoint that may not be registered here yet: nil. The caller holds mu.
-func (b *Tracker) add(endpoint uint64, e *directory.Endpoint) *state {
-	s := &state{}
-	b.states[endpoint] = s
+// addState creates the state of an endpoint; e is nil if it is not registered here yet. The caller
+// holds mu.
+func (t *Tracker) addState(hash uint64, e *directory.Endpoint) *endpointState {
+	s := &endpointState{}
+	t.states[hash] = s
 	if e != nil {
-		b.bind(endpoint, s, e)
+		t.bindEndpoint(hash, s, e)
 	}
 	return s
 }
 
-// bind names the endpoint of a state. The caller holds mu.
-func (b *Tracker) bind(endpoint uint64, s *state, e *directory.Endpoint) {
+// bindEndpoint associates a state with its registered endpoint. The caller holds mu.
+func (t *Tracker) bindEndpoint(hash uint64, s *endpointState, e *directory.Endpoint) {
 	s.id, s.zone = e.ID, e.Zone
-	b.share(endpoint, s, 0)
-	b.noteKnown()
+	t.assignShare(hash, s, 0)
+	t.updateIDsWithState()
 }
 
-// noteKnown takes in which endpoints have a state. The caller holds mu.
-func (b *Tracker) noteKnown() {
-	ids := make(map[string]bool, len(b.states))
-	for _, s := range b.states {
+// updateIDsWithState rebuilds idsWithState from states. The caller holds mu.
+func (t *Tracker) updateIDsWithState() {
+	ids := make(map[string]bool, len(t.states))
+	for _, s := range t.states {
 		ids[s.id] = true
 	}
-	b.known.Store(&ids)
+	t.idsWithState.Store(&ids)
 }
 
-// Observe takes in a response.
-func (b *Tracker) Observe(r Response) {
-	if r.Signal == (Signal{}) && b.quiet(r.Endpoint) {
+// Observe applies the signal of a response and publishes what changed to the other VMs.
+func (t *Tracker) Observe(r Response) {
+	if r.Signal == (Signal{}) && t.hasNoState(r.Endpoint) {
 		return
 	}
-	updates := b.learnState(r)
-	if r.Signal.Draining && b.drain(r.Endpoint, "request", r.Request) {
+	updates := t.observeState(r)
+	if r.Signal.Draining && t.markDraining(r.Endpoint, "request", r.Request) {
 		updates = append(updates, &sharepb.EndpointSignal{Endpoint: Hash(r.Endpoint), Draining: true})
 	}
-	if len(updates) > 0 && b.cfg.Publish != nil {
-		b.cfg.Publish(loadshare.News{Signals: updates})
+	if len(updates) > 0 && t.cfg.Publish != nil {
+		t.cfg.Publish(loadshare.News{Signals: updates})
 	}
 }
 
-// learnState takes in what a response says that is kept here, and returns what the other VMs are to
-// know.
-func (b *Tracker) learnState(r Response) []*sharepb.EndpointSignal {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(r.Endpoint)
+// observeState applies the limit and the backoff of a response, and returns the updates to publish.
+func (t *Tracker) observeState(r Response) []*sharepb.EndpointSignal {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.stateOf(r.Endpoint)
 	if s == nil {
 		if r.Signal.Limit.Kind == Unlimited && r.Signal.Backoff == 0 {
 			return nil
 		}
-		s = b.add(Hash(r.Endpoint), r.Endpoint)
+		s = t.addState(Hash(r.Endpoint), r.Endpoint)
 	}
-	s.touched = b.now()
-	s.backoff.learn(s.touched, r)
-	return b.learnLimit(s, r)
+	s.updatedAt = t.now()
+	s.backoff.observe(s.updatedAt, r)
+	return t.observeLimit(s, r)
 }
 
-// learnLimit takes in what a response says of the rate limit, and returns what the other VMs are to
-// know. The caller holds mu.
-func (b *Tracker) learnLimit(s *state, r Response) []*sharepb.EndpointSignal {
+// observeLimit applies the rate limit of a response, and returns the updates to publish. The caller
+// holds mu.
+func (t *Tracker) observeLimit(s *endpointState, r Response) []*sharepb.EndpointSignal {
 	if r.Signal.Limit.Kind == Malformed {
-		count("limit", "malformed")
-		klog.InfoS("signals: rate limit not understood, the known one stands", "endpoint", r.Endpoint.ID, "request", r.Request)
+		countEvent("limit", "malformed")
+		klog.InfoS("signals: malformed rate limit ignored, keeping the previous one", "endpoint", r.Endpoint.ID, "request", r.Request)
 		return nil
 	}
-	before := s.limit
-	if !s.limit.observe(s.touched, r.Signal.Limit, r.Sent) {
+	previous := s.limit
+	if !s.limit.observe(s.updatedAt, r.Signal.Limit, r.Sent) {
 		return nil
 	}
-	b.limitChanged(Hash(r.Endpoint), s, before, "request", r.Request)
-	return []*sharepb.EndpointSignal{s.limit.signal(Hash(r.Endpoint))}
+	t.handleLimitChange(Hash(r.Endpoint), s, previous, "request", r.Request)
+	return []*sharepb.EndpointSignal{s.limit.toProto(Hash(r.Endpoint))}
 }
 
-// drain makes an endpoint a draining one, and tells whether it was not yet. The caller does not hold
-// mu.
-func (b *Tracker) drain(e *directory.Endpoint, from string, value any) bool {
-	if b.cfg.Drain == nil || !b.cfg.Drain(e) {
+// markDraining marks an endpoint as draining and reports whether it was not yet marked. The caller
+// does not hold mu.
+func (t *Tracker) markDraining(e *directory.Endpoint, sourceKey string, source any) bool {
+	if t.cfg.Drain == nil || !t.cfg.Drain(e) {
 		return false
 	}
-	count("drain", "learned")
-	klog.InfoS("signals: drain announced", "endpoint", e.ID, from, value)
+	countEvent("drain", "learned")
+	klog.InfoS("signals: drain announced", "endpoint", e.ID, sourceKey, source)
 	return true
 }
 
-// Receive takes in what another VM published. A drain of an endpoint that is not registered here yet is
-// left to its next response.
-func (b *Tracker) Receive(list []*sharepb.EndpointSignal) {
-	for _, update := range list {
+// Receive applies the updates that another VM published. It ignores a drain of an endpoint that is
+// not registered here yet; the endpoint's next response repeats it.
+func (t *Tracker) Receive(updates []*sharepb.EndpointSignal) {
+	for _, update := range updates {
 		if update.Version > 0 {
-			b.receiveLimit(update)
+			t.mergeLimit(update)
 		}
 		if !update.Draining {
 			continue
 		}
-		if e := b.lookUp(update.Endpoint); e != nil {
-			b.drain(e, "from", "another VM")
+		if e := t.findEndpoint(update.Endpoint); e != nil {
+			t.markDraining(e, "from", "another VM")
 		}
 	}
 }
 
-func (b *Tracker) receiveLimit(update *sharepb.EndpointSignal) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.states[update.Endpoint]
+func (t *Tracker) mergeLimit(update *sharepb.EndpointSignal) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.states[update.Endpoint]
 	if s == nil {
-		s = b.add(update.Endpoint, b.lookUp(update.Endpoint))
+		s = t.addState(update.Endpoint, t.findEndpoint(update.Endpoint))
 	}
-	s.touched = b.now()
-	before := s.limit
-	if s.limit.merge(s.touched, update) {
-		b.limitChanged(update.Endpoint, s, before, "version", update.Version)
+	s.updatedAt = t.now()
+	previous := s.limit
+	if s.limit.merge(s.updatedAt, update) {
+		t.handleLimitChange(update.Endpoint, s, previous, "version", update.Version)
 	}
 }
 
-// lookUp finds an endpoint by its hash; nil if it is not known yet.
-func (b *Tracker) lookUp(endpoint uint64) *directory.Endpoint {
-	if b.cfg.Endpoints == nil {
+// findEndpoint returns the endpoint with the given Hash, or nil if it is not registered here.
+func (t *Tracker) findEndpoint(hash uint64) *directory.Endpoint {
+	if t.cfg.Endpoints == nil {
 		return nil
 	}
-	for _, e := range b.cfg.Endpoints().All() {
-		if Hash(e) == endpoint {
+	for _, e := range t.cfg.Endpoints().All() {
+		if Hash(e) == hash {
 			return e
 		}
 	}
 	return nil
 }
 
-// limitChanged follows a new version of a limit: a share for it, a line and a counter if it is another
-// limit than before. The caller holds mu.
-func (b *Tracker) limitChanged(endpoint uint64, s *state, before limit, from string, value any) {
-	now := s.limit
-	if now.limited == before.limited && now.perSecond == before.perSecond {
+// handleLimitChange handles a new version of a limit. If the limit itself changed, it assigns or
+// drops this VM's share, counts the event and logs it. The caller holds mu.
+func (t *Tracker) handleLimitChange(hash uint64, s *endpointState, previous limit, sourceKey string, source any) {
+	current := s.limit
+	if current.limited == previous.limited && current.perSecond == previous.perSecond {
 		return
 	}
 	event := "changed"
 	switch {
-	case !now.limited:
+	case !current.limited:
 		event = "ended"
 		s.limit.dropShare()
-	case !before.limited:
+	case !previous.limited:
 		event = "learned"
 	}
-	if now.limited {
-		b.share(endpoint, s, 0)
+	if current.limited {
+		t.assignShare(hash, s, 0)
 	}
-	count("limit", event)
-	klog.InfoS("signals: rate limit "+event, "endpoint", s.id, "perSecond", now.perSecond, "ownPerSecond", s.limit.share.perSecond, "rank", s.limit.share.rank, from, value)
+	countEvent("limit", event)
+	klog.InfoS("signals: rate limit "+event, "endpoint", s.id, "perSecond", current.perSecond, "ownPerSecond", s.limit.share.perSecond, "rank", s.limit.share.rank, sourceKey, source)
 }
--- a/signals/designs_test.go
+++ b/signals/designs_test.go
@@ -8,27 +8,28 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// design is a way to divide a limit among VMs. rate returns what a VM may send a second, given what it
-// and all VMs would send (per second, as last known).
+// design is a way to divide a limit among VMs. rate returns how many requests per second a VM may
+// send, given the demand of that VM and of all VMs (per second, as last measured).
 type design struct {
 	name string
-	rate func(f *fleet, v *vm, e *server, own, all float64) float64
-	// messages is how many messages of signalBytes each VM sends a second beside the limit's own.
+	rate func(f *fleet, v *vm, e *server, local, total float64) float64
+	// messages is the number of messages of signalBytes that each VM sends per second in addition
+	// to the updates of the limit itself.
 	messages float64
 }
 
-// signalBytes is about what one signal takes in a datagram.
+// signalBytes is the approximate size of one signal in a datagram.
 const signalBytes = 24
 
 var designs = []design{
 	{name: "equal shares", rate: func(f *fleet, _ *vm, e *server, _, _ float64) float64 {
 		return e.limit.PerSecond / float64(len(f.vms))
 	}},
-	{name: "shares by demand", messages: 2, rate: func(_ *fleet, _ *vm, e *server, own, all float64) float64 {
-		if all == 0 {
+	{name: "shares by demand", messages: 2, rate: func(_ *fleet, _ *vm, e *server, local, total float64) float64 {
+		if total == 0 {
 			return 0
 		}
-		return e.limit.PerSecond * own / all
+		return e.limit.PerSecond * local / total
 	}},
 	{name: "few holders", rate: func(f *fleet, v *vm, e *server, _, _ float64) float64 {
 		m := loadshare.Membership{Registered: len(f.vms)}
@@ -39,12 +40,14 @@
 	}},
 }
 
-// demand are requests that a VM would have sent to one endpoint, by second.
-type demand struct{ last, now float64 }
+// demand counts the requests that a VM would have sent to one endpoint in the previous and the current
+// second.
+type demand struct{ previous, current float64 }
 
-// play lets one limited endpoint of many be used for some time. Each VM would send it its part of the
-// load; a VM that has something left sends it any request of its own.
-func (d design) play(f *fleet, length time.Duration) (utilisation float64, most int) {
+// simulate applies a design to one limited endpoint of many. Each VM offers the endpoint its part
+// of the load, and a VM whose share is not used up sends it any request. simulate returns the used
+// fraction of the limit and the largest number of arrivals within a window.
+func (d design) simulate(f *fleet, length time.Duration) (utilisation float64, peak int) {
 	e := f.endpoints[0]
 	buckets := make([]bucket, len(f.vms))
 	rates := make([]float64, len(f.vms))
@@ -57,23 +60,23 @@
 		}
 	}
 	const step = 5 * time.Millisecond
-	for second := start; f.now.Sub(start) < length; f.now = f.now.Add(step) {
-		if f.now.Sub(second) >= time.Second {
-			second = f.now
-			all := 0.0
+	for secondStart := start; f.now.Sub(start) < length; f.now = f.now.Add(step) {
+		if f.now.Sub(secondStart) >= time.Second {
+			secondStart = f.now
+			total := 0.0
 			for i := range demands {
-				demands[i] = demand{last: demands[i].now}
-				all += demands[i].last
+				demands[i] = demand{previous: demands[i].current}
+				total += demands[i].previous
 			}
 			for i, v := range f.vms {
-				rates[i] = d.rate(f, v, e, demands[i].last, all)
+				rates[i] = d.rate(f, v, e, demands[i].previous, total)
 			}
 		}
 		for i, v := range f.vms {
 			if f.random.Float64() >= v.perSecond*step.Seconds() {
 				continue
 			}
-			demands[i].now++
+			demands[i].current++
 			if rates[i] <= 0 || buckets[i].wait(f.now, interval(rates[i])) > 0 {
 				continue
 			}
@@ -82,36 +85,36 @@
 		}
 	}
 	allowed := e.limit.PerSecond * length.Seconds()
-	return float64(len(e.arrivals)) / allowed, e.most(start, window)
+	return float64(len(e.arrivals)) / allowed, e.maxArrivals(start, window)
 }
 
-// The design that is in use uses more of a small limit than the others where VMs are many, and stays
-// within what endpoints tolerate; -v prints the comparison.
-func TestDesignsOfShares(t *testing.T) {
+// Where VMs are many, the design in production uses more of a small limit than equal shares. It
+// stays within what endpoints tolerate; -v prints the comparison.
+func TestShareDesigns(t *testing.T) {
 	const perSecond, length = 4.0, 60 * time.Second
-	t.Logf("%-18s %4s %6s %12s %10s %14s", "design", "VMs", "load", "utilisation", "most in 4s", "bytes/VM/s")
+	t.Logf("%-18s %4s %6s %12s %10s %14s", "design", "VMs", "load", "utilisation", "peak in 4s", "bytes/VM/s")
 	for _, vms := range []int{4, 9, 83, 300} {
-		used := map[string]float64{}
+		utilisations := map[string]float64{}
 		for _, d := range designs {
 			load := 22 * float64(vms)
 			if vms > 16 {
 				load = 3.4 * float64(vms)
 			}
 			f := newFleet(21, vms, 3, 1, load)
-			f.limitAll(1, perSecond)
-			utilisation, most := d.play(f, length)
-			used[d.name] = utilisation
-			bytes := d.messages*signalBytes*float64(min(vms-1, 15)) + signalBytes*float64(newsTimes)/confirmEvery.Seconds()
-			t.Logf("%-18s %4d %6.0f %12.2f %10d %14.0f", d.name, vms, load, utilisation, most, bytes)
-			if d.name == "few holders" && (most > tolerated(perSecond) || utilisation < 0.9) {
-				t.Errorf("%d VMs: %.2f of the limit, %d in a window", vms, utilisation, most)
+			f.setLimits(1, perSecond)
+			utilisation, peak := d.simulate(f, length)
+			utilisations[d.name] = utilisation
+			bytes := d.messages*signalBytes*float64(min(vms-1, 15)) + signalBytes*float64(deliveriesPerSignal)/republishInterval.Seconds()
+			t.Logf("%-18s %4d %6.0f %12.2f %10d %14.0f", d.name, vms, load, utilisation, peak, bytes)
+			if d.name == "few holders" && (peak > tolerated(perSecond) || utilisation < 0.9) {
+				t.Errorf("%d VMs: %.2f of the limit, %d in a window", vms, utilisation, peak)
 			}
 		}
-		if vms > 16 && used["few holders"] < used["equal shares"] {
-			t.Errorf("%d VMs: %s", vms, fmt.Sprint(used))
+		if vms > 16 && utilisations["few holders"] < utilisations["equal shares"] {
+			t.Errorf("%d VMs: %s", vms, fmt.Sprint(utilisations))
 		}
 	}
 }
 
-// newsTimes is how often a VM receives each signal.
-const newsTimes = 3
+// deliveriesPerSignal is how often a VM receives each signal.
+const deliveriesPerSignal = 3
--- a/signals/fleet_test.go
+++ b/signals/fleet_test.go
@@ -10,43 +10,44 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// fleet plays VMs before endpoints in virtual time: requests come at random, responses carry the
-// endpoint's signal, what boards tell reaches the others after a delay.
+// fleet simulates VMs and endpoints in virtual time: requests arrive at random, responses carry the
+// endpoint's signal, and published updates reach the other VMs after a delay.
 type fleet struct {
 	random *rand.Rand
 	now    time.Time
 	events eventQueue
 	vms    []*vm
-	// endpoints are those of one service; the VMs' requests take any that lets them.
+	// endpoints belong to one service; a request goes to any endpoint that accepts it.
 	endpoints []*server
-	// gossip is how long news takes to another VM, and answer how long a response takes.
-	gossip, answer time.Duration
-	// parted tells whether nothing passes between two zones.
-	parted func(a, b string) bool
-	// signals is the number of signals published, refused that of requests that no endpoint took.
+	// publishDelay is the delay of an update to another VM, and responseDelay that of a response.
+	publishDelay, responseDelay time.Duration
+	// partitioned reports whether messages between two zones are lost.
+	partitioned func(a, b string) bool
+	// signals counts the published signals, refused the requests that no endpoint accepted, and
+	// served the requests sent.
 	signals, refused, served int
 	zones                    int
 }
 
 type vm struct {
 	name, zone string
-	board      *Tracker
-	// perSecond is the load of the VM.
+	tracker    *Tracker
+	// perSecond is the load of the VM in requests per second.
 	perSecond float64
-	// dead VMs send nothing, suspended ones not until then.
-	dead      bool
-	suspended time.Time
-	// heardAt is when each other VM was last heard.
-	heardAt map[string]time.Time
+	// A dead VM sends no requests; neither does a suspended VM before suspendedUntil.
+	dead           bool
+	suspendedUntil time.Time
+	// lastReceived is when a message from each other VM was last received.
+	lastReceived map[string]time.Time
 }
 
-// server is an endpoint.
+// server is a simulated endpoint.
 type server struct {
 	*directory.Endpoint
 	limit    Limit
 	arrivals []time.Time
 	byVM     map[string]int
-	// unlimitedEvery leaves the limit out of one response in so many.
+	// unlimitedEvery omits the limit from one response in that many; zero never omits it.
 	unlimitedEvery, responses int
 }
 
@@ -70,11 +71,11 @@
 
 func newFleet(seed uint64, vms, zones, endpoints int, perSecond float64) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), gossip: 20 * time.Millisecond, answer: 40 * time.Millisecond,
-		parted: func(string, string) bool { return false }, zones: zones,
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), publishDelay: 20 * time.Millisecond, responseDelay: 40 * time.Millisecond,
+		partitioned: func(string, string) bool { return false }, zones: zones,
 	}
 	if vms > 16 {
-		f.gossip = 150 * time.Millisecond // through the collectors
+		f.publishDelay = 150 * time.Millisecond // updates pass through the collectors
 	}
 	for i := range endpoints {
 		e := endpoint(fmt.Sprintf("e%03d", i), 1)
@@ -87,21 +88,21 @@
 	return f
 }
 
-// join starts a VM, which the others hear at once.
+// join starts a VM, which the others see as live at once.
 func (f *fleet) join(name, zone string, perSecond float64) *vm {
-	v := &vm{name: name, zone: zone, perSecond: perSecond, heardAt: map[string]time.Time{}}
+	v := &vm{name: name, zone: zone, perSecond: perSecond, lastReceived: map[string]time.Time{}}
 	registered := f.registered()
-	v.board = New(Config{VM: name, Now: func() time.Time { return f.now }, Endpoints: func() *directory.Snapshot { return registered }, Publish: func(n loadshare.News) { f.publish(v, n) }})
+	v.tracker = New(Config{VM: name, Now: func() time.Time { return f.now }, Endpoints: func() *directory.Snapshot { return registered }, Publish: func(n loadshare.News) { f.publish(v, n) }})
 	for _, o := range f.vms {
-		v.heardAt[o.name], o.heardAt[name] = f.now, f.now
+		v.lastReceived[o.name], o.lastReceived[name] = f.now, f.now
 	}
 	f.vms = append(f.vms, v)
-	f.at(0, func() { f.arrive(v) })
-	f.at(0, func() { f.members(v) })
+	f.schedule(0, func() { f.generateRequests(v) })
+	f.schedule(0, func() { f.updateMembership(v) })
 	return v
 }
 
-// registered is the picture of the endpoints that all VMs have.
+// registered returns the snapshot of the endpoints that all VMs use.
 func (f *fleet) registered() *directory.Snapshot {
 	var list []*directory.Endpoint
 	for _, e := range f.endpoints {
@@ -110,7 +111,7 @@
 	return snapshot(list...)
 }
 
-func (f *fleet) at(after time.Duration, do func()) {
+func (f *fleet) schedule(after time.Duration, do func()) {
 	heap.Push(&f.events, event{f.now.Add(after), do})
 }
 
@@ -124,99 +125,100 @@
 	f.now = end
 }
 
-// works tells whether a VM does anything now.
-func (f *fleet) works(v *vm) bool { return !v.dead && !f.now.Before(v.suspended) }
+// running reports whether a VM is neither dead nor suspended now.
+func (f *fleet) running(v *vm) bool { return !v.dead && !f.now.Before(v.suspendedUntil) }
 
-func (f *fleet) publish(from *vm, n loadshare.News) {
+func (f *fleet) publish(sender *vm, n loadshare.News) {
 	f.signals += len(n.Signals)
 	for _, v := range f.vms {
-		if v == from || f.parted(from.zone, v.zone) {
+		if v == sender || f.partitioned(sender.zone, v.zone) {
 			continue
 		}
-		f.at(f.gossip/2+rand0(f.random, f.gossip), func() { f.hear(v, n) })
+		f.schedule(f.publishDelay/2+randN(f.random, f.publishDelay), func() { f.deliver(v, n) })
 	}
 }
 
-// hear delivers news; a suspended VM reads it when it goes on.
-func (f *fleet) hear(v *vm, n loadshare.News) {
+// deliver passes an update to a VM; a suspended VM processes it when it resumes.
+func (f *fleet) deliver(v *vm, n loadshare.News) {
 	switch {
 	case v.dead:
-	case f.works(v):
-		v.board.Receive(n.Signals)
+	case f.running(v):
+		v.tracker.Receive(n.Signals)
 	default:
-		f.at(v.suspended.Sub(f.now), func() { f.hear(v, n) })
+		f.schedule(v.suspendedUntil.Sub(f.now), func() { f.deliver(v, n) })
 	}
 }
 
-func rand0(r *rand.Rand, d time.Duration) time.Duration { return time.Duration(r.Int64N(int64(d) + 1)) }
+// randN returns a random duration from 0 to d.
+func randN(r *rand.Rand, d time.Duration) time.Duration { return time.Duration(r.Int64N(int64(d) + 1)) }
 
-// members lets a VM hear the others and look which are there.
-func (f *fleet) members(v *vm) {
-	defer f.at(100*time.Millisecond, func() { f.members(v) })
-	if !f.works(v) {
+// updateMembership delivers the heartbeats of the other VMs to a VM and updates its membership.
+func (f *fleet) updateMembership(v *vm) {
+	defer f.schedule(100*time.Millisecond, func() { f.updateMembership(v) })
+	if !f.running(v) {
 		return
 	}
 	m := loadshare.Membership{Registered: len(f.vms)}
 	for _, o := range f.vms {
-		if f.works(o) && !f.parted(v.zone, o.zone) {
-			v.heardAt[o.name] = f.now
+		if f.running(o) && !f.partitioned(v.zone, o.zone) {
+			v.lastReceived[o.name] = f.now
 		}
-		if f.now.Sub(v.heardAt[o.name]) < loadshare.SilentAfter {
+		if f.now.Sub(v.lastReceived[o.name]) < loadshare.SilentAfter {
 			m.Live = append(m.Live, loadshare.Member{Name: o.name, Zone: o.zone})
 		}
 	}
-	v.board.SetMembers(m)
+	v.tracker.SetMembers(m)
 }
 
-// arrive takes a request of a VM's load.
-func (f *fleet) arrive(v *vm) {
+// generateRequests issues one request of a VM's load and schedules the next.
+func (f *fleet) generateRequests(v *vm) {
 	if v.dead || v.perSecond == 0 {
 		return
 	}
-	f.at(time.Duration(f.random.ExpFloat64()/v.perSecond*float64(time.Second)), func() { f.arrive(v) })
-	f.request(v, retries)
+	f.schedule(time.Duration(f.random.ExpFloat64()/v.perSecond*float64(time.Second)), func() { f.generateRequests(v) })
+	f.request(v, maxRetries)
 }
 
-// retries is how often a refused request comes back, and comesBack when, at another VM.
+// maxRetries is how often a refused request is retried at another VM, after about retryDelay.
 const (
-	retries   = 1
-	comesBack = 200 * time.Millisecond
+	maxRetries = 1
+	retryDelay = 200 * time.Millisecond
 )
 
-// request lets a VM take a request.
-func (f *fleet) request(v *vm, again int) {
-	if !f.works(v) {
+// request handles a request at a VM.
+func (f *fleet) request(v *vm, retriesLeft int) {
+	if !f.running(v) {
 		return
 	}
 	refuse := func() {
 		f.refused++
-		if again > 0 {
-			f.at(comesBack/2+rand0(f.random, comesBack), func() { f.request(f.vms[f.random.IntN(len(f.vms))], again-1) })
+		if retriesLeft > 0 {
+			f.schedule(retryDelay/2+randN(f.random, retryDelay), func() { f.request(f.vms[f.random.IntN(len(f.vms))], retriesLeft-1) })
 		}
 	}
 	var free, limited []*server
 	for _, e := range f.endpoints {
-		block, named := v.board.Check(e.Endpoint, 0, f.random.Float64)
+		block, isLimited := v.tracker.Check(e.Endpoint, 0, f.random.Float64)
 		switch {
 		case block.Reason != "":
-		case named:
+		case isLimited:
 			limited = append(limited, e)
 		default:
 			free = append(free, e)
 		}
 	}
-	// A limited endpoint that has something left looks idle, so that it is chosen.
-	choice := limited
-	if len(choice) == 0 {
-		choice = free
+	// A limited endpoint with capacity left looks idle, so the VM prefers it.
+	candidates := limited
+	if len(candidates) == 0 {
+		candidates = free
 	}
-	if len(choice) == 0 || !f.send(v, choice[f.random.IntN(len(choice))]) {
+	if len(candidates) == 0 || !f.send(v, candidates[f.random.IntN(len(candidates))]) {
 		refuse()
 	}
 }
 
 func (f *fleet) send(v *vm, e *server) bool {
-	permit, block := v.board.Acquire(e.Endpoint)
+	permit, block := v.tracker.Acquire(e.Endpoint)
 	if block.Reason != "" || permit.Recheck().Reason != "" {
 		return false
 	}
@@ -224,9 +226,9 @@
 	sent := f.now
 	e.arrivals = append(e.arrivals, f.now)
 	e.byVM[v.name]++
-	f.at(f.answer, func() {
-		if f.works(v) {
-			v.board.Observe(Response{Endpoint: e.Endpoint, Sent: sent, Signal: e.signal()})
+	f.schedule(f.responseDelay, func() {
+		if f.running(v) {
+			v.tracker.Observe(Response{Endpoint: e.Endpoint, Sent: sent, Signal: e.signal()})
 		}
 	})
 	return true
@@ -240,8 +242,8 @@
 	return Signal{Limit: e.limit}
 }
 
-// within counts the arrivals of a span.
-func (e *server) within(from, to time.Time) int {
+// arrivalsBetween counts the arrivals from one time until before another.
+func (e *server) arrivalsBetween(from, to time.Time) int {
 	n := 0
 	for _, at := range e.arrivals {
 		if !at.Before(from) && at.Before(to) {
@@ -251,9 +253,9 @@
 	return n
 }
 
-// most is the largest number of arrivals in any window after a moment.
-func (e *server) most(after time.Time, window time.Duration) int {
-	most, first := 0, 0
+// maxArrivals returns the largest number of arrivals in any window after a point in time.
+func (e *server) maxArrivals(after time.Time, window time.Duration) int {
+	peak, first := 0, 0
 	for i, at := range e.arrivals {
 		if at.Before(after) {
 			first = i + 1
@@ -262,7 +264,7 @@
 		for at.Sub(e.arrivals[first]) >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
--- a/signals/keep.go
+++ b/signals/keep.go
@@ -6,41 +6,41 @@
 	"github.com/springweir/springweir/directory"
 )
 
-// keepIdle is how long the state of an endpoint is kept after its last signal. All VMs keep it far longer
-// than news takes, so that the versions of a limit go on from where they were.
-const keepIdle = 10 * time.Minute
+// idleTTL is how long the state of an endpoint is kept after its last signal. All VMs keep it far
+// longer than an update takes to reach them, so that a new limit continues its version numbers.
+const idleTTL = 10 * time.Minute
 
-// idle tells whether the endpoint has sent no signal for long.
-func (s *state) idle(now time.Time) bool {
-	return !s.limit.limited && now.Sub(s.limit.versionAt) > keepIdle && now.Sub(s.backoff.until) > keepIdle
+// isIdle reports whether the endpoint has sent no signal for idleTTL.
+func (s *endpointState) isIdle(now time.Time) bool {
+	return !s.limit.limited && now.Sub(s.limit.versionAt) > idleTTL && now.Sub(s.backoff.until) > idleTTL
 }
 
-// keepUnknown is how long signals of an endpoint are kept that is not registered: its row may be on
-// its way.
-const keepUnknown = 10 * time.Second
+// unregisteredTTL is how long signals of an endpoint that is not registered here are kept, because
+// its registration may still be in transit.
+const unregisteredTTL = 10 * time.Second
 
-// Retain forgets endpoints that are gone or have started again, and names those that have registered since
-// another VM published signals of them.
-func (b *Tracker) Retain(snapshot *directory.Snapshot) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.states) == 0 {
+// Retain removes the states of endpoints that were deregistered or restarted, and binds states
+// received from other VMs to endpoints that have registered since.
+func (t *Tracker) Retain(snapshot *directory.Snapshot) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.states) == 0 {
 		return
 	}
-	live := map[uint64]*directory.Endpoint{}
+	registered := map[uint64]*directory.Endpoint{}
 	for _, e := range snapshot.All() {
-		live[Hash(e)] = e
+		registered[Hash(e)] = e
 	}
-	now := b.now()
-	for endpoint, s := range b.states {
-		e := live[endpoint]
-		gone := e == nil && (s.id != "" || now.Sub(s.touched) > keepUnknown)
+	now := t.now()
+	for hash, s := range t.states {
+		e := registered[hash]
+		removed := e == nil && (s.id != "" || now.Sub(s.updatedAt) > unregisteredTTL)
 		switch {
-		case gone || s.idle(now):
-			delete(b.states, endpoint)
+		case removed || s.isIdle(now):
+			delete(t.states, hash)
 		case e != nil && s.id == "":
-			b.bind(endpoint, s, e)
+			t.bindEndpoint(hash, s, e)
 		}
 	}
-	b.noteKnown()
+	t.updateIDsWithState()
 }
--- a/signals/limit.go
+++ b/signals/limit.go
@@ -7,54 +7,56 @@
 )
 
 const (
-	// confirmEvery is how often a limit that is still named is published to the other VMs.
-	confirmEvery = 500 * time.Millisecond
-	// clearAfter is how long no response may have named a limit, and clearResponses how many have to
-	// have come without one, before the limit is taken to be over.
+	// republishInterval is how often a limit that responses still report is published to the other
+	// VMs.
+	republishInterval = 500 * time.Millisecond
+	// clearAfter is how long no response may have reported a limit, and clearResponses how many
+	// responses must have arrived without one, before the limit is considered over.
 	clearAfter     = 1500 * time.Millisecond
 	clearResponses = 2
-	// probeAfter is how long a limit may be unconfirmed before VMs send a request to see whether it
-	// still holds: the first in the order of holders, and each later one probeStep after that, which is
-	// longer than an answer takes to be known everywhere.
+	// probeAfter is how long a limit may be unconfirmed before VMs send a request to probe whether
+	// it still holds: first the VM of rank 0, then each further rank probeStep later. probeStep is
+	// longer than it takes for a response to reach all VMs as an update.
 	probeAfter = 1500 * time.Millisecond
 	probeStep  = 600 * time.Millisecond
-	// mostPerSecond bounds limits: a higher one binds nobody.
-	mostPerSecond = 1e6
+	// maxPerSecond caps limits: a higher one constrains no VM.
+	maxPerSecond = 1e6
 )
 
-// limit is what is known of the rate limit of one incarnation of an endpoint, and this VM's part of it.
+// limit holds the rate limit of one incarnation of an endpoint, and this VM's share of it.
 type limit struct {
 	// version grows with each observation by any VM.
 	version   uint32
 	limited   bool
 	perSecond float64
-	// namedAt is when a response was last known to name the limit, versionAt when the present
-	// version of it was made or received.
-	namedAt, versionAt time.Time
-	// unlimited counts this VM's responses without a limit to requests sent after namedAt.
-	unlimited int
+	// reportedAt is when a response to any VM last reported the limit, as far as received here, and
+	// versionAt when the current version was created or received.
+	reportedAt, versionAt time.Time
+	// unlimitedResponses counts this VM's responses without a limit to requests sent after
+	// reportedAt.
+	unlimitedResponses int
 
 	share  share
 	bucket bucket
-	// takenAt is when this VM last let a request go.
-	takenAt time.Time
+	// lastAcquiredAt is when this VM last acquired a permit.
+	lastAcquiredAt time.Time
 }
 
-// observe takes in a response to this VM. It reports whether to publish the new version.
-func (l *limit) observe(now time.Time, named Limit, sent time.Time) (publish bool) {
-	switch named.Kind {
+// observe applies a response to this VM. It reports whether to publish the new version.
+func (l *limit) observe(now time.Time, reported Limit, sent time.Time) (publish bool) {
+	switch reported.Kind {
 	case Limited:
-		return l.name(now, min(named.PerSecond, mostPerSecond))
+		return l.observeLimited(now, min(reported.PerSecond, maxPerSecond))
 	case Unlimited:
-		return l.miss(now, sent)
+		return l.observeUnlimited(now, sent)
 	}
 	return false
 }
 
-func (l *limit) name(now time.Time, perSecond float64) (publish bool) {
-	same := l.limited && l.perSecond == perSecond
-	l.limited, l.perSecond, l.namedAt, l.unlimited = true, perSecond, now, 0
-	if same && now.Sub(l.versionAt) < confirmEvery {
+func (l *limit) observeLimited(now time.Time, perSecond float64) (publish bool) {
+	unchanged := l.limited && l.perSecond == perSecond
+	l.limited, l.perSecond, l.reportedAt, l.unlimitedResponses = true, perSecond, now, 0
+	if unchanged && now.Sub(l.versionAt) < republishInterval {
 		return false
 	}
 	l.version++
@@ -62,13 +64,13 @@
 	return true
 }
 
-// miss takes in a response without a limit. Responses may overtake each other, so only those count
-// whose requests were sent after the limit was last named.
-func (l *limit) miss(now, sent time.Time) (publish bool) {
-	if !l.limited || !sent.After(l.namedAt) {
+// observeUnlimited handles a response without a limit. Responses may arrive out of order, so it
+// counts only those to requests sent after the limit was last reported.
+func (l *limit) observeUnlimited(now, sent time.Time) (publish bool) {
+	if !l.limited || !sent.After(l.reportedAt) {
 		return false
 	}
-	if l.unlimited++; l.unlimited < clearResponses || now.Sub(l.namedAt) < clearAfter {
+	if l.unlimitedResponses++; l.unlimitedResponses < clearResponses || now.Sub(l.reportedAt) < clearAfter {
 		return false
 	}
 	l.limited = false
@@ -77,59 +79,61 @@
 	return true
 }
 
-// merge takes in what another VM published. It reports whether that counts.
-func (l *limit) merge(now time.Time, s *sharepb.EndpointSignal) bool {
-	perSecond := float64(s.LimitMilli) / 1000
-	newer := s.Version > l.version
-	stricter := s.Version == l.version && s.Limited && (!l.limited || perSecond < l.perSecond)
+// merge applies an update from another VM if its version is newer or, at the same version, its
+// limit stricter. It reports whether the update was applied.
+func (l *limit) merge(now time.Time, update *sharepb.EndpointSignal) bool {
+	perSecond := float64(update.LimitMilli) / 1000
+	newer := update.Version > l.version
+	stricter := update.Version == l.version && update.Limited && (!l.limited || perSecond < l.perSecond)
 	if !newer && !stricter {
 		return false
 	}
-	l.version, l.limited, l.perSecond, l.versionAt, l.unlimited = s.Version, s.Limited, perSecond, now, 0
+	l.version, l.limited, l.perSecond, l.versionAt, l.unlimitedResponses = update.Version, update.Limited, perSecond, now, 0
 	if l.limited {
-		l.namedAt = now
+		l.reportedAt = now
 	}
 	return true
 }
 
-// signal is what is published to the other VMs.
-func (l *limit) signal(endpoint uint64) *sharepb.EndpointSignal {
-	return &sharepb.EndpointSignal{Endpoint: endpoint, Version: l.version, Limited: l.limited, LimitMilli: uint64(l.perSecond * 1000)}
+// toProto returns the update that is published to the other VMs.
+func (l *limit) toProto(hash uint64) *sharepb.EndpointSignal {
+	return &sharepb.EndpointSignal{Endpoint: hash, Version: l.version, Limited: l.limited, LimitMilli: uint64(l.perSecond * 1000)}
 }
 
-// setShare puts this VM's part in force: at once if it holds one already, otherwise from a time on.
+// setShare assigns this VM's share. A new share is usable from the given time on; one that replaces
+// another stays usable from the time of that one.
 func (l *limit) setShare(from time.Time, s share) {
-	s.from = from
+	s.usableFrom = from
 	if l.share.perSecond > 0 {
-		s.from = l.share.from
+		s.usableFrom = l.share.usableFrom
 	}
-	fresh := l.share.perSecond == 0 && s.perSecond > 0
+	acquired := l.share.perSecond == 0 && s.perSecond > 0
 	l.share = s
-	if fresh {
-		l.bucket.empty(s.from, interval(s.perSecond))
+	if acquired {
+		l.bucket.empty(s.usableFrom, interval(s.perSecond))
 	}
 }
 
-// dropShare makes the share one that is to be taken over anew.
+// dropShare gives up the share; the next one counts as new.
 func (l *limit) dropShare() { l.share.perSecond = 0 }
 
-// wait is how long until this VM may send a request, out of its share or as a probe.
+// wait returns how long until this VM may send a request, within its share or as a probe.
 func (l *limit) wait(now time.Time) time.Duration {
-	probeAt := l.namedAt.Add(probeAfter + time.Duration(l.share.rank)*probeStep)
-	if next := l.takenAt.Add(probeAfter); next.After(probeAt) {
+	probeAt := l.reportedAt.Add(probeAfter + time.Duration(l.share.rank)*probeStep)
+	if next := l.lastAcquiredAt.Add(probeAfter); next.After(probeAt) {
 		probeAt = next
 	}
 	untilProbe := max(0, probeAt.Sub(now))
 	if l.share.perSecond == 0 {
 		return untilProbe
 	}
-	return min(untilProbe, max(l.share.from.Sub(now), l.bucket.wait(now, interval(l.share.perSecond))))
+	return min(untilProbe, max(l.share.usableFrom.Sub(now), l.bucket.wait(now, interval(l.share.perSecond))))
 }
 
-// freeIn is how long until the endpoint takes something from any VM, as far as this one can tell.
-func (l *limit) freeIn(now time.Time) time.Duration {
+// availableIn estimates how long until the endpoint accepts a request from any VM.
+func (l *limit) availableIn(now time.Time) time.Duration {
 	wait := l.wait(now)
-	if l.share.perSecond == 0 && l.perSecond >= leastRate {
+	if l.share.perSecond == 0 && l.perSecond >= minSharedRate {
 		wait = min(wait, interval(l.perSecond))
 	}
 	return wait
--- a/signals/limit_test.go
+++ b/signals/limit_test.go
@@ -10,25 +10,25 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// window is the span over which endpoints count the requests of all VMs, and known how long after an
-// announcement they begin to.
+// window is the span over which endpoints count the requests of all VMs, and enforcementDelay how
+// long after announcing a limit they start to count.
 const (
-	window = 4 * time.Second
-	known  = 500 * time.Millisecond
+	window           = 4 * time.Second
+	enforcementDelay = 500 * time.Millisecond
 )
 
-// tolerated is what endpoints tolerate of a limit in window.
+// tolerated returns how many requests within window an endpoint tolerates under a limit.
 func tolerated(perSecond float64) int { return int(1.5*perSecond*window.Seconds() + 5) }
 
-// limitAll makes all endpoints of a fleet, or the first n, name a limit.
-func (f *fleet) limitAll(n int, perSecond float64) {
+// setLimits makes the first n endpoints of a fleet report a limit.
+func (f *fleet) setLimits(n int, perSecond float64) {
 	for _, e := range f.endpoints[:n] {
 		e.limit = Limit{Kind: Limited, PerSecond: perSecond}
 	}
 }
 
-// The VMs together send a limited endpoint what it allows, and no more, in fleets of any size, for
-// limits of any size, when one endpoint is limited and when all are.
+// The VMs together send a limited endpoint what it allows, and no more: in fleets of any size, for
+// limits of any size, and with one or all endpoints limited.
 func TestLimitIsSharedByAllVMs(t *testing.T) {
 	for _, size := range []struct {
 		vms, endpoints int
@@ -40,18 +40,18 @@
 					t.Parallel()
 					f := newFleet(7, size.vms, 3, size.endpoints, size.perSecond)
 					f.run(2 * time.Second)
-					f.limitAll(limited, perSecond)
-					began := f.now
+					f.setLimits(limited, perSecond)
+					limitedAt := f.now
 					f.run(12 * time.Second)
 					got := 0.0
 					for _, e := range f.endpoints[:limited] {
-						if n := e.most(began.Add(known), window); n > tolerated(perSecond) {
+						if n := e.maxArrivals(limitedAt.Add(enforcementDelay), window); n > tolerated(perSecond) {
 							t.Errorf("%d requests in %v, %d are tolerated", n, window, tolerated(perSecond))
 						}
-						got += float64(e.within(f.now.Add(-8*time.Second), f.now)) / 8
+						got += float64(e.arrivalsBetween(f.now.Add(-8*time.Second), f.now)) / 8
 					}
 					allowed := float64(limited) * perSecond
-					// Without half as much load again a share stands idle now and then.
+					// Unless the load exceeds the limit by half, a share is unused now and then.
 					if perSecond >= 1 && size.perSecond > 1.5*allowed && got < 0.9*allowed {
 						t.Errorf("%.1f of %.1f requests a second were sent", got, allowed)
 					}
@@ -64,64 +64,64 @@
 	}
 }
 
-// A limit that is over gives the endpoint its usual share of the traffic back within 4 s, also where
-// the limit let nothing through.
+// When a limit ends, the endpoint gets its usual share of the traffic back within 4 s, even if the
+// limit admitted no request.
 func TestTrafficReturnsWhenALimitEnds(t *testing.T) {
-	const back = 4 * time.Second
+	const recoveryTime = 4 * time.Second
 	for _, perSecond := range []float64{0, 0.3, 4} {
 		for _, vms := range []int{4, 83} {
 			t.Run(fmt.Sprintf("%v of %d VMs", perSecond, vms), func(t *testing.T) {
 				f := newFleet(3, vms, 3, 6, 120)
-				f.limitAll(1, perSecond)
+				f.setLimits(1, perSecond)
 				f.run(8 * time.Second)
 				f.endpoints[0].limit = Limit{}
-				f.run(back)
+				f.run(recoveryTime)
 				from := f.now
 				f.run(4 * time.Second)
-				rate := float64(f.endpoints[0].within(from, f.now)) / 4
+				rate := float64(f.endpoints[0].arrivalsBetween(from, f.now)) / 4
 				if usual := 120.0 / 6; rate < 0.8*usual {
-					t.Errorf("%.1f requests a second, usual are %.1f", rate, usual)
+					t.Errorf("%.1f requests a second, usually %.1f", rate, usual)
 				}
 			})
 		}
 	}
 }
 
-// A limit that is named in only some responses holds all the same.
-func TestLimitNamedInSomeResponsesHolds(t *testing.T) {
+// A limit that only some responses report stays in force.
+func TestIntermittentLimitHolds(t *testing.T) {
 	f := newFleet(5, 8, 3, 6, 120)
 	f.endpoints[0].unlimitedEvery = 2
-	f.limitAll(1, 4)
-	began := f.now
+	f.setLimits(1, 4)
+	limitedAt := f.now
 	f.run(20 * time.Second)
-	if n := f.endpoints[0].most(began.Add(known), window); n > tolerated(4) {
+	if n := f.endpoints[0].maxArrivals(limitedAt.Add(enforcementDelay), window); n > tolerated(4) {
 		t.Errorf("%d requests in %v", n, window)
 	}
 }
 
-// A limit that changes is followed, down at once.
+// A changed limit takes effect, a lower one at once.
 func TestLimitChanges(t *testing.T) {
 	f := newFleet(6, 8, 3, 6, 200)
-	f.limitAll(1, 12)
+	f.setLimits(1, 12)
 	f.run(6 * time.Second)
-	f.limitAll(1, 2)
-	began := f.now
+	f.setLimits(1, 2)
+	limitedAt := f.now
 	f.run(6 * time.Second)
-	if n := f.endpoints[0].most(began.Add(known), window); n > tolerated(2) {
+	if n := f.endpoints[0].maxArrivals(limitedAt.Add(enforcementDelay), window); n > tolerated(2) {
 		t.Errorf("%d requests in %v after the limit fell", n, window)
 	}
-	f.limitAll(1, 12)
+	f.setLimits(1, 12)
 	f.run(2 * time.Second)
 	from := f.now
 	f.run(6 * time.Second)
-	if rate := float64(f.endpoints[0].within(from, f.now)) / 6; rate < 0.9*12 {
+	if rate := float64(f.endpoints[0].arrivalsBetween(from, f.now)) / 6; rate < 0.9*12 {
 		t.Errorf("%.1f requests a second after the limit rose to 12", rate)
 	}
 }
 
-// Whatever becomes of VMs that hold shares, the limit holds, and it is used again within seconds: they
-// die, are suspended, join, come back.
-func TestLimitHoldsWhileVMsComeAndGo(t *testing.T) {
+// When VMs that hold shares die, are suspended, resume or join, the limit holds and is used again
+// within seconds.
+func TestLimitHoldsWhenVMsFailOrJoin(t *testing.T) {
 	const perSecond = 9.6
 	for _, vms := range []int{8, 83} {
 		for _, tc := range []struct {
@@ -129,11 +129,11 @@
 			change func(f *fleet)
 		}{
 			{"killed", func(f *fleet) { f.vms[0].dead, f.vms[3].dead = true, true }},
-			{"suspended for 1.5 s", func(f *fleet) { f.vms[0].suspended = f.now.Add(1500 * time.Millisecond) }},
+			{"suspended for 1.5 s", func(f *fleet) { f.vms[0].suspendedUntil = f.now.Add(1500 * time.Millisecond) }},
 			{"suspended for 3 s", func(f *fleet) {
-				f.vms[0].suspended, f.vms[3].suspended = f.now.Add(3*time.Second), f.now.Add(3*time.Second)
+				f.vms[0].suspendedUntil, f.vms[3].suspendedUntil = f.now.Add(3*time.Second), f.now.Add(3*time.Second)
 			}},
-			{"suspended for 4 s", func(f *fleet) { f.vms[0].suspended = f.now.Add(4 * time.Second) }},
+			{"suspended for 4 s", func(f *fleet) { f.vms[0].suspendedUntil = f.now.Add(4 * time.Second) }},
 			{"joined", func(f *fleet) {
 				for i := range 3 {
 					f.join(fmt.Sprint("new", i), "z0", 20)
@@ -142,18 +142,18 @@
 		} {
 			t.Run(fmt.Sprintf("%d VMs, %s", vms, tc.name), func(t *testing.T) {
 				f := newFleet(11, vms, 3, 6, 300)
-				f.limitAll(1, perSecond)
-				began := f.now
+				f.setLimits(1, perSecond)
+				limitedAt := f.now
 				f.run(6 * time.Second)
 				tc.change(f)
 				f.run(8 * time.Second)
 				e := f.endpoints[0]
-				if n := e.most(began.Add(known), window); n > tolerated(perSecond) {
+				if n := e.maxArrivals(limitedAt.Add(enforcementDelay), window); n > tolerated(perSecond) {
 					t.Errorf("%d requests in %v, %d are tolerated", n, window, tolerated(perSecond))
 				}
 				from := f.now
 				f.run(6 * time.Second)
-				if rate := float64(e.within(from, f.now)) / 6; rate < 0.9*perSecond {
+				if rate := float64(e.arrivalsBetween(from, f.now)) / 6; rate < 0.9*perSecond {
 					t.Errorf("%.1f requests a second afterwards", rate)
 				}
 			})
@@ -161,25 +161,25 @@
 	}
 }
 
-// While a zone is cut off, the VMs of both sides together stay within what the endpoint tolerates, and
-// they use the limit alone again once the partition has healed.
-func TestLimitHoldsOverAPartition(t *testing.T) {
+// While a zone is partitioned, the VMs of both sides together stay within what the endpoint
+// tolerates. Once the partition has healed, they use the limit again without exceeding it.
+func TestLimitHoldsDuringPartition(t *testing.T) {
 	const perSecond = 9.6
 	for _, vms := range []int{4, 8, 83} {
 		for _, cut := range []string{"z0", "z1"} {
 			t.Run(fmt.Sprintf("%d VMs, %s", vms, cut), func(t *testing.T) {
 				f := newFleet(13, vms, 3, 6, 300)
-				f.limitAll(1, perSecond)
-				began := f.now
+				f.setLimits(1, perSecond)
+				limitedAt := f.now
 				f.run(6 * time.Second)
-				f.parted = func(a, b string) bool { return (a == cut) != (b == cut) }
+				f.partitioned = func(a, b string) bool { return (a == cut) != (b == cut) }
 				f.run(8 * time.Second)
-				f.parted = func(string, string) bool { return false }
+				f.partitioned = func(string, string) bool { return false }
 				f.run(8 * time.Second)
-				if n := f.endpoints[0].most(began.Add(known), window); n > tolerated(perSecond) {
+				if n := f.endpoints[0].maxArrivals(limitedAt.Add(enforcementDelay), window); n > tolerated(perSecond) {
 					t.Errorf("%d requests in %v, %d are tolerated", n, window, tolerated(perSecond))
 				}
-				if rate := float64(f.endpoints[0].within(f.now.Add(-4*time.Second), f.now)) / 4; rate < 0.85*perSecond {
+				if rate := float64(f.endpoints[0].arrivalsBetween(f.now.Add(-4*time.Second), f.now)) / 4; rate < 0.85*perSecond {
 					t.Errorf("%.1f requests a second at the end", rate)
 				}
 			})
@@ -187,13 +187,14 @@
 	}
 }
 
-// The holders of a limit have no load of the service: others find out that it is over.
-func TestHoldersWithoutLoad(t *testing.T) {
+// If the holders of a limit receive no load for the service, other VMs detect that the limit is
+// over.
+func TestLimitEndsWithIdleHolders(t *testing.T) {
 	f := newFleet(17, 8, 3, 4, 200)
-	f.limitAll(1, 1) // one holder
+	f.setLimits(1, 1) // one holder
 	f.run(4 * time.Second)
 	for _, v := range f.vms {
-		if f.endpoints[0].byVM[v.name] > 0 && v.board.states[Hash(f.endpoints[0].Endpoint)].limit.share.perSecond > 0 {
+		if f.endpoints[0].byVM[v.name] > 0 && v.tracker.states[Hash(f.endpoints[0].Endpoint)].limit.share.perSecond > 0 {
 			v.perSecond = 0
 		}
 	}
@@ -202,14 +203,14 @@
 	f.run(8 * time.Second)
 	from := f.now
 	f.run(4 * time.Second)
-	if rate := float64(f.endpoints[0].within(from, f.now)) / 4; rate < 10 {
+	if rate := float64(f.endpoints[0].arrivalsBetween(from, f.now)) / 4; rate < 10 {
 		t.Errorf("%.1f requests a second", rate)
 	}
 }
 
-// Shares add up to the limit for VMs that agree on who is there, and to less than one and a half of
-// it whatever partition divides them.
-func TestSharesAddUp(t *testing.T) {
+// Shares add up to the limit for VMs with the same membership, and to at most one and a half times
+// the limit across any partition.
+func TestSharesSumToLimit(t *testing.T) {
 	var all []loadshare.Member
 	for i := range 9 {
 		all = append(all, loadshare.Member{Name: fmt.Sprint("vm", i), Zone: fmt.Sprint("z", i%3)})
@@ -240,23 +241,23 @@
 	}
 }
 
-// While a limit leaves too little for all, urgent requests get more of it than less urgent ones, which
+// While a limit is below the demand, urgent requests get more of it than less urgent ones, which
 // are not starved.
-func TestUrgentRequestsComeFirst(t *testing.T) {
-	b := newBench()
+func TestUrgentRequestsArePreferred(t *testing.T) {
+	tracker := newTestTracker()
 	e := endpoint("e1", 1)
-	b.Observe(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 10}}})
+	tracker.Observe(Response{Endpoint: e, Sent: tracker.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 10}}})
 	random := rand.New(rand.NewPCG(1, 1))
 	sent := [2]int{}
 	const requests = 4000
 	for range requests {
-		b.pass(10 * time.Millisecond)
-		b.Observe(Response{Endpoint: e, Sent: b.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 10}}})
+		tracker.advance(10 * time.Millisecond)
+		tracker.Observe(Response{Endpoint: e, Sent: tracker.now, Signal: Signal{Limit: Limit{Kind: Limited, PerSecond: 10}}})
 		priority := random.IntN(2)
-		if block, _ := b.Check(e, priority, random.Float64); block.Reason != "" {
+		if block, _ := tracker.Check(e, priority, random.Float64); block.Reason != "" {
 			continue
 		}
-		if _, block := b.Acquire(e); block.Reason == "" {
+		if _, block := tracker.Acquire(e); block.Reason == "" {
 			sent[priority]++
 		}
 	}
--- a/signals/members.go
+++ b/signals/members.go
@@ -7,53 +7,53 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// share gives this VM its part of a limit. The caller holds mu.
-func (b *Tracker) share(endpoint uint64, s *state, handover time.Duration) {
+// assignShare assigns this VM's share of a limit, usable after a delay. The caller holds mu.
+func (t *Tracker) assignShare(hash uint64, s *endpointState, delay time.Duration) {
 	if !s.limit.limited {
 		return
 	}
-	now := b.now()
-	from := now.Add(handover)
-	if b.sharesFrom.After(from) {
-		from = b.sharesFrom
+	now := t.now()
+	usableFrom := now.Add(delay)
+	if t.sharesUsableFrom.After(usableFrom) {
+		usableFrom = t.sharesUsableFrom
 	}
-	s.limit.setShare(from, shareOf(b.cfg.VM, endpoint, s.zone, b.members, s.limit.perSecond))
+	s.limit.setShare(usableFrom, shareOf(t.cfg.VM, hash, s.zone, t.members, s.limit.perSecond))
 }
 
-// SetMembers takes in which VMs are there. It is called several times in membershipTTL, also when
-// nothing has changed.
-func (b *Tracker) SetMembers(m loadshare.Membership) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	joined := len(b.members.Live) == 1 && len(m.Live) > 1
-	lapsed := now.Sub(b.membersAt) > membershipTTL || joined
-	b.membersAt = now
-	if !lapsed && m.Registered == b.members.Registered && slices.Equal(m.Live, b.members.Live) {
+// SetMembers sets the live VMs. It must be called several times per membershipTTL, even if nothing
+// has changed.
+func (t *Tracker) SetMembers(m loadshare.Membership) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	joined := len(t.members.Live) == 1 && len(m.Live) > 1
+	reset := now.Sub(t.membersConfirmedAt) > membershipTTL || joined
+	t.membersConfirmedAt = now
+	if !reset && m.Registered == t.members.Registered && slices.Equal(m.Live, t.members.Live) {
 		return
 	}
-	b.members = m
-	if lapsed {
-		b.sharesFrom = now.Add(regain)
-		b.dropShares()
+	t.members = m
+	if reset {
+		t.sharesUsableFrom = now.Add(reacquireDelay)
+		t.dropShares()
 	}
-	for endpoint, s := range b.states {
-		b.share(endpoint, s, handover)
+	for hash, s := range t.states {
+		t.assignShare(hash, s, handoverDelay)
 	}
 }
 
-// lapse drops all shares once the members have not been confirmed for membershipTTL: the VM was
-// suspended, and others may hold them by now. The caller holds mu.
-func (b *Tracker) lapse(now time.Time) {
-	if now.Sub(b.membersAt) <= membershipTTL || b.members.Registered == 1 {
+// expireShares drops all shares if the membership has not been confirmed for membershipTTL: the VM
+// was suspended, and other VMs may hold its shares by now. The caller holds mu.
+func (t *Tracker) expireShares(now time.Time) {
+	if now.Sub(t.membersConfirmedAt) <= membershipTTL || t.members.Registered == 1 {
 		return
 	}
-	b.dropShares()
+	t.dropShares()
 }
 
-// dropShares gives all shares up. The caller holds mu.
-func (b *Tracker) dropShares() {
-	for _, s := range b.states {
+// dropShares gives up all shares. The caller holds mu.
+func (t *Tracker) dropShares() {
+	for _, s := range t.states {
 		s.limit.dropShare()
 	}
 }
--- a/signals/model_test.go
+++ b/signals/model_test.go
@@ -8,70 +8,71 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// The protocol by which VMs hold a share, as a state that is searched through all orders of its steps:
-// VMs that hear each other, die, join, are suspended for any time and are cut off. The board is the one
-// that serves.
+// This model check explores all orders of steps of the protocol by which VMs hold shares: VMs
+// exchange messages, die, join, are suspended for any time and are partitioned. It runs the Tracker
+// that production uses.
 
 const (
 	modelVMs = 3
-	// tick is the time of one step; a VM hears the others once in it.
+	// tick is the time of one step, in which a VM receives once from each other VM.
 	tick = 500 * time.Millisecond
-	// modelSteps is the length of a run, and modelEvents how many disruptions it holds.
+	// modelSteps is the length of a run in steps, and modelEvents the number of disruptions in it.
 	modelSteps  = 16
 	modelEvents = 3
-	// modelLimit is one share.
+	// modelLimit is small enough for a single holder.
 	modelLimit = 1.0
-	// longAgo is an age, in steps, beyond which nothing changes any more.
-	longAgo = 9
+	// maxAge is an age, in steps, beyond which nothing changes.
+	maxAge = 9
 )
 
 var modelEndpoint = endpoint("e1", 1)
 
-// modelVM is one VM; ages are in steps.
+// modelVM is the state of one VM; ages are in steps.
 type modelVM struct {
 	dead, suspended bool
-	// heard are the ages of the last word of each other VM.
-	heard [modelVMs]int
-	// live are the members as last set, of that age, by bit; zero before the first time.
+	// messageAge is the age of the last message from each other VM.
+	messageAge [modelVMs]int
+	// live is the membership as last set, one bit per VM, and liveAge its age; live is zero before
+	// the first time.
 	live, liveAge int
-	// holds is set for a share, which may be used from so many steps on.
-	holds bool
-	from  int
-	// barred is for how many steps no share may be used.
-	barred int
+	// holdsShare is set if the VM holds a share, which is usable in usableIn steps.
+	holdsShare bool
+	usableIn   int
+	// blockedFor is the number of steps for which no share may be used.
+	blockedFor int
 }
 
 type modelState struct {
 	vms [modelVMs]modelVM
-	// cut is the VM that is cut off from the others, or -1.
-	cut    int
-	events int
-	// calm is the number of steps without a cut and without an event.
-	calm int
+	// isolated is the VM that is partitioned from the others, or -1.
+	isolated int
+	events   int
+	// stableSteps is the number of steps without a partition and without an event.
+	stableSteps int
 }
 
-// modelFault changes a point on which the protocol's safety rests.
-type modelFault struct{ noHandover, noLapse, noPart bool }
+// modelFault disables a rule that the protocol's safety depends on.
+type modelFault struct{ noHandover, noExpiry, noScaling bool }
 
 func modelName(i int) string { return string(rune('a' + i)) }
 
-// board builds the board of a VM in a state.
-func (v *modelVM) board(i int, now time.Time) *Tracker {
-	b := New(Config{VM: modelName(i), Now: func() time.Time { return now }})
-	s := b.add(Hash(modelEndpoint), modelEndpoint)
-	s.limit.limited, s.limit.perSecond, s.limit.namedAt = true, modelLimit, now
-	b.sharesFrom = now.Add(time.Duration(v.barred) * tick)
+// tracker builds the Tracker of a VM in its current state.
+func (v *modelVM) tracker(i int, now time.Time) *Tracker {
+	tracker := New(Config{VM: modelName(i), Now: func() time.Time { return now }})
+	s := tracker.addState(Hash(modelEndpoint), modelEndpoint)
+	s.limit.limited, s.limit.perSecond, s.limit.reportedAt = true, modelLimit, now
+	tracker.sharesUsableFrom = now.Add(time.Duration(v.blockedFor) * tick)
 	if v.live != 0 {
-		b.members, b.membersAt = members(v.live), now.Add(-time.Duration(v.liveAge)*tick)
+		tracker.members, tracker.membersConfirmedAt = membershipOf(v.live), now.Add(-time.Duration(v.liveAge)*tick)
 	}
-	if v.holds {
-		s.limit.share = shareOf(b.cfg.VM, Hash(modelEndpoint), s.zone, b.members, modelLimit)
-		s.limit.share.from = now.Add(time.Duration(v.from) * tick)
+	if v.holdsShare {
+		s.limit.share = shareOf(tracker.cfg.VM, Hash(modelEndpoint), s.zone, tracker.members, modelLimit)
+		s.limit.share.usableFrom = now.Add(time.Duration(v.usableIn) * tick)
 	}
-	return b
+	return tracker
 }
 
-func members(live int) loadshare.Membership {
+func membershipOf(live int) loadshare.Membership {
 	m := loadshare.Membership{Registered: modelVMs}
 	for i := range modelVMs {
 		if live&(1<<i) != 0 {
@@ -81,96 +82,96 @@
 	return m
 }
 
-// uses is what a VM may send a second now.
-func (v *modelVM) uses(i int, fault modelFault) float64 {
+// usableRate returns how many requests per second a VM may send now.
+func (v *modelVM) usableRate(i int, fault modelFault) float64 {
 	if v.dead || v.suspended {
 		return 0
 	}
 	now := time.Unix(1000, 0)
-	b := v.board(i, now)
-	if !fault.noLapse {
-		b.lapse(now)
+	tracker := v.tracker(i, now)
+	if !fault.noExpiry {
+		tracker.expireShares(now)
 	}
-	share := b.states[Hash(modelEndpoint)].limit.share
-	if share.perSecond == 0 || share.from.After(now) {
+	share := tracker.states[Hash(modelEndpoint)].limit.share
+	if share.perSecond == 0 || share.usableFrom.After(now) {
 		return 0
 	}
-	if fault.noPart {
+	if fault.noScaling {
 		return modelLimit
 	}
 	return share.perSecond
 }
 
-// step lets a step of time pass: VMs hear each other, and look who is there.
+// step advances the model by one tick: VMs receive from each other and update their membership.
 func (s modelState) step(fault modelFault) modelState {
-	s.calm = min(s.calm+1, longAgo)
-	if s.cut >= 0 {
-		s.calm = 0
+	s.stableSteps = min(s.stableSteps+1, maxAge)
+	if s.isolated >= 0 {
+		s.stableSteps = 0
 	}
 	next := s
 	for i := range next.vms {
 		v := &next.vms[i]
-		v.liveAge = min(v.liveAge+1, longAgo)
-		v.from, v.barred = max(v.from-1, 0), max(v.barred-1, 0)
-		for j := range v.heard {
-			v.heard[j] = min(v.heard[j]+1, longAgo)
-			if o := s.vms[j]; !o.dead && !o.suspended && (s.cut < 0 || (i == s.cut) == (j == s.cut)) {
-				v.heard[j] = 0
+		v.liveAge = min(v.liveAge+1, maxAge)
+		v.usableIn, v.blockedFor = max(v.usableIn-1, 0), max(v.blockedFor-1, 0)
+		for j := range v.messageAge {
+			v.messageAge[j] = min(v.messageAge[j]+1, maxAge)
+			if o := s.vms[j]; !o.dead && !o.suspended && (s.isolated < 0 || (i == s.isolated) == (j == s.isolated)) {
+				v.messageAge[j] = 0
 			}
 		}
 		if !v.dead && !v.suspended {
-			v.look(i, fault)
+			v.updateMembership(i, fault)
 		}
 	}
 	return next
 }
 
-// look sets the members that a VM has heard lately.
-func (v *modelVM) look(i int, fault modelFault) {
+// updateMembership sets as live the VMs from which a message arrived recently.
+func (v *modelVM) updateMembership(i int, fault modelFault) {
 	live := 1 << i
-	for j, age := range v.heard {
+	for j, age := range v.messageAge {
 		if time.Duration(age)*tick < loadshare.SilentAfter {
 			live |= 1 << j
 		}
 	}
 	now := time.Unix(1000, 0)
-	b := v.board(i, now)
-	if fault.noLapse {
-		b.membersAt = now
+	tracker := v.tracker(i, now)
+	if fault.noExpiry {
+		tracker.membersConfirmedAt = now
 	}
-	b.SetMembers(members(live))
-	share := b.states[Hash(modelEndpoint)].limit.share
-	v.live, v.liveAge, v.holds = live, 0, share.perSecond > 0
-	v.from = int(max(0, share.from.Sub(now)) / tick)
-	v.barred = int(max(0, b.sharesFrom.Sub(now)) / tick)
-	if !v.holds || fault.noHandover {
-		v.from = 0
+	tracker.SetMembers(membershipOf(live))
+	share := tracker.states[Hash(modelEndpoint)].limit.share
+	v.live, v.liveAge, v.holdsShare = live, 0, share.perSecond > 0
+	v.usableIn = int(max(0, share.usableFrom.Sub(now)) / tick)
+	v.blockedFor = int(max(0, tracker.sharesUsableFrom.Sub(now)) / tick)
+	if !v.holdsShare || fault.noHandover {
+		v.usableIn = 0
 	}
 	if fault.noHandover {
-		v.barred = 0
+		v.blockedFor = 0
 	}
 }
 
-// after returns the states that one event, or none, leads to.
-func (s modelState) after() []modelState {
+// successors returns the states reachable by one event, and the unchanged state.
+func (s modelState) successors() []modelState {
 	list := []modelState{s}
 	add := func(change func(*modelState)) {
 		next := s
 		next.events++
-		next.calm = 0
+		next.stableSteps = 0
 		change(&next)
 		list = append(list, next)
 	}
 	for i := range s.vms {
-		if v := s.vms[i]; v.suspended { // it may go on at any time
+		if v := s.vms[i]; v.suspended { // it may resume at any time
 			next := s
-			next.vms[i].suspended, next.calm = false, 0
+			next.vms[i].suspended, next.stableSteps = false, 0
 			list = append(list, next)
 		}
 	}
-	if s.cut >= 0 {
+	if s.isolated >= 0 {
 		next := s
-		next.cut, next.calm = -1, 0
+		next.isolated, next.stableSteps = -1, 0
 		list = append(list, next)
 	}
 	if s.events == modelEvents {
@@ -180,7 +181,7 @@
 		v := s.vms[i]
 		if v.dead {
 			add(func(n *modelState) {
-				n.vms[i] = modelVM{liveAge: longAgo, heard: [modelVMs]int{longAgo, longAgo, longAgo}}
+				n.vms[i] = modelVM{liveAge: maxAge, messageAge: [modelVMs]int{maxAge, maxAge, maxAge}}
 			})
 			continue
 		}
@@ -188,39 +189,40 @@
 		if !v.suspended {
 			add(func(n *modelState) { n.vms[i].suspended = true })
 		}
-		if s.cut < 0 {
-			add(func(n *modelState) { n.cut = i })
+		if s.isolated < 0 {
+			add(func(n *modelState) { n.isolated = i })
 		}
 	}
 	return list
 }
 
-// broken tells what is wrong with a state.
-func (s modelState) broken(fault modelFault) string {
-	total, working := 0.0, 0
+// violation describes the invariant that a state violates; empty if there is none.
+func (s modelState) violation(fault modelFault) string {
+	total, running := 0.0, 0
 	for i := range s.vms {
-		total += s.vms[i].uses(i, fault)
+		total += s.vms[i].usableRate(i, fault)
 		if v := s.vms[i]; !v.dead && !v.suspended {
-			working++
+			running++
 		}
 	}
 	switch {
 	case total > 1.5*modelLimit:
-		return "more than one and a half of the limit is used"
-	case s.cut < 0 && s.calm == longAgo && total > modelLimit:
+		return "more than one and a half times the limit is used"
+	case s.isolated < 0 && s.stableSteps == maxAge && total > modelLimit:
 		return "more than the limit is used long after the last event"
-	case s.calm == longAgo && 2*working > modelVMs && total < modelLimit:
-		return "a part of the limit stands idle long after the last event"
+	case s.stableSteps == maxAge && 2*running > modelVMs && total < modelLimit:
+		return "part of the limit is unused long after the last event"
 	}
 	return ""
 }
 
-// search goes through all runs, and returns the first fault found and the number of states.
-func search(fault modelFault) (wrong string, states int) {
-	start := modelState{cut: -1}
+// explore searches all runs. It returns the first violation with its trace, and the number of
+// states.
+func explore(fault modelFault) (violation string, states int) {
+	start := modelState{isolated: -1}
 	for i := range start.vms {
-		start.vms[i].look(i, fault)
-		start.vms[i].from, start.vms[i].barred = 0, 0
+		start.vms[i].updateMembership(i, fault)
+		start.vms[i].usableIn, start.vms[i].blockedFor = 0, 0
 	}
 	seen := map[modelState]bool{start: true}
 	parents := map[modelState]modelState{}
@@ -230,14 +232,14 @@
 		}
 		return text
 	}
-	front := []modelState{start}
+	frontier := []modelState{start}
 	for range modelSteps {
 		var next []modelState
-		for _, s := range front {
-			for _, changed := range s.after() {
-				if wrong := changed.broken(fault); wrong != "" {
+		for _, s := range frontier {
+			for _, changed := range s.successors() {
+				if violation := changed.violation(fault); violation != "" {
 					parents[changed] = s
-					return wrong + trace(changed), len(seen)
+					return violation + trace(changed), len(seen)
 				}
 				stepped := changed.step(fault)
 				if seen[stepped] {
@@ -247,35 +249,35 @@
 					parents[changed] = s
 				}
 				parents[stepped] = changed
-				if wrong := stepped.broken(fault); wrong != "" {
-					return wrong + trace(stepped), len(seen)
+				if violation := stepped.violation(fault); violation != "" {
+					return violation + trace(stepped), len(seen)
 				}
 				seen[stepped] = true
 				next = append(next, stepped)
 			}
 		}
-		front = next
+		frontier = next
 	}
 	return "", len(seen)
 }
 
-// No order of deaths, joins, suspensions and partitions makes the VMs use more than they may, or leaves
-// the limit idle for good; without a point of the protocol, some order does.
-func TestNoOrderOfStepsBreaksALimit(t *testing.T) {
-	wrong, states := search(modelFault{})
-	if wrong != "" {
-		t.Error(wrong)
+// No order of deaths, joins, suspensions and partitions makes the VMs exceed a limit, or leaves it
+// permanently unused. With a rule of the protocol disabled, some order does.
+func TestLimitHoldsUnderAllEventOrders(t *testing.T) {
+	violation, states := explore(modelFault{})
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states", states)
 	for name, fault := range map[string]modelFault{
 		"no handover":                    {noHandover: true},
-		"shares outlast a suspension":    {noLapse: true},
-		"a minority uses all of a limit": {noPart: true},
+		"shares survive a suspension":    {noExpiry: true},
+		"a minority uses all of a limit": {noScaling: true},
 	} {
-		if wrong, states := search(fault); wrong == "" {
-			t.Errorf("%s: nothing wrong in %d states", name, states)
+		if violation, states := explore(fault); violation == "" {
+			t.Errorf("%s: no violation in %d states", name, states)
 		} else {
-			t.Logf("%s: %s", name, wrong)
+			t.Logf("%s: %s", name, violation)
 		}
 	}
 }
--- a/signals/permit.go
+++ b/signals/permit.go
@@ -9,101 +9,103 @@
 )
 
 // permitTTL is how long a permit may wait for its request to be sent. Requests that wait longer
-// would gather and go at once.
+// would accumulate and be sent in a burst.
 const permitTTL = 500 * time.Millisecond
 
-// Permit lets one request go to an endpoint. It belongs to one attempt.
+// Permit allows one request to an endpoint. It belongs to one attempt.
 type Permit struct {
-	board    *Tracker
+	tracker  *Tracker
 	endpoint *directory.Endpoint
-	// taken is when the permit was taken out of the limit; zero for an endpoint without one.
-	taken time.Time
-	// every is the interval that was taken, zero for a probe of a VM without a share.
-	every time.Duration
+	// acquiredAt is when the permit was charged to the limit; zero for an endpoint without a limit.
+	acquiredAt time.Time
+	// period is the time charged to the bucket; zero for a probe by a VM without a share.
+	period time.Duration
 }
 
-// Acquire returns a permit for a request to an endpoint, or why there is none.
-func (b *Tracker) Acquire(e *directory.Endpoint) (*Permit, Block) {
-	p := &Permit{board: b, endpoint: e}
-	if b.quiet(e) {
+// Acquire returns a permit for a request to an endpoint, and a Block that states the reason if the
+// request may not be sent now.
+func (t *Tracker) Acquire(e *directory.Endpoint) (*Permit, Block) {
+	p := &Permit{tracker: t, endpoint: e}
+	if t.hasNoState(e) {
 		return p, Block{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	b.lapse(now)
-	return p, p.take(now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	t.expireShares(now)
+	return p, p.acquire(now)
 }
 
-// take takes the permit out of what the endpoint allows. The caller holds the board's lock.
-func (p *Permit) take(now time.Time) Block {
-	s := p.board.stateOf(p.endpoint)
+// acquire charges the permit to the endpoint's backoff and limit. The caller holds the tracker's
+// lock.
+func (p *Permit) acquire(now time.Time) Block {
+	s := p.tracker.stateOf(p.endpoint)
 	if s == nil {
 		return Block{}
 	}
 	if block := s.block(now); block.Reason != "" {
 		return block
 	}
-	if s.backoff.take() {
-		count("backoff", "ended")
+	if s.backoff.admit() {
+		countEvent("backoff", "ended")
 		klog.InfoS("signals: backoff ended", "endpoint", s.id)
 	}
 	if !s.limit.limited {
 		return Block{}
 	}
-	p.taken, p.every = now, 0
-	s.limit.takenAt = now
+	p.acquiredAt, p.period = now, 0
+	s.limit.lastAcquiredAt = now
 	if s.limit.share.perSecond > 0 {
-		p.every = interval(s.limit.share.perSecond)
-		s.limit.bucket.take(now, p.every)
+		p.period = interval(s.limit.share.perSecond)
+		s.limit.bucket.take(now, p.period)
 	}
 	return Block{}
 }
 
-// Recheck tells whether the request may still be sent, just before it is. A permit from before the
-// limit was known, or one that has waited for long, is taken anew.
+// Recheck returns a Block if the request may no longer be sent. Callers use it immediately before
+// sending. A permit from before the limit was known, or one older than permitTTL, is acquired again.
 func (p *Permit) Recheck() Block {
-	if p == nil || p.board.quiet(p.endpoint) {
+	if p == nil || p.tracker.hasNoState(p.endpoint) {
 		return Block{}
 	}
-	p.board.mu.Lock()
-	defer p.board.mu.Unlock()
-	now := p.board.now()
-	p.board.lapse(now)
-	s := p.board.stateOf(p.endpoint)
+	p.tracker.mu.Lock()
+	defer p.tracker.mu.Unlock()
+	now := p.tracker.now()
+	p.tracker.expireShares(now)
+	s := p.tracker.stateOf(p.endpoint)
 	if s == nil {
 		return Block{}
 	}
 	if s.backoff.active(now) {
 		return s.block(now)
 	}
-	if !s.limit.limited || !p.taken.IsZero() && now.Sub(p.taken) <= permitTTL {
+	if !s.limit.limited || !p.acquiredAt.IsZero() && now.Sub(p.acquiredAt) <= permitTTL {
 		return Block{}
 	}
 	p.release(s)
-	return p.take(now)
+	return p.acquire(now)
 }
 
-// Release gives back the permit of a request that was not sent.
+// Release returns the permit of a request that was not sent.
 func (p *Permit) Release() {
-	if p == nil || p.taken.IsZero() {
+	if p == nil || p.acquiredAt.IsZero() {
 		return
 	}
-	p.board.mu.Lock()
-	defer p.board.mu.Unlock()
-	p.release(p.board.stateOf(p.endpoint))
+	p.tracker.mu.Lock()
+	defer p.tracker.mu.Unlock()
+	p.release(p.tracker.stateOf(p.endpoint))
 }
 
-// release gives the permit back. The caller holds the board's lock.
-func (p *Permit) release(s *state) {
-	if s == nil || p.taken.IsZero() {
+// release returns the permit. The caller holds the tracker's lock.
+func (p *Permit) release(s *endpointState) {
+	if s == nil || p.acquiredAt.IsZero() {
 		return
 	}
-	if p.every > 0 {
-		s.limit.bucket.giveBack(p.every)
+	if p.period > 0 {
+		s.limit.bucket.refund(p.period)
 	}
-	if s.limit.takenAt.Equal(p.taken) {
-		s.limit.takenAt = time.Time{}
+	if s.limit.lastAcquiredAt.Equal(p.acquiredAt) {
+		s.limit.lastAcquiredAt = time.Time{}
 	}
-	p.taken, p.every = time.Time{}, 0
+	p.acquiredAt, p.period = time.Time{}, 0
 }
--- a/signals/share.go
+++ b/signals/share.go
@@ -11,84 +11,87 @@
 )
 
 const (
-	// sharePerSecond is the most that one VM may send a second of an endpoint's limit while there are
-	// other VMs to share it.
-	sharePerSecond = 1.0
-	// handover is how long a VM that takes over a share waits before it uses it, so that the one that
-	// held it has learned of the same change of VMs.
-	handover = time.Second
-	// membershipTTL is how long the known VMs count without being confirmed. A VM that was suspended
+	// maxSharePerSecond is the most that one VM may send per second of an endpoint's limit while
+	// there are other VMs to share it.
+	maxSharePerSecond = 1.0
+	// handoverDelay is how long a VM that takes over a share waits before using it, so that the
+	// previous holder has received the same membership change.
+	handoverDelay = time.Second
+	// membershipTTL is how long a membership is valid without confirmation. A VM that was suspended
 	// for longer may have lost its shares meanwhile.
 	membershipTTL = time.Second
-	// regain is how long a VM that has started, was suspended, or heard nobody, waits for its shares: whom it has not
-	// heard since counts as silent by then, whatever moment it looked at last.
-	regain = loadshare.SilentAfter + membershipTTL
-	// leastRate is the lowest limit, in requests a second, that is shared. A lower one lets only
-	// probes through.
-	leastRate = 0.01
+	// reacquireDelay is how long a VM that has started, was suspended or lost contact with all
+	// others waits for its shares. By then every VM whose messages have not arrived since counts as
+	// silent, whenever the membership was last evaluated.
+	reacquireDelay = loadshare.SilentAfter + membershipTTL
+	// minSharedRate is the lowest limit, in requests per second, that is shared. Under a lower one
+	// only probes are sent.
+	minSharedRate = 0.01
 )
 
-// share is this VM's part of an endpoint's limit.
+// share is this VM's share of an endpoint's limit.
 //
-// The VMs agree on the holders without a message: each ranks the live VMs for the endpoint alike.
+// The VMs agree on the holders without exchanging messages: each computes the same ranking of the
+// live VMs for an endpoint.
 type share struct {
-	// rank is this VM's place in the order of holders, from 0.
+	// rank is this VM's position in the order of holders, from 0.
 	rank int
-	// perSecond is what this VM may send; zero if it holds no share.
+	// perSecond is the rate that this VM may send; zero if it holds no share.
 	perSecond float64
-	// from is when the share may first be used.
-	from time.Time
+	// usableFrom is when the share may first be used.
+	usableFrom time.Time
 }
 
-// shareOf divides a limit among the first VMs in an order that all derive alike: those of the endpoint's
-// zone before the others, then by a hash.
+// shareOf divides a limit among the first VMs of an order that all VMs compute alike: VMs in the
+// endpoint's zone before the others, then by a hash.
 //
-// Invariant: the shares of VMs that know the same membership add up to the limit. Those of VMs on two
-// sides of a partition add up to less than one and a half of it: at most one side knows more than half
-// of the registered VMs, and any other divides only its part of the limit.
-func shareOf(self string, endpoint uint64, zone string, m loadshare.Membership, perSecond float64) share {
-	s := share{rank: rankOf(self, endpoint, zone, m.Live)}
-	if perSecond < leastRate {
+// Invariant: the shares of VMs with the same membership add up to the limit. The shares on two
+// sides of a partition add up to less than one and a half times the limit: at most one side has
+// more than half of the registered VMs, and any other divides only the limit's fraction that
+// matches its number of VMs.
+func shareOf(self string, hash uint64, zone string, m loadshare.Membership, perSecond float64) share {
+	s := share{rank: rankOf(self, hash, zone, m.Live)}
+	if perSecond < minSharedRate {
 		return s
 	}
 	if 2*len(m.Live) <= m.Registered {
 		perSecond *= float64(len(m.Live)) / float64(m.Registered)
 	}
-	holders := min(math.Ceil(perSecond/sharePerSecond), float64(len(m.Live)))
+	holders := min(math.Ceil(perSecond/maxSharePerSecond), float64(len(m.Live)))
 	if float64(s.rank) < holders {
 		s.perSecond = perSecond / holders
 	}
 	return s
 }
 
-// rankOf is the place of a VM in the order of an endpoint's holders.
-func rankOf(self string, endpoint uint64, zone string, live []loadshare.Member) int {
-	own := loadshare.Member{Name: self}
+// rankOf returns the position of a VM in the order of an endpoint's holders.
+func rankOf(self string, hash uint64, zone string, live []loadshare.Member) int {
+	local := loadshare.Member{Name: self}
 	for _, m := range live {
 		if m.Name == self {
-			own = m
+			local = m
 		}
 	}
 	rank := 0
 	for _, m := range live {
-		if m.Name != self && before(m, own, endpoint, zone) {
+		if m.Name != self && ranksBefore(m, local, hash, zone) {
 			rank++
 		}
 	}
 	return rank
 }
 
-func before(a, b loadshare.Member, endpoint uint64, zone string) bool {
-	if near := a.Zone == zone; near != (b.Zone == zone) {
-		return near
+func ranksBefore(a, b loadshare.Member, hash uint64, zone string) bool {
+	if aInZone := a.Zone == zone; aInZone != (b.Zone == zone) {
+		return aInZone
 	}
-	return cmp.Or(cmp.Compare(weight(a.Name, endpoint), weight(b.Name, endpoint)), cmp.Compare(a.Name, b.Name)) > 0
+	return cmp.Or(cmp.Compare(weight(a.Name, hash), weight(b.Name, hash)), cmp.Compare(a.Name, b.Name)) > 0
 }
 
-// weight orders VMs for an endpoint. The endpoint's hash is mixed in after the name's, so that the
-// orders of two endpoints have nothing in common.
-func weight(vm string, endpoint uint64) uint64 {
-	h := xxhash.Sum64String(vm) ^ endpoint
+// weight returns the sort key of a VM for an endpoint. The endpoint's hash is mixed in after the
+// name's, so that the orders of two endpoints are independent.
+func weight(vm string, hash uint64) uint64 {
+	h := xxhash.Sum64String(vm) ^ hash
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
--- a/signals/signal.go
+++ b/signals/signal.go
@@ -1,8 +1,7 @@
-// Package signals keeps what endpoints say of their own state in the responses that they give: a rate
-// limit that holds for all VMs together, a backoff that one VM has to keep, a drain.
+// Package signals tracks what endpoints report about themselves in their responses: a rate limit
+// for all VMs together, a backoff for one VM, a drain.
 //
-// A signal belongs to one incarnation of an endpoint. An endpoint that has started again has sent
-// none.
+// A signal belongs to one incarnation of an endpoint. An endpoint that has restarted has sent none.
 package signals
 
 import (
@@ -11,40 +10,40 @@
 	"github.com/springweir/springweir/directory"
 )
 
-// Signal is what one response says of its endpoint. The zero value says that there is nothing.
+// Signal is what one response reports about its endpoint. The zero value reports nothing.
 type Signal struct {
 	Limit Limit
-	// Backoff is for how long, from the response on, the endpoint wants nothing from this VM.
+	// Backoff is how long, from the response on, the endpoint requests no work from this VM.
 	Backoff time.Duration
-	// Draining is set by an endpoint that takes no new work and will end.
+	// Draining is set by an endpoint that accepts no new work and will exit.
 	Draining bool
 }
 
-// Limit is what a response says of the rate limit of its endpoint.
+// Limit is what a response reports about the rate limit of its endpoint.
 type Limit struct {
 	Kind LimitKind
-	// PerSecond is the rate of a limit that is Limited, in requests a second from all VMs together.
+	// PerSecond is the rate of a Limited response, in requests per second from all VMs together.
 	PerSecond float64
 }
 
-// LimitKind tells what a response says of a rate limit.
+// LimitKind is the kind of rate limit that a response reports.
 type LimitKind int
 
 const (
-	// Unlimited is a response that names none.
+	// Unlimited means that the response reports no limit.
 	Unlimited LimitKind = iota
-	// Limited is a response that names one.
+	// Limited means that the response reports a limit.
 	Limited
-	// Malformed is a response whose limit cannot be understood. What was known stands.
+	// Malformed means that the limit could not be parsed. The previous limit stays in force.
 	Malformed
 )
 
-// Response is one response of an endpoint.
+// Response is the response of an endpoint to one request.
 type Response struct {
 	Endpoint *directory.Endpoint
-	// Request is the ID of the request that was answered; empty for a call of the system itself.
+	// Request is the ID of the request; empty for internal calls.
 	Request string
-	// Sent is when the request was about to be written.
+	// Sent is the time just before the request was written.
 	Sent   time.Time
 	Signal Signal
 }
