--- a/directory/directory.go
+++ b/directory/directory.go
@@ -34,7 +34,7 @@
 	Slots int
 	// Draining endpoints accept no new work, as reported by their row or by one of their responses.
 	Draining bool
-	// WarmupRemaining is the remaining warm-up, during which it is slow, when the row was written.
+	// WarmupRemaining is how much of the slow warm-up phase remained when the row was written.
 	WarmupRemaining time.Duration
 	// Revocable endpoints cost less and may be revoked at short notice, all of a zone at once.
 	Revocable bool
--- a/signals/limit.go
+++ b/signals/limit.go
@@ -100,8 +100,8 @@
 	return &sharepb.EndpointSignal{Endpoint: hash, Version: l.version, Limited: l.limited, LimitMilli: uint64(l.perSecond * 1000)}
 }
 
-// setShare assigns this VM's share. A new share is usable from the given time on; one that replaces
-// another stays usable from the time of that one.
+// setShare assigns this VM's share. A new share is usable from the given time on; a replacement
+// keeps the time of the share that it replaces.
 func (l *limit) setShare(from time.Time, s share) {
 	s.usableFrom = from
 	if l.share.perSecond > 0 {
--- a/signals/model_test.go
+++ b/signals/model_test.go
@@ -19,7 +19,7 @@
 	// modelSteps is the length of a run in steps, and modelEvents the number of disruptions in it.
 	modelSteps  = 16
 	modelEvents = 3
-	// modelLimit is small enough for a single holder.
+	// modelLimit, in requests per second, is small enough for a single holder.
 	modelLimit = 1.0
 	// maxAge is an age, in steps, beyond which nothing changes.
 	maxAge = 9
--- a/signals/signal.go
+++ b/signals/signal.go
@@ -13,7 +13,8 @@
 // Signal is what one response reports about its endpoint. The zero value reports nothing.
 type Signal struct {
 	Limit Limit
-	// Backoff is how long, from the response on, the endpoint requests no work from this VM.
+	// Backoff is how long, from the response on, this VM must not send requests to the endpoint;
+	// zero if the response requests no backoff.
 	Backoff time.Duration
 	// Draining is set by an endpoint that accepts no new work and will exit.
 	Draining bool
