--- a/signals/share.go
+++ b/signals/share.go
@@ -22,7 +22,7 @@
 	membershipTTL = time.Second
 	// reacquireDelay is how long a VM that has started, was suspended or lost contact with all
 	// others waits for its shares. By then every VM whose messages have not arrived since counts as
-	// silent, whenever the membership was last evaluated.
+	// unavailable, whenever the membership was last evaluated.
 	reacquireDelay = loadshare.SilentAfter + membershipTTL
 	// minSharedRate is the lowest limit, in requests per second, that is shared. Under a lower one
 	// only probes are sent.
