--- a/loads/budget.go
+++ b/loads/budget.go
@@ -16,36 +16,36 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// The rows of the budget. A slot is the right to one fetch at a time, at the
-// store's rate divided by its concurrency. A wish is the most wanted load that
-// a zone has no slot for.
+// The rows of the budget. A slot is the right to one fetch at a time, at the store's rate divided
+// by its concurrency. A demand row holds the highest weight among the loads that a zone has no slot
+// for.
 const (
-	tableName  = "loads"
-	slotPrefix = "slot/"
-	wishPrefix = "wish/"
-	// maxWishes bounds the zones read.
-	maxWishes = 64
+	tableName    = "loads"
+	slotPrefix   = "slot/"
+	demandPrefix = "wish/"
+	// maxDemandRows bounds the number of zones whose demand is read.
+	maxDemandRows = 64
 )
 
 // Allocation is the value of a slot's row. The zero Allocation is a free slot.
 type Allocation struct {
-	// ID is the id of the write that claimed it.
+	// ID is the ID of the write that claimed the slot.
 	ID string `json:"id,omitempty"`
-	// Holder is the planner's process instance, Zone its zone.
+	// Holder is the planner's process instance, and Zone its availability zone.
 	Holder string `json:"holder,omitempty"`
 	Zone   string `json:"zone,omitempty"`
-	// Engine and Artifact tell what it is for.
+	// Engine and Artifact identify the load.
 	Engine   string               `json:"engine,omitempty"`
 	Artifact weightstore.Artifact `json:"artifact"`
-	// Beat grows with each renewal, so that the row's version moves.
-	Beat uint64 `json:"beat,omitempty"`
+	// Renewals counts the renewals, each of which thereby changes the row's version.
+	Renewals uint64 `json:"beat,omitempty"`
 }
 
-// wish is the value of a zone's wish row.
-type wish struct {
-	ID     string  `json:"id"`
-	Weight float64 `json:"weight"`
-	Beat   uint64  `json:"beat"`
+// demandRow is the value of a zone's demand row.
+type demandRow struct {
+	ID       string  `json:"id"`
+	Weight   float64 `json:"weight"`
+	Renewals uint64  `json:"beat"`
 }
 
 // Slot is a slot as last read.
@@ -53,15 +53,15 @@
 	Number     int
 	Version    table.Version
 	Allocation Allocation
-	// Free is set when nobody holds it, or when its holder has not renewed it
-	// for the whole expiry.
+	// Free is set when the slot has no holder, or when another process holds it and has not renewed
+	// it for the expiry.
 	Free bool
 }
 
 // View is the budget as last read.
 type View struct {
 	Slots []Slot
-	// CompetingDemand are the weights that other zones have posted and renewed lately.
+	// CompetingDemand lists the weights that other zones have posted and that have not expired.
 	CompetingDemand []float64
 }
 
@@ -76,7 +76,7 @@
 	return free
 }
 
-// CorruptError is a row that cannot be understood.
+// CorruptError reports a row whose value cannot be decoded or encoded.
 type CorruptError struct {
 	Key   table.Key
 	Cause error
@@ -91,49 +91,53 @@
 // Unwrap returns the cause.
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// Budget keeps the shares in the table. It is used by one goroutine.
+// Budget stores the allocation of the slots in the table. It is not safe for concurrent use.
 //
-// Invariants: every write is conditional on the version that was read, so of
-// two planners one gets a slot; what is held is read from the rows and never
-// assumed from a write's answer, so a write with a lost answer is settled by
-// the next Read; a slot is freed by others only after its row stood unchanged
-// for Expiry of the observer's own monotonic clock, so a dead holder's share
-// comes back and a live holder that renews keeps it. A paused holder may lose
-// its share while its engine still fetches: the store's own limit then holds,
-// and the engine's fetch is refused and tried again.
+// Invariants:
+//
+//   - Every write is conditional on the version that was read, so only one of two planners gets a
+//     slot.
+//   - Which slots are held is read from the rows and never inferred from the response to a write,
+//     so a write with a lost response is resolved by the next Read.
+//   - Other planners free a slot only after its row has been unchanged for the expiry, by the
+//     observer's monotonic clock. The slot of a failed holder is thus reclaimed, and a live holder
+//     keeps its slot by renewing it.
+//
+// A paused holder may lose its slot while its engine is still fetching. The store's own limit then
+// holds: the engine's fetch is refused and retried.
 type Budget struct {
 	table  table.Service
 	slots  int
 	holder string
 	zone   string
 	// expiry is how long an unchanged row counts as held.
-	expiry time.Duration
-	seen   map[table.Key]sighting
-	beat   uint64
+	expiry   time.Duration
+	seen     map[table.Key]observedVersion
+	renewals uint64
 }
 
-// sighting is when a version of a row was first seen.
-type sighting struct {
+// observedVersion is a version of a row and when it was first observed.
+type observedVersion struct {
 	version table.Version
-	at      time.Duration
+	since   time.Duration
 }
 
-// DefaultExpiry is how long an unchanged share counts as held; RenewInterval is
-// how often a holder renews.
+// DefaultExpiry is how long an unchanged allocation counts as held; RenewInterval is the time
+// between renewals by its holder.
 const (
 	DefaultExpiry = 30 * time.Second
 	RenewInterval = 8 * time.Second
 )
 
-// NewBudget returns the budget as the process instance holder sees it.
+// NewBudget returns the budget for the process instance holder of a zone.
 func NewBudget(t table.Service, limits weightstore.Limits, holder, zone string, expiry time.Duration) *Budget {
 	return &Budget{
 		table: t, slots: limits.Concurrent, holder: holder, zone: zone, expiry: expiry,
-		seen: make(map[table.Key]sighting),
+		seen: make(map[table.Key]observedVersion),
 	}
 }
 
-// SlotRate is the bytes a second that one slot stands for.
+// SlotRate returns the fetch rate of one slot in bytes per second.
 func SlotRate(l weightstore.Limits) float64 {
 	return float64(l.BytesPerSecond) / float64(max(1, l.Concurrent))
 }
@@ -142,10 +146,10 @@
 	return table.Key{Table: tableName, Row: slotPrefix + strconv.Itoa(n)}
 }
 
-func wishKey(zone string) table.Key { return table.Key{Table: tableName, Row: wishPrefix + zone} }
+func demandKey(zone string) table.Key { return table.Key{Table: tableName, Row: demandPrefix + zone} }
 
-// Read reads the budget at now: one read of all slots and one scan of wishes.
-// Errors are the table's, or *CorruptError.
+// Read reads the budget at now, by one read of all slots and one scan of the demand rows. It
+// returns errors of the table or a *CorruptError.
 func (b *Budget) Read(ctx context.Context, now time.Duration) (View, error) {
 	var v View
 	keys := make([]table.Key, b.slots)
@@ -164,32 +168,32 @@
 		slot.Free = slot.Allocation.Holder == "" || slot.Allocation.Holder != b.holder && b.expired(now, row)
 		v.Slots = append(v.Slots, slot)
 	}
-	v.CompetingDemand, err = b.rivals(ctx, now)
+	v.CompetingDemand, err = b.competingDemand(ctx, now)
 	return v, err
 }
 
-// rivals reads what other zones wish for.
-func (b *Budget) rivals(ctx context.Context, now time.Duration) ([]float64, error) {
-	rows, err := b.table.Scan(ctx, tableName, wishPrefix, "", maxWishes)
+// competingDemand reads the demand of the other zones.
+func (b *Budget) competingDemand(ctx context.Context, now time.Duration) ([]float64, error) {
+	rows, err := b.table.Scan(ctx, tableName, demandPrefix, "", maxDemandRows)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the zones' wishes")
+		return nil, eris.Wrap(err, "read the zones' demand")
 	}
 	var out []float64
 	for _, row := range rows {
-		var w wish
-		if err := decode(row, &w); err != nil {
+		var demand demandRow
+		if err := decode(row, &demand); err != nil {
 			return nil, err
 		}
-		own := strings.TrimPrefix(row.Key.Row, wishPrefix) == b.zone
-		if !own && w.Weight > 0 && !b.expired(now, row) {
-			out = append(out, w.Weight)
+		sameZone := strings.TrimPrefix(row.Key.Row, demandPrefix) == b.zone
+		if !sameZone && demand.Weight > 0 && !b.expired(now, row) {
+			out = append(out, demand.Weight)
 		}
 	}
 	sort.Float64s(out)
 	return out, nil
 }
 
-// decode reads a row's value; an absent row leaves into as it is.
+// decode unmarshals a row's value; an absent row leaves into unchanged.
 func decode(row table.Row, into any) error {
 	if row.Version == table.Absent {
 		return nil
@@ -200,68 +204,68 @@
 	return nil
 }
 
-// expired tells whether the row has stood unchanged for the expiry.
+// expired reports whether the row has been unchanged for the expiry.
 func (b *Budget) expired(now time.Duration, row table.Row) bool {
 	last, known := b.seen[row.Key]
 	if !known || last.version != row.Version {
-		b.seen[row.Key] = sighting{row.Version, now}
+		b.seen[row.Key] = observedVersion{row.Version, now}
 		return false
 	}
-	return now-last.at >= b.expiry
+	return now-last.since >= b.expiry
 }
 
-// Claim takes a free slot for w, under the write id. After any error but
-// *table.ConflictError the slot may be held: the next Read tells.
-func (b *Budget) Claim(ctx context.Context, s Slot, id string, w Load) error {
-	return b.write(ctx, s, Allocation{ID: id, Holder: b.holder, Zone: b.zone, Engine: w.Engine, Artifact: w.Artifact})
+// Claim claims a free slot for a load, under the given write ID. After any error except a
+// *table.ConflictError the slot may be held; the next Read resolves it.
+func (b *Budget) Claim(ctx context.Context, s Slot, id string, load Load) error {
+	return b.write(ctx, s, Allocation{ID: id, Holder: b.holder, Zone: b.zone, Engine: load.Engine, Artifact: load.Artifact})
 }
 
-// Renew tells others that an own slot is still in use.
+// Renew extends the allocation of a slot that this planner holds.
 func (b *Budget) Renew(ctx context.Context, s Slot) error {
-	share := s.Allocation
-	share.Beat++
-	return b.write(ctx, s, share)
+	allocation := s.Allocation
+	allocation.Renewals++
+	return b.write(ctx, s, allocation)
 }
 
-// Release gives an own slot back.
+// Release frees a slot that this planner holds.
 func (b *Budget) Release(ctx context.Context, s Slot) error { return b.write(ctx, s, Allocation{}) }
 
-// Adopt takes over a slot that an earlier planner of the same zone holds, so
-// that its load is resumed or undone. The zone's lease allows only one planner.
+// Adopt takes over a slot that an earlier planner of the same zone holds, so that its load is
+// resumed or undone. The zone's lease allows only one planner.
 func (b *Budget) Adopt(ctx context.Context, s Slot) error {
-	share := s.Allocation
-	share.Holder = b.holder
-	share.Beat++
-	return b.write(ctx, s, share)
+	allocation := s.Allocation
+	allocation.Holder = b.holder
+	allocation.Renewals++
+	return b.write(ctx, s, allocation)
 }
 
-// HeldSlots returns the slots that this planner holds, and Orphans those of other
-// planners of its zone, whose place it has taken.
-func (b *Budget) HeldSlots(v View) (own, orphans []Slot) {
+// HeldSlots returns the slots that this planner holds and, as orphans, those held by earlier
+// planners of its zone.
+func (b *Budget) HeldSlots(v View) (held, orphans []Slot) {
 	for _, s := range v.Slots {
 		switch {
 		case s.Allocation.Holder == b.holder:
-			own = append(own, s)
+			held = append(held, s)
 		case s.Allocation.Zone == b.zone && s.Allocation.Holder != "":
 			orphans = append(orphans, s)
 		}
 	}
-	return own, orphans
+	return held, orphans
 }
 
-func (b *Budget) write(ctx context.Context, s Slot, share Allocation) error {
-	return b.commit(ctx, slotKey(s.Number), s.Version, share)
+func (b *Budget) write(ctx context.Context, s Slot, allocation Allocation) error {
+	return b.commit(ctx, slotKey(s.Number), s.Version, allocation)
 }
 
-// PostDemand posts the weight of the most wanted load that has no slot; zero takes
-// it back. It is posted again at each renewal, or it expires.
+// PostDemand posts the highest weight among the loads that have no slot; zero withdraws it. It
+// expires unless it is posted again at each renewal.
 func (b *Budget) PostDemand(ctx context.Context, id string, weight float64) error {
-	rows, err := b.table.Get(ctx, wishKey(b.zone))
+	rows, err := b.table.Get(ctx, demandKey(b.zone))
 	if err != nil {
-		return eris.Wrap(err, "read the zone's wish")
+		return eris.Wrap(err, "read the zone's demand")
 	}
-	b.beat++
-	return b.commit(ctx, rows[0].Key, rows[0].Version, wish{ID: id, Weight: weight, Beat: b.beat})
+	b.renewals++
+	return b.commit(ctx, rows[0].Key, rows[0].Version, demandRow{ID: id, Weight: weight, Renewals: b.renewals})
 }
 
 func (b *Budget) commit(ctx context.Context, key table.Key, version table.Version, value any) error {
--- a/loads/loads.go
+++ b/loads/loads.go
@@ -1,10 +1,10 @@
-// Package loads plans which engine fetches which weights from the weight store,
-// and when, against the store's limits for all zones together.
+// Package loads plans which engine fetches which weights from the weight store, and when, within
+// the store's limits for all zones together.
 //
-// Plan is a pure function over an immutable snapshot: the most wanted first,
-// one load an engine, no more than the budget has room for. Budget keeps the
-// shares of the budget in the table service. Times are monotonic durations
-// since an origin that the caller chooses.
+// Plan is a pure function of an immutable snapshot. It starts the loads with the highest weight
+// first, at most one per engine and no more than the budget allows. Budget stores the allocation of
+// the budget in the table service. Times are monotonic durations since an origin that the caller
+// chooses.
 package loads
 
 import (
@@ -13,29 +13,29 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Load is a load that would be useful.
+// Load is the fetch of an artifact by an engine, either desired or running.
 type Load struct {
-	// Engine is the engine's name, Incarnation the one that the want is about.
+	// Engine is the engine's name, and Incarnation the incarnation that the load applies to.
 	Engine, Incarnation string
 	Artifact            weightstore.Artifact
-	// Bytes is the size to fetch.
+	// Bytes is the size of the fetch.
 	Bytes int64
-	// Weight is how much it is wanted: requests a second that wait for it.
+	// Weight is the demand for the load: the requests per second that wait for it.
 	Weight float64
 }
 
-// Phase is how far the order for a load has come, as observed.
+// Phase is the observed progress of the order for a load.
 type Phase string
 
-// The phases.
+// Phases of the order for a load.
 const (
-	// Ordered is a load whose order is journaled and not seen to end.
+	// Ordered means that the order is journaled and not observed to have ended.
 	Ordered Phase = "ordered"
-	// Failed is a load whose order the engine gave up on.
+	// Failed means that the engine gave up on the order.
 	Failed Phase = "failed"
 )
 
-// Running is a load that this zone has a share for.
+// Running is a load that this zone holds a slot for.
 type Running struct {
 	Load      Load
 	Slot      int
@@ -43,107 +43,107 @@
 	Phase     Phase
 }
 
-// EngineState is what an engine says of itself. It is never assumed from orders.
+// EngineState is the state that an engine reports. It is never inferred from orders.
 type EngineState struct {
 	Engine, Incarnation string
 	Loaded              []weightstore.Artifact
-	// Busy is set while the engine carries out any order, or may not be sent one.
+	// Busy is set while the engine executes an order, or must not be sent one.
 	Busy bool
-	// Unavailable is set when the engine cannot be reached or has left.
+	// Unavailable is set when the engine is unreachable or has left.
 	Unavailable bool
 }
 
-// Snapshot is what Plan decides on. It is never modified.
+// Snapshot is the input of Plan. It is never modified.
 type Snapshot struct {
 	Desired []Load
 	Running []Running
 	Engines []EngineState
-	// FreeSlots are the numbers of the free slots of the budget.
+	// FreeSlots lists the numbers of the free slots of the budget.
 	FreeSlots []int
-	// CompetingDemand are the weights of what other zones want and have no slot for.
+	// CompetingDemand lists the weights of loads that other zones desire and have no slot for.
 	CompetingDemand []float64
-	// SlotRate is the bytes a second that one slot stands for.
+	// SlotRate is the fetch rate of one slot in bytes per second.
 	SlotRate float64
 }
 
-// Settings bound the planner.
+// Settings holds the limits and timeouts of the planner.
 type Settings struct {
-	// MaxRunning is the number of loads of one zone at once.
+	// MaxRunning is the maximum number of concurrent loads of one zone.
 	MaxRunning int
-	// Overdue is how many times the expected time a load may take.
-	Overdue float64
-	// Grace is added to the expected time.
-	Grace time.Duration
-	// FirstBackoff doubles with each failure up to MaxBackoff.
-	FirstBackoff, MaxBackoff time.Duration
+	// TimeoutFactor times the expected duration, plus TimeoutGrace, is the timeout of a load.
+	TimeoutFactor float64
+	// TimeoutGrace is the constant part of the timeout.
+	TimeoutGrace time.Duration
+	// InitialBackoff doubles with each consecutive failure up to MaxBackoff.
+	InitialBackoff, MaxBackoff time.Duration
 }
 
 // Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
-		MaxRunning:   2,
-		Overdue:      3,
-		Grace:        30 * time.Second,
-		FirstBackoff: 5 * time.Second,
-		MaxBackoff:   5 * time.Minute,
+		MaxRunning:     2,
+		TimeoutFactor:  3,
+		TimeoutGrace:   30 * time.Second,
+		InitialBackoff: 5 * time.Second,
+		MaxBackoff:     5 * time.Minute,
 	}
 }
 
-// Reason is why a load is started, ended or held back.
+// Reason is why a load is started, ended or deferred.
 type Reason string
 
-// The reasons. Each is a label of the planner's counters.
+// Reasons. Each is a label of the planner's counters.
 const (
-	// Wanted is a load that is started.
+	// Wanted means that the load is started.
 	Wanted Reason = "wanted"
-	// Done is a load that the engine has, by its own word.
+	// Done means that the engine reports the artifact as loaded.
 	Done Reason = "done"
-	// Crashed is a load whose engine came back as another incarnation without it.
+	// Crashed means that the engine restarted as another incarnation without the artifact.
 	Crashed Reason = "crashed"
-	// Gone is a load whose engine cannot be reached.
-	Gone Reason = "gone"
-	// OrderFailed is a load that the engine gave up on.
+	// EngineUnavailable means that the engine is unreachable or has left.
+	EngineUnavailable Reason = "gone"
+	// OrderFailed means that the engine gave up on the order.
 	OrderFailed Reason = "order-failed"
-	// TooSlow is a load that took too long.
+	// TooSlow means that the load exceeded its timeout.
 	TooSlow Reason = "too-slow"
-	// NoSlot is a want that the budget has no room for.
+	// NoSlot means that the budget has no free slot.
 	NoSlot Reason = "no-slot"
-	// Outranked is a want that leaves the free slots to other zones.
+	// Outranked means that the free slots are left to loads of other zones with a higher weight.
 	Outranked Reason = "outranked"
-	// BackingOff is a want that failed lately.
+	// BackingOff means that the load failed and its backoff has not passed.
 	BackingOff Reason = "backing-off"
-	// EngineBusy is a want whose engine cannot take an order now.
+	// EngineBusy means that the engine cannot accept an order now.
 	EngineBusy Reason = "engine-busy"
-	// ZoneFull is a want beyond the zone's own bound.
+	// ZoneFull means that the zone runs its maximum number of loads.
 	ZoneFull Reason = "zone-full"
 )
 
-// Start is a load to order, with the slot to claim first.
+// Start is a load to order, and the slot to claim before.
 type Start struct {
 	Load Load
 	Slot int
 }
 
-// End is a load that is over.
+// End is a load that has ended.
 type End struct {
 	Running Running
 	Reason  Reason
-	// Unload is set when the engine may hold part of the artifact: an unload order
-	// goes first, so that nothing routes to it.
+	// Unload is set when the engine may hold part of the artifact. An unload order must precede the
+	// release of the slot, so that no requests are routed to it.
 	Unload bool
-	// Release is set when the slot may be given back. It is not while the
-	// bytes fetched are ahead of the slot's rate; the load then stays in
-	// Snapshot.Running and ends again in a later round.
+	// Release is set when the slot may be released. It is not set while the load has fetched more
+	// bytes than the slot's rate allows; the load then stays in Snapshot.Running and ends again in
+	// a later round.
 	Release bool
 }
 
-// Deferred is a want that was not started.
+// Deferred is a load that was not started.
 type Deferred struct {
 	Load   Load
 	Reason Reason
 }
 
-// Decision is what Plan decided.
+// Decision is the result of Plan.
 type Decision struct {
 	Starts   []Start
 	Ends     []End
--- a/loads/plan.go
+++ b/loads/plan.go
@@ -8,68 +8,68 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Tries counts the failures of one load.
-type Tries struct {
+// Backoff holds the consecutive failures of one load and the time of its next attempt.
+type Backoff struct {
 	Engine    string
 	Artifact  weightstore.Artifact
 	Failures  int
 	NotBefore time.Duration
 }
 
-// History is what the planner remembers between rounds. It is a value.
-type History struct{ Tries []Tries }
+// History is the planner's state between rounds. Plan returns a new one and leaves its argument
+// unchanged.
+type History struct{ Backoffs []Backoff }
 
-// Plan decides which loads end and which begin now, and returns the history
-// for the next round.
+// Plan decides which loads end and which start now, and returns the history for the next round.
 //
-// Ends come before starts: a slot whose load is over can be claimed in the next
-// round only, after its row was seen to be free, so two loads never share one.
+// Ends are decided before starts. The slot of an ended load can be claimed only in the next round,
+// after its row was read as free, so two loads never share a slot.
 func Plan(snap Snapshot, now time.Duration, set Settings, h History) (Decision, History) {
 	var d Decision
-	h.Tries = slices.Clone(h.Tries)
+	h.Backoffs = slices.Clone(h.Backoffs)
 	running := 0
 	for _, r := range snap.Running {
-		e, over := ending(snap, r, now, set)
+		e, over := checkEnded(snap, r, now, set)
 		if !over {
 			running++
 			continue
 		}
 		d.Ends = append(d.Ends, e)
 		if e.Release {
-			h = h.after(e, now, set)
+			h = h.record(e, now, set)
 		}
 	}
-	wants := slices.Clone(snap.Desired)
-	slices.SortStableFunc(wants, mostWanted)
-	p := picker{snap: snap, set: set, h: h, now: now, running: running, free: snap.FreeSlots}
-	for _, w := range wants {
-		if reason := p.pick(w); reason != Wanted {
-			d.Deferred = append(d.Deferred, Deferred{w, reason})
+	desired := slices.Clone(snap.Desired)
+	slices.SortStableFunc(desired, compareLoads)
+	p := picker{snap: snap, set: set, h: h, now: now, running: running, freeSlots: snap.FreeSlots}
+	for _, load := range desired {
+		if reason := p.pick(load); reason != Wanted {
+			d.Deferred = append(d.Deferred, Deferred{load, reason})
 		}
 	}
 	d.Starts = p.starts
 	return d, h
 }
 
-// mostWanted orders by weight, then smaller first, then by name.
-func mostWanted(a, b Load) int {
+// compareLoads orders loads by descending weight, then by size, then by engine name.
+func compareLoads(a, b Load) int {
 	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Bytes, b.Bytes), cmp.Compare(a.Engine, b.Engine))
 }
 
-// ending tells whether a load is over, from what its engine says.
-func ending(snap Snapshot, r Running, now time.Duration, set Settings) (End, bool) {
-	end := End{Running: r, Release: now-r.StartedAt >= expected(r.Load, snap.SlotRate)}
-	o, known := observed(snap.Engines, r.Load.Engine)
+// checkEnded reports whether a load has ended according to the state of its engine.
+func checkEnded(snap Snapshot, r Running, now time.Duration, set Settings) (End, bool) {
+	end := End{Running: r, Release: now-r.StartedAt >= expectedDuration(r.Load, snap.SlotRate)}
+	state, known := findEngine(snap.Engines, r.Load.Engine)
 	switch {
-	case !known || o.Unavailable:
-		end.Reason, end.Release = Gone, true
-	case slices.Contains(o.Loaded, r.Load.Artifact) && r.Phase != Failed:
+	case !known || state.Unavailable:
+		end.Reason, end.Release = EngineUnavailable, true
+	case slices.Contains(state.Loaded, r.Load.Artifact) && r.Phase != Failed:
 		end.Reason = Done
-	case o.Incarnation != r.Load.Incarnation:
+	case state.Incarnation != r.Load.Incarnation:
 		end.Reason, end.Release = Crashed, true
 	case r.Phase == Failed:
 		end.Reason, end.Unload = OrderFailed, true
-	case now-r.StartedAt > allowed(r.Load, snap.SlotRate, set):
+	case now-r.StartedAt > loadTimeout(r.Load, snap.SlotRate, set):
 		end.Reason, end.Unload, end.Release = TooSlow, true, true
 	default:
 		return End{}, false
@@ -77,94 +77,95 @@
 	return end, true
 }
 
-// expected is the time of a fetch at the rate that a slot stands for.
-func expected(w Load, rate float64) time.Duration {
+// expectedDuration returns the duration of a fetch at the rate of a slot, in bytes per second.
+func expectedDuration(load Load, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(w.Bytes) / rate * float64(time.Second))
+	return time.Duration(float64(load.Bytes) / rate * float64(time.Second))
 }
 
-// allowed is the time after which a load counts as stuck.
-func allowed(w Load, rate float64, set Settings) time.Duration {
-	return set.Grace + time.Duration(set.Overdue*float64(expected(w, rate)))
+// loadTimeout returns the time after which a load counts as stuck.
+func loadTimeout(load Load, rate float64, set Settings) time.Duration {
+	return set.TimeoutGrace + time.Duration(set.TimeoutFactor*float64(expectedDuration(load, rate)))
 }
 
-func observed(engines []EngineState, name string) (EngineState, bool) {
-	for _, o := range engines {
-		if o.Engine == name {
-			return o, true
+func findEngine(engines []EngineState, name string) (EngineState, bool) {
+	for _, state := range engines {
+		if state.Engine == name {
+			return state, true
 		}
 	}
 	return EngineState{}, false
 }
 
-// after notes how a load ended: a failure waits longer each time, a success
-// forgets the failures.
-func (h History) after(e End, now time.Duration, set Settings) History {
-	w := e.Running.Load
-	t := Tries{Engine: w.Engine, Artifact: w.Artifact}
-	if i := h.find(w); i >= 0 {
-		t = h.Tries[i]
-		h.Tries = slices.Delete(h.Tries, i, i+1)
+// record updates the backoff of a load that ended: it doubles with each failure, and a success or
+// the loss of the engine clears it.
+func (h History) record(e End, now time.Duration, set Settings) History {
+	load := e.Running.Load
+	t := Backoff{Engine: load.Engine, Artifact: load.Artifact}
+	if i := h.find(load); i >= 0 {
+		t = h.Backoffs[i]
+		h.Backoffs = slices.Delete(h.Backoffs, i, i+1)
 	}
-	if e.Reason == Done || e.Reason == Gone {
+	if e.Reason == Done || e.Reason == EngineUnavailable {
 		return h
 	}
-	backoff := min(set.MaxBackoff, set.FirstBackoff<<min(t.Failures, maxDoublings))
+	backoff := min(set.MaxBackoff, set.InitialBackoff<<min(t.Failures, maxDoublings))
 	t.Failures++
 	t.NotBefore = now + backoff
-	h.Tries = append(h.Tries, t)
+	h.Backoffs = append(h.Backoffs, t)
 	return h
 }
 
-// maxDoublings keeps the backoff from overflowing.
+// maxDoublings prevents an overflow of the backoff.
 const maxDoublings = 16
 
-func (h History) find(w Load) int {
-	return slices.IndexFunc(h.Tries, func(t Tries) bool {
-		return t.Engine == w.Engine && t.Artifact == w.Artifact
+func (h History) find(load Load) int {
+	return slices.IndexFunc(h.Backoffs, func(t Backoff) bool {
+		return t.Engine == load.Engine && t.Artifact == load.Artifact
 	})
 }
 
-// picker takes wants while there is room.
+// picker selects the loads to start within the limits.
 type picker struct {
-	snap    Snapshot
-	set     Settings
-	h       History
-	now     time.Duration
-	running int
-	free    []int
-	starts  []Start
+	snap      Snapshot
+	set       Settings
+	h         History
+	now       time.Duration
+	running   int
+	freeSlots []int
+	starts    []Start
 }
 
-// pick starts w if it may begin now, and tells why not otherwise.
-func (p *picker) pick(w Load) Reason {
-	o, known := observed(p.snap.Engines, w.Engine)
+// pick starts a load if it may start now and returns Wanted; otherwise it returns why the load is
+// deferred.
+func (p *picker) pick(load Load) Reason {
+	state, known := findEngine(p.snap.Engines, load.Engine)
 	switch {
-	case !known || o.Unavailable:
-		return Gone
-	case slices.Contains(o.Loaded, w.Artifact):
+	case !known || state.Unavailable:
+		return EngineUnavailable
+	case slices.Contains(state.Loaded, load.Artifact):
 		return Done
-	case o.Busy || o.Incarnation != w.Incarnation || p.taken(w.Engine):
+	case state.Busy || state.Incarnation != load.Incarnation || p.hasLoad(load.Engine):
 		return EngineBusy
-	case p.waits(w):
+	case p.backingOff(load):
 		return BackingOff
 	case p.running >= p.set.MaxRunning:
 		return ZoneFull
-	case len(p.free) == 0:
+	case len(p.freeSlots) == 0:
 		return NoSlot
-	case p.outranked(w):
+	case p.outranked(load):
 		return Outranked
 	}
-	p.starts = append(p.starts, Start{Load: w, Slot: p.free[0]})
-	p.free = p.free[1:]
+	p.starts = append(p.starts, Start{Load: load, Slot: p.freeSlots[0]})
+	p.freeSlots = p.freeSlots[1:]
 	p.running++
 	return Wanted
 }
 
-// taken tells whether the engine has a load already.
-func (p *picker) taken(engine string) bool {
+// hasLoad reports whether a load is running or about to start on the engine.
+func (p *picker) hasLoad(engine string) bool {
 	for _, r := range p.snap.Running {
 		if r.Load.Engine == engine {
 			return true
@@ -178,19 +179,19 @@
 	return false
 }
 
-func (p *picker) waits(w Load) bool {
-	i := p.h.find(w)
-	return i >= 0 && p.now < p.h.Tries[i].NotBefore
+func (p *picker) backingOff(load Load) bool {
+	i := p.h.find(load)
+	return i >= 0 && p.now < p.h.Backoffs[i].NotBefore
 }
 
-// outranked tells whether other zones want as many loads more than w as there
-// are free slots.
-func (p *picker) outranked(w Load) bool {
-	above := 0
+// outranked reports whether other zones have at least as many loads of a higher weight as there are
+// free slots.
+func (p *picker) outranked(load Load) bool {
+	higher := 0
 	for _, weight := range p.snap.CompetingDemand {
-		if weight > w.Weight {
-			above++
+		if weight > load.Weight {
+			higher++
 		}
 	}
-	return above >= len(p.free)
+	return higher >= len(p.freeSlots)
 }
--- a/loadshare/datagrams.go
+++ b/loadshare/datagrams.go
@@ -7,17 +7,17 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// maxDatagram bounds one datagram in bytes, below a network's usual frame.
+// maxDatagram is the maximum size of a datagram in bytes. It fits into a usual Ethernet frame.
 const maxDatagram = 1400
 
-// maxWorks is the number of endpoints whose work one datagram tells: about 800
-// bytes, which leaves room for some prompts.
-const maxWorks = 50
+// maxWorkEntries is the maximum number of endpoints whose work one datagram contains: about 800
+// bytes, which leaves space for some prompts.
+const maxWorkEntries = 50
 
-// datagrams cuts a report so that each datagram stays small. An endpoint always
-// stands in the segment of its hash, so that no two segments count it.
-func (x *Exchange) datagrams(r Report, of scope) []*sharepb.Load {
-	segments := make([][]*sharepb.Work, max(1, (len(r.Work)+maxWorks-1)/maxWorks))
+// datagrams splits a report into datagrams of bounded size. The segment of an endpoint is
+// determined by its hash, so that no two segments contain it.
+func (x *Exchange) datagrams(r Report, scope loadScope) []*sharepb.Load {
+	segments := make([][]*sharepb.Work, max(1, (len(r.Work)+maxWorkEntries-1)/maxWorkEntries))
 	for _, w := range r.Work {
 		i := w.Endpoint % uint32(len(segments))
 		segments[i] = append(segments[i], w)
@@ -25,26 +25,26 @@
 	var list []*sharepb.Load
 	placed := r.Placed
 	for i := 0; i < len(segments) || len(placed) > 0; i++ {
-		load := x.load(r, of)
+		load := x.newLoad(r, scope)
 		if i < len(segments) {
 			load.Segment, load.Segments, load.Work = uint32(i), uint32(len(segments)), segments[i]
 		} else {
 			load.NoWork = true
 		}
-		load.Placed, placed = fill(proto.Size(load), placed)
+		load.Placed, placed = fitPlaced(proto.Size(load), placed)
 		list = append(list, load)
 	}
 	return list
 }
 
-// fieldHead is the most bytes that a field's tag and length take.
-const fieldHead = 4
+// fieldOverhead is the maximum size in bytes of a field's tag and length.
+const fieldOverhead = 4
 
-// fill takes prompts as long as they fit into a datagram that has size bytes
-// already, and at least one.
-func fill(size int, placed []*sharepb.Placed) (taken, rest []*sharepb.Placed) {
+// fitPlaced splits off the prompts that fit into a datagram that already has size bytes, but at
+// least one.
+func fitPlaced(size int, placed []*sharepb.Placed) (fitting, rest []*sharepb.Placed) {
 	for n, p := range placed {
-		size += proto.Size(p) + fieldHead
+		size += proto.Size(p) + fieldOverhead
 		if size > maxDatagram && n > 0 {
 			return placed[:n], placed[n:]
 		}
@@ -52,19 +52,19 @@
 	return placed, nil
 }
 
-// load is a datagram with all but the work and the prompts.
-func (x *Exchange) load(r Report, of scope) *sharepb.Load {
+// newLoad returns a datagram without work and prompts.
+func (x *Exchange) newLoad(r Report, scope loadScope) *sharepb.Load {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	load := &sharepb.Load{Changing: r.Changing, Refusing: r.Refusing, ZoneSum: of == ofZone, RegionSum: of == ofRegion}
-	load.Silent = x.region.silentHashes(clock.Now(), of)
-	x.address(load)
+	load := &sharepb.Load{Changing: r.Changing, Refusing: r.Refusing, ZoneSum: scope == scopeZone, RegionSum: scope == scopeRegion}
+	load.Silent = x.region.unresponsiveHashes(clock.Now(), scope)
+	x.setSender(load)
 	return load
 }
 
-// address makes this VM the sender of a datagram, which gets the next number. The caller
+// setSender fills in the sender's fields of a datagram, and the next sequence number. The caller
 // holds mu.
-func (x *Exchange) address(load *sharepb.Load) {
+func (x *Exchange) setSender(load *sharepb.Load) {
 	x.sequence++
 	load.Vm, load.Zone, load.Address = x.cfg.VM, x.cfg.Zone, x.cfg.Address
 	load.Boot, load.Sequence = x.boot, x.sequence
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -1,10 +1,10 @@
-// Package loadshare tells the other VMs of a region what work this one has open
-// at each endpoint, and learns theirs, by small datagrams many times a second.
-// Load reports of endpoints are too old for a choice among engines that a burst
-// fills within 100 ms.
+// Package loadshare exchanges load information between the VMs of a region. Each VM sends the work
+// that it has in flight at each endpoint to the others, in small datagrams many times a second. The
+// load reports of the endpoints are too old for choosing among engines, since a burst fills an
+// engine within 100 ms.
 //
-// Everything in it is a hint: a lost or late datagram makes a choice worse and
-// never an answer wrong.
+// All data is advisory: a lost or late datagram makes a routing decision worse but never a response
+// wrong.
 package loadshare
 
 import (
@@ -29,171 +29,178 @@
 )
 
 const (
-	// minInterval is the time between two datagrams to each peer in a small
-	// region. An engine prefills about one prompt in it; at 25 ms, VMs that choose at
-	// the same time were further off with their predictions.
+	// minInterval is the time between two rounds in a small region. An engine prefills about one
+	// prompt in this time; at 25 ms, the predictions of VMs that choose concurrently were less
+	// accurate.
 	minInterval = 10 * time.Millisecond
-	// collectorInterval is the time between two reports of a collector to those of the
-	// other zones. Of 10, 20 and 40 ms the shortest served most (docs/design/platform.md).
+	// collectorInterval is the time between two reports of a collector to the collectors of the
+	// other zones. With 20 and 40 ms fewer requests were served (docs/design/platform.md).
 	collectorInterval = 10 * time.Millisecond
-	// memberInterval is the time between two reports to a collector: some 3,000 datagrams
-	// a second for one of a zone of 60 VMs.
+	// memberInterval is the time between two reports of a VM to its collector. The collector of a
+	// zone of 60 VMs receives about 3,000 datagrams per second.
 	memberInterval = 20 * time.Millisecond
-	// directDatagrams bounds the datagrams that one VM sends a second in a small region;
-	// with many peers or endpoints rounds come more seldom.
-	directDatagrams = 2000
-	// linkPart is the part of its link that a collector gives to telling its zone. The
-	// rest is for its callers, and for datagrams of which several come at once. Its
-	// datagrams a second stay between leastDatagrams, so that a zone is not left without
-	// news, and mostDatagrams, which take some 0.05 of a core.
-	linkPart       = 0.5
-	leastDatagrams = 500
-	mostDatagrams  = 9000
-	// collectedSpread is how long news takes from one VM of a large region to all others:
-	// the reports of a member and a collector and a round of another, twice for one that
-	// is lost.
-	collectedSpread = 300 * time.Millisecond
-	// quietInterval is how often a VM without any work gives a sign of life. Three of
-	// them fit into TTL.
-	quietInterval = 200 * time.Millisecond
+	// maxDirectRate bounds the datagrams per second that a VM sends in a small region. With many
+	// peers or endpoints, rounds are further apart.
+	maxDirectRate = 2000
+	// collectorLinkFraction is the fraction of its link that a collector uses to send to its zone.
+	// The rest is left for requests and for bursts of datagrams. The resulting rate, in datagrams
+	// per second, is at least minCollectorRate, so that the zone keeps receiving updates, and at
+	// most maxCollectorRate, which uses about 0.05 of a core.
+	collectorLinkFraction = 0.5
+	minCollectorRate      = 500
+	maxCollectorRate      = 9000
+	// collectedPropagationDelay is the time in which information from one VM of a large region
+	// reaches all others: a report of a member, a report of its collector and a round of another
+	// collector, doubled to allow for one lost datagram.
+	collectedPropagationDelay = 300 * time.Millisecond
+	// idleInterval is the time between two heartbeats of a VM without work. Three of them fit into
+	// TTL.
+	idleInterval = 200 * time.Millisecond
 )
 
-// Hash names an endpoint or a part of a prompt in datagrams.
+// Hash returns the hash that identifies an endpoint, a VM or a part of a prompt in datagrams.
 func Hash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// Peer is another VM that takes datagrams.
+// Peer is another VM that receives datagrams.
 type Peer struct {
 	Name, Zone string
-	// Capacity orders the VMs of a zone as collectors.
+	// Capacity determines the order in which the VMs of a zone become collectors, the highest
+	// first.
 	Capacity int
 	Address  netip.AddrPort
 }
 
-// Config is what an Exchange works with.
+// Config holds the settings and callbacks of an Exchange.
 type Config struct {
 	VM, Zone string
-	// Capacity is what this VM can bear, in units that all VMs share.
+	// Capacity is this VM's relative processing capacity, in a unit that all VMs share.
 	Capacity int
-	// LinkBitsPerSecond is what this VM's link carries; zero is no bound.
+	// LinkBitsPerSecond is the bandwidth of this VM's network link; zero means unlimited.
 	LinkBitsPerSecond float64
-	// Address is where this VM takes datagrams (host:port).
+	// Address is the address on which this VM receives datagrams (host:port).
 	Address string
-	// LocalReport returns this VM's open work and the prompts placed since the last call.
+	// LocalReport returns this VM's work in flight and the prompts placed since the last call.
 	LocalReport func() Report
-	// OnLoad takes the newest datagram of a peer. That of a collector stands for its
-	// whole zone (ZoneSum) or for all zones (RegionSum).
+	// OnLoad receives the newest datagram of a peer. A collector's datagram covers its whole zone
+	// (ZoneSum) or all zones (RegionSum).
 	OnLoad func(*sharepb.Load)
-	// OnAnnouncement takes what other VMs tell with Broadcast; each piece may come several times.
+	// OnAnnouncement receives what other VMs pass to Broadcast. It may be called several times for
+	// the same announcement.
 	OnAnnouncement func(Announcement)
-	// Confirmation returns the newest confirmation of the configuration that is known here, and
-	// OnConfirmation takes those of other VMs. Nil tells and takes none.
+	// Confirmation returns the newest confirmation of the configuration that this VM has, and
+	// OnConfirmation receives those of other VMs. If they are nil, no confirmations are sent or
+	// received.
 	Confirmation   func() (version uint64, age time.Duration, known bool)
 	OnConfirmation func(freshness.Confirmation)
-	// Usage, if set, is told to the keepers, and takes what other VMs tell.
+	// Usage, if set, supplies the account changes to send to the usage replicas, and receives those
+	// of other VMs.
 	Usage Usage
 }
 
-// Report is what one VM, or the VMs of a zone together, tell the others.
+// Report is the load that a VM sends: its own or the total of a zone or of the region.
 type Report struct {
-	// Work is by endpoint, each named once.
+	// Work has at most one entry per endpoint.
 	Work []*sharepb.Work
-	// Placed are the prompts given to engines since the last report.
+	// Placed lists the prompts sent to engines since the last report.
 	Placed []*sharepb.Placed
-	// Changing are the engines that were ordered to change their role.
+	// Changing lists the engines that were ordered to change their role.
 	Changing []uint32
-	// Refusing are the endpoints that keep refusing requests.
+	// Refusing lists the endpoints that keep refusing requests.
 	Refusing []uint32
 }
 
-// empty tells whether there is nothing to tell.
+// empty reports whether the report has no content.
 func (r *Report) empty() bool {
 	return len(r.Work) == 0 && len(r.Placed) == 0 && len(r.Changing) == 0 && len(r.Refusing) == 0
 }
 
-// Exchange sends and receives. It is safe for concurrent use; mu is a leaf.
+// Exchange sends this VM's load to its peers and receives theirs. It is safe for concurrent use. No
+// other lock is acquired while mu is held.
 type Exchange struct {
 	cfg  Config
 	boot uint64
 
-	mu       sync.Mutex
-	region   region
-	newest   map[string]newest
-	sequence uint64
-	leaving  bool
-	news     outbox
-	echoes   echoes
-	// lastRound is the number of datagrams that the last round took.
-	lastRound int
+	mu           sync.Mutex
+	region       region
+	lastReceived map[string]datagramID
+	sequence     uint64
+	leaving      bool
+	outbox       outbox
+	echoes       echoes
+	// lastRoundDatagrams is the number of datagrams sent in the last round.
+	lastRoundDatagrams int
 }
 
-// newest is the last datagram taken from a peer.
-type newest struct{ boot, sequence uint64 }
+// datagramID identifies a datagram of a peer by the start of its process and the sequence number.
+type datagramID struct{ boot, sequence uint64 }
 
-// New returns an exchange without peers.
+// New returns an Exchange without peers.
 func New(cfg Config) *Exchange {
 	self := Peer{Name: cfg.VM, Zone: cfg.Zone, Capacity: cfg.Capacity}
-	return &Exchange{cfg: cfg, boot: rand.Uint64(), newest: map[string]newest{}, region: newRegion(self), news: newOutbox(), echoes: newEchoes()}
+	return &Exchange{cfg: cfg, boot: rand.Uint64(), lastReceived: map[string]datagramID{}, region: newRegion(self), outbox: newOutbox(), echoes: newEchoes()}
 }
 
-// SetPeers sets whom to tell.
+// SetPeers replaces the peers.
 func (x *Exchange) SetPeers(peers []Peer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.region.setPeers(peers)
 }
 
-// PropagationDelay is how long news of this VM takes to reach all others, a lost datagram
-// included.
+// PropagationDelay returns the time in which information from this VM reaches all others, allowing
+// for one lost datagram.
 func (x *Exchange) PropagationDelay() time.Duration {
 	x.mu.Lock()
-	collected := x.region.collected()
+	usesCollectors := x.region.usesCollectors()
 	x.mu.Unlock()
-	if collected {
-		return collectedSpread
+	if usesCollectors {
+		return collectedPropagationDelay
 	}
 	return 4 * x.interval()
 }
 
-// PrecedingPeers returns the VMs of the own zone that come before this one in the order of
-// collectors, from the collector on, at most n. There are none in a small region.
+// PrecedingPeers returns at most n VMs of the local zone that precede this one in collector order,
+// starting with the current collector. It returns none in a small region.
 func (x *Exchange) PrecedingPeers(n int) []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.region.before(clock.Now(), n)
+	return x.region.precedingPeers(clock.Now(), n)
 }
 
-// PeersOutsideZone returns VMs that may reach the platform where this one's zone does not, at most n: the
-// collectors of the other zones, or, in a small region, the strongest others.
+// PeersOutsideZone returns at most n VMs that may reach the platform when the local zone does not:
+// the collectors of the other zones or, in a small region, the responsive peers with the highest
+// capacity.
 func (x *Exchange) PeersOutsideZone(n int) []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.region.elsewhere(clock.Now(), n)
+	return x.region.peersOutsideZone(clock.Now(), n)
 }
 
-// Rank is this VM's place among all VMs of the region: the strongest of each zone come first, then
-// the second of each, so that the loss of a zone leaves some of the first.
+// Rank returns this VM's position among all VMs of the region. The first VM of each zone by
+// capacity comes first, then the second of each, so that the loss of a zone leaves some of the
+// first positions filled.
 func (x *Exchange) Rank() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.region.rank()
 }
 
-// IsCollector tells whether this VM is the collector of its zone.
+// IsCollector reports whether this VM is the collector of its zone.
 func (x *Exchange) IsCollector() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.region.collects(clock.Now())
+	return x.region.isCollector(clock.Now())
 }
 
-// Leave makes all later datagrams say that this VM is about to stop.
+// Leave marks all later datagrams as sent by a VM that is about to stop.
 func (x *Exchange) Leave() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.leaving = true
 }
 
-// Run sends and receives until ctx ends. It fails when the address cannot be
-// listened at.
+// Run sends and receives datagrams until ctx ends. It returns an error if it cannot listen on the
+// configured address.
 func (x *Exchange) Run(ctx context.Context) error {
 	address, err := net.ResolveUDPAddr("udp4", x.cfg.Address)
 	if err != nil {
@@ -210,54 +217,54 @@
 	return nil
 }
 
-// send tells the others, round after round.
+// send runs the rounds of datagrams to the peers until ctx ends.
 func (x *Exchange) send(ctx context.Context, conn *net.UDPConn) {
-	var q quiet
+	var throttle idleThrottle
 	for loop.Sleep(ctx, x.interval()) {
-		list := x.messages(&q)
-		all, round := 0, 0
+		list := x.messages(&throttle)
+		total, toZone := 0, 0
 		for _, m := range list {
-			n := x.tell(conn, m)
-			all += n
-			if m.of == ofRegion {
-				round += n
+			n := x.sendMessage(conn, m)
+			total += n
+			if m.scope == scopeRegion {
+				toZone += n
 			}
 		}
-		x.noteRound(clock.Now(), all, round)
-		x.tellNews(conn)
-		x.tellUsage(conn)
+		x.recordRound(clock.Now(), total, toZone)
+		x.sendAnnouncements(conn)
+		x.sendUsage(conn)
 	}
 }
 
-// messages returns what to tell this round: nothing while there is no work, but for
-// a first round that tells that it ended, and a sign of life now and then.
-func (x *Exchange) messages(q *quiet) []message {
-	own := x.cfg.LocalReport()
+// messages returns the messages of this round. While there is no work it returns none, except in
+// the first round after the work ended and at each heartbeat.
+func (x *Exchange) messages(throttle *idleThrottle) []message {
+	local := x.cfg.LocalReport()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	list := x.region.messages(clock.Now(), own)
+	list := x.region.messages(clock.Now(), local)
 	busy := slices.ContainsFunc(list, func(m message) bool { return !m.report.empty() })
-	if !q.tell(clock.Now(), busy) {
+	if !throttle.shouldSend(clock.Now(), busy) {
 		return nil
 	}
 	return list
 }
 
-// tell sends a message and returns how many datagrams that took.
-func (x *Exchange) tell(conn *net.UDPConn, m message) int {
+// sendMessage sends a message and returns the number of datagrams sent.
+func (x *Exchange) sendMessage(conn *net.UDPConn, m message) int {
 	if len(m.to) == 0 {
 		return 0
 	}
-	loads := x.datagrams(m.report, m.of)
-	x.confirm(loads[0], m.to)
+	loads := x.datagrams(m.report, m.scope)
+	x.addConfirmation(loads[0], m.to)
 	for _, load := range loads {
-		x.sendOne(conn, load, m.to)
+		x.sendLoad(conn, load, m.to)
 	}
 	return len(loads) * len(m.to)
 }
 
-// sendOne sends one datagram to each of the peers.
-func (x *Exchange) sendOne(conn *net.UDPConn, load *sharepb.Load, to []Peer) {
+// sendLoad encodes a load and sends it to each of the peers.
+func (x *Exchange) sendLoad(conn *net.UDPConn, load *sharepb.Load, to []Peer) {
 	data, err := proto.Marshal(load)
 	if err != nil {
 		klog.ErrorS(err, "loadshare: load cannot be encoded")
@@ -266,7 +273,7 @@
 	x.write(conn, data, to)
 }
 
-// receive takes datagrams until the socket closes.
+// receive processes datagrams until the socket is closed.
 func (x *Exchange) receive(conn *net.UDPConn) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -276,7 +283,7 @@
 		}
 		if err != nil {
 			receiveFailed.Inc()
-			time.Sleep(minInterval) // an error that stays must not spin
+			time.Sleep(minInterval) // avoids a busy loop on a persistent error
 			continue
 		}
 		load := new(sharepb.Load)
@@ -285,30 +292,30 @@
 			continue
 		}
 		received.Inc()
-		x.take(load)
+		x.handle(load)
 	}
 }
 
-// take takes in a datagram.
-func (x *Exchange) take(load *sharepb.Load) {
-	if !x.fresh(load) {
+// handle processes a received datagram.
+func (x *Exchange) handle(load *sharepb.Load) {
+	if !x.acceptSequence(load) {
 		return
 	}
-	x.takeNews(load)
-	x.takeConfirmation(load)
-	x.takeUsage(load)
-	if x.counts(load) {
+	x.handleAnnouncements(load)
+	x.handleConfirmation(load)
+	x.handleUsage(load)
+	if x.accepts(load) {
 		x.cfg.OnLoad(load)
 	}
 }
 
-func (x *Exchange) counts(load *sharepb.Load) bool {
+func (x *Exchange) accepts(load *sharepb.Load) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.region.counts(clock.Now(), load)
+	return x.region.accepts(clock.Now(), load)
 }
 
-// write sends one datagram to each of the peers.
+// write sends an encoded datagram to each of the peers.
 func (x *Exchange) write(conn *net.UDPConn, data []byte, peers []Peer) {
 	for _, p := range peers {
 		if _, err := conn.WriteToUDPAddrPort(data, p.Address); err != nil {
@@ -320,20 +327,21 @@
 	}
 }
 
-// fresh tells whether a load is newer than the last one of its VM. One of another
-// start is always taken: a restart forgets its sequence.
-func (x *Exchange) fresh(load *sharepb.Load) bool {
+// acceptSequence records a load and reports whether it is newer than the last one received from its
+// VM. A load from another start of the process is always accepted, because the sequence numbers
+// restart.
+func (x *Exchange) acceptSequence(load *sharepb.Load) bool {
 	if load.Vm == x.cfg.VM {
 		return false
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	last := x.newest[load.Vm]
+	last := x.lastReceived[load.Vm]
 	if last.boot == load.Boot && load.Sequence <= last.sequence {
 		return false
 	}
-	x.newest[load.Vm] = newest{boot: load.Boot, sequence: load.Sequence}
-	x.region.heard(clock.Now(), load)
+	x.lastReceived[load.Vm] = datagramID{boot: load.Boot, sequence: load.Sequence}
+	x.region.record(clock.Now(), load)
 	return true
 }
 
--- a/loadshare/loadshare_test.go
+++ b/loadshare/loadshare_test.go
@@ -16,25 +16,25 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// listener is a VM that notes what it hears. Like the product it forgets what was not
-// told again within TTL.
-type listener struct {
-	mu    sync.Mutex
-	heard map[string]heardLoad
-	times int
-	own   Report
+// recorder stores the newest loads that a VM receives. Like the receivers in placement, it ignores
+// loads that were not repeated within TTL.
+type recorder struct {
+	mu       sync.Mutex
+	received map[string]recordedLoad
+	count    int
+	local    Report
 }
 
-type heardLoad struct {
+type recordedLoad struct {
 	*sharepb.Load
 	at time.Time
 }
 
-func (l *listener) take(load *sharepb.Load) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.heard == nil {
-		l.heard = map[string]heardLoad{}
+func (r *recorder) record(load *sharepb.Load) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.received == nil {
+		r.received = map[string]recordedLoad{}
 	}
 	from := load.Vm
 	switch {
@@ -43,21 +43,21 @@
 	case load.ZoneSum:
 		from = "zone " + load.Zone
 	}
-	for name, known := range l.heard {
-		if known.RegionSum != load.RegionSum {
-			delete(l.heard, name) // as the product does: one contains the other
+	for name, previous := range r.received {
+		if previous.RegionSum != load.RegionSum {
+			delete(r.received, name) // as placement does: a region sum contains the other loads
 		}
 	}
-	l.heard[fmt.Sprint(from, load.Segment)] = heardLoad{load, time.Now()}
-	l.times++
+	r.received[fmt.Sprint(from, load.Segment)] = recordedLoad{load, time.Now()}
+	r.count++
 }
 
-// runs is what all sources together tell to run, by endpoint.
-func (l *listener) runs() map[uint32]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// runs returns the total of the runs that all sources report, by endpoint.
+func (r *recorder) runs() map[uint32]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	runs := map[uint32]int{}
-	for _, load := range l.heard {
+	for _, load := range r.received {
 		if time.Since(load.at) > TTL {
 			continue
 		}
@@ -68,27 +68,28 @@
 	return runs
 }
 
-func (l *listener) ownNow() Report {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	own := l.own
-	l.own.Placed = nil
-	return own
+func (r *recorder) localReport() Report {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	local := r.local
+	r.local.Placed = nil
+	return local
 }
 
-// shared is an endpoint at which every VM has a request.
-const shared = 7
+// sharedEndpoint is the hash of an endpoint at which every VM has a request.
+const sharedEndpoint = 7
 
-// node is one exchange on loopback.
+// node is an Exchange on the loopback interface.
 type node struct {
-	*listener
+	*recorder
 	x    *Exchange
 	peer Peer
 	stop func()
 }
 
-// nextPort is the port to try next. Those that the kernel gives to connections of other tests lie
-// higher, and each is tried once, so that no address is taken between its choice and its use.
+// nextPort is the next port to try. It is below the range from which the kernel assigns ports to
+// connections of other tests, and each port is tried once, so that no address is taken between its
+// selection and its use.
 var nextPort atomic.Int32
 
 func init() { nextPort.Store(10000 + rand.Int32N(20000)) }
@@ -107,12 +108,12 @@
 	return ""
 }
 
-func startNode(t *testing.T, name, zone string, strength int) *node {
+func startNode(t *testing.T, name, zone string, capacity int) *node {
 	t.Helper()
 	address := freeAddress(t)
-	n := &node{listener: &listener{}, peer: Peer{Name: name, Zone: zone, Capacity: strength, Address: netip.MustParseAddrPort(address)}}
-	n.own = Report{Work: []*sharepb.Work{{Endpoint: Hash(name), Runs: 1}, {Endpoint: shared, Runs: 1}}}
-	n.x = New(Config{VM: name, Zone: zone, Capacity: strength, Address: address, LocalReport: n.ownNow, OnLoad: n.take})
+	n := &node{recorder: &recorder{}, peer: Peer{Name: name, Zone: zone, Capacity: capacity, Address: netip.MustParseAddrPort(address)}}
+	n.local = Report{Work: []*sharepb.Work{{Endpoint: Hash(name), Runs: 1}, {Endpoint: sharedEndpoint, Runs: 1}}}
+	n.x = New(Config{VM: name, Zone: zone, Capacity: capacity, Address: address, LocalReport: n.localReport, OnLoad: n.record})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- n.x.Run(ctx) }()
@@ -129,8 +130,8 @@
 	return n
 }
 
-// introduce makes all nodes peers of each other.
-func introduce(nodes []*node) {
+// connectAll makes all nodes peers of each other.
+func connectAll(nodes []*node) {
 	for _, n := range nodes {
 		var peers []Peer
 		for _, o := range nodes {
@@ -150,37 +151,37 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// In small regions every VM tells every other, in large ones through collectors;
-// in both everybody hears of everybody, also when a collector ends.
-func TestEverybodyHearsOfEverybody(t *testing.T) {
+// The load of every VM reaches all others, directly in a small region and through collectors in a
+// large one, also after a collector has stopped.
+func TestLoadReachesAllVMs(t *testing.T) {
 	for _, size := range []int{4, 24} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			var nodes []*node
 			for i := range size {
 				nodes = append(nodes, startNode(t, fmt.Sprintf("vm%02d", i), fmt.Sprint("z", i%3), 100+i%5))
 			}
-			introduce(nodes)
+			connectAll(nodes)
 			for _, n := range nodes {
-				eventually(t, n.peer.Name+" to hear of all others once", func() bool {
+				eventually(t, n.peer.Name+" to receive the load of all others once", func() bool {
 					runs := n.runs()
-					return len(runs) == size && runs[shared] == size-1 && runs[Hash(n.peer.Name)] == 0
+					return len(runs) == size && runs[sharedEndpoint] == size-1 && runs[Hash(n.peer.Name)] == 0
 				})
 			}
-			var strongest *node
+			var first *node
 			for _, n := range nodes {
-				if n.peer.Zone == "z0" && (strongest == nil || n.peer.Capacity > strongest.peer.Capacity) {
-					strongest = n
+				if n.peer.Zone == "z0" && (first == nil || n.peer.Capacity > first.peer.Capacity) {
+					first = n
 				}
 			}
-			strongest.stop() // its last datagrams may still be on their way
+			first.stop() // its last datagrams may still be in flight
 			for _, n := range nodes {
-				if n != strongest {
-					eventually(t, n.peer.Name+" to hear of the others", func() bool {
+				if n != first {
+					eventually(t, n.peer.Name+" to receive the load of the others", func() bool {
 						runs := n.runs()
-						return runs[shared] == size-2 && runs[Hash(strongest.peer.Name)] == 0
+						return runs[sharedEndpoint] == size-2 && runs[Hash(first.peer.Name)] == 0
 					})
 				}
 			}
@@ -188,27 +189,27 @@
 	}
 }
 
-func TestOlderNewsIsDropped(t *testing.T) {
-	l := &listener{}
-	x := New(Config{VM: "self", Zone: "a", OnLoad: l.take})
-	say := func(boot, sequence uint64) {
-		x.take(&sharepb.Load{Vm: "v", Zone: "a", Boot: boot, Sequence: sequence})
+func TestStaleDatagramsAreDropped(t *testing.T) {
+	recorded := &recorder{}
+	x := New(Config{VM: "self", Zone: "a", OnLoad: recorded.record})
+	receive := func(boot, sequence uint64) {
+		x.handle(&sharepb.Load{Vm: "v", Zone: "a", Boot: boot, Sequence: sequence})
 	}
-	for _, news := range [][2]uint64{{1, 5}, {1, 4}, {1, 5}, {1, 6}, {2, 1}, {2, 1}, {2, 2}} {
-		say(news[0], news[1])
+	for _, id := range [][2]uint64{{1, 5}, {1, 4}, {1, 5}, {1, 6}, {2, 1}, {2, 1}, {2, 2}} {
+		receive(id[0], id[1])
 	}
-	if l.times != 4 {
-		t.Errorf("%d of 7 datagrams were news, want 4", l.times)
+	if recorded.count != 4 {
+		t.Errorf("%d of 7 datagrams were accepted, want 4", recorded.count)
 	}
-	x.take(&sharepb.Load{Vm: "self", Boot: 9, Sequence: 9})
-	if l.times != 4 {
-		t.Error("a VM hears of itself")
+	x.handle(&sharepb.Load{Vm: "self", Boot: 9, Sequence: 9})
+	if recorded.count != 4 {
+		t.Error("a VM accepted its own datagram")
 	}
 }
 
-// Datagrams stay small whatever there is to tell, and tell each endpoint's work and
-// each prompt once.
-func TestDatagramsStaySmall(t *testing.T) {
+// Datagrams stay within the size limit for any report, and contain each endpoint's work and each
+// prompt once.
+func TestDatagramSizeIsBounded(t *testing.T) {
 	x := New(Config{VM: "self", Zone: "a"})
 	for _, endpoints := range []int{0, 20, 50, 51, 400} {
 		var r Report
@@ -218,32 +219,32 @@
 		for i := range 100 {
 			r.Placed = append(r.Placed, &sharepb.Placed{Endpoint: uint32(i), Part: []uint32{1, 2, 3}, Tokens: []uint32{2500, 3500, 3000}})
 		}
-		placed, worked := 0, map[uint32]int{}
-		for i, load := range x.datagrams(r, ofZone) {
-			// Up to 100 bytes more: a datagram takes at least one prompt.
+		placed, workEntries := 0, map[uint32]int{}
+		for i, load := range x.datagrams(r, scopeZone) {
+			// Up to 100 bytes more, since a datagram contains at least one prompt.
 			if size := proto.Size(load); size > maxDatagram+100 {
-				t.Errorf("a datagram of %d bytes", size)
+				t.Errorf("datagram has %d bytes", size)
 			}
 			if !load.NoWork && load.Segment != uint32(i) || load.NoWork && len(load.Work) > 0 {
 				t.Errorf("datagram %d is segment %d with %d endpoints, no work: %v", i, load.Segment, len(load.Work), load.NoWork)
 			}
 			placed += len(load.Placed)
 			for _, w := range load.Work {
-				worked[w.Endpoint]++
+				workEntries[w.Endpoint]++
 			}
 		}
-		if placed != 100 || len(worked) != endpoints {
-			t.Errorf("%d prompts and %d endpoints were told, want 100 and %d", placed, len(worked), endpoints)
+		if placed != 100 || len(workEntries) != endpoints {
+			t.Errorf("%d prompts and %d endpoints were sent, want 100 and %d", placed, len(workEntries), endpoints)
 		}
-		for endpoint, n := range worked {
+		for endpoint, n := range workEntries {
 			if n != 1 {
-				t.Errorf("endpoint %d is told %d times", endpoint, n)
+				t.Errorf("endpoint %d is contained %d times", endpoint, n)
 			}
 		}
 	}
 }
 
-func TestCollectors(t *testing.T) {
+func TestCollectorSelection(t *testing.T) {
 	var peers []Peer
 	for i := range 20 {
 		peers = append(peers, Peer{Name: fmt.Sprintf("vm%02d", i), Zone: []string{"a", "b"}[i%2], Capacity: 10})
@@ -256,48 +257,48 @@
 		}
 		return s
 	}
-	weak := newRegion(Peer{Name: "self", Zone: "a", Capacity: 1})
-	weak.setPeers(peers)
-	if got := names(weak.toldBy(now)); len(got) != 1 || got[0] != "vm04" {
-		t.Errorf("a weak VM tells %v, want the strongest of its zone", got)
+	member := newRegion(Peer{Name: "self", Zone: "a", Capacity: 1})
+	member.setPeers(peers)
+	if got := names(member.recipients(now)); len(got) != 1 || got[0] != "vm04" {
+		t.Errorf("a VM of low capacity sends to %v, want the VM with the highest capacity of its zone", got)
 	}
-	// The strongest stays silent, so the next by name takes its place.
+	// The VM with the highest capacity stays unresponsive, so the next by name replaces it.
 	now = now.Add(2 * CollectorTimeout)
-	if got := names(weak.toldBy(now)); len(got) != 1 || got[0] != "vm00" {
-		t.Errorf("then it tells %v", got)
+	if got := names(member.recipients(now)); len(got) != 1 || got[0] != "vm00" {
+		t.Errorf("after the timeout it sends to %v", got)
 	}
-	weak.heard(now, &sharepb.Load{Vm: "vm04", Zone: "a"})
-	if got := names(weak.toldBy(now)); got[0] != "vm04" {
-		t.Errorf("once the strongest is heard it tells %v", got)
+	member.record(now, &sharepb.Load{Vm: "vm04", Zone: "a"})
+	if got := names(member.recipients(now)); got[0] != "vm04" {
+		t.Errorf("once the VM with the highest capacity is seen again, it sends to %v", got)
 	}
-	strong := newRegion(Peer{Name: "self", Zone: "a", Capacity: 100})
-	strong.setPeers(peers)
-	if got := strong.toldBy(now); len(got) != 11 {
-		t.Errorf("a collector tells %v, want its zone and one of the other", names(got))
+	collector := newRegion(Peer{Name: "self", Zone: "a", Capacity: 100})
+	collector.setPeers(peers)
+	if got := collector.recipients(now); len(got) != 11 {
+		t.Errorf("a collector sends to %v, want its zone and one VM of the other", names(got))
 	}
 	for _, tc := range []struct {
-		name  string
-		r     *region
-		load  *sharepb.Load
-		wants bool
+		name string
+		r    *region
+		load *sharepb.Load
+		want bool
 	}{
-		{"a VM's own load", &strong, &sharepb.Load{Vm: "vm02", Zone: "a"}, true},
-		{"another zone's sum", &strong, &sharepb.Load{Vm: "vm01", Zone: "b", ZoneSum: true}, true},
-		{"its own zone's sum, at the collector", &strong, &sharepb.Load{Vm: "vm02", Zone: "a", ZoneSum: true}, false},
-		{"a region's sum, at the collector", &strong, &sharepb.Load{Vm: "vm02", Zone: "a", RegionSum: true}, false},
-		{"the region's sum, elsewhere", &weak, &sharepb.Load{Vm: "vm04", Zone: "a", RegionSum: true}, true},
-		{"another zone's sum of the region", &weak, &sharepb.Load{Vm: "vm01", Zone: "b", RegionSum: true}, false},
-		{"what the region's sum contains, a zone", &weak, &sharepb.Load{Vm: "vm01", Zone: "b", ZoneSum: true}, false},
-		{"what the region's sum contains, a VM", &weak, &sharepb.Load{Vm: "vm02", Zone: "a"}, false},
+		{"a VM's load, at the collector", &collector, &sharepb.Load{Vm: "vm02", Zone: "a"}, true},
+		{"another zone's sum, at the collector", &collector, &sharepb.Load{Vm: "vm01", Zone: "b", ZoneSum: true}, true},
+		{"its own zone's sum, at the collector", &collector, &sharepb.Load{Vm: "vm02", Zone: "a", ZoneSum: true}, false},
+		{"a region's sum, at the collector", &collector, &sharepb.Load{Vm: "vm02", Zone: "a", RegionSum: true}, false},
+		{"the region's sum, at a member", &member, &sharepb.Load{Vm: "vm04", Zone: "a", RegionSum: true}, true},
+		{"another zone's sum of the region, at a member", &member, &sharepb.Load{Vm: "vm01", Zone: "b", RegionSum: true}, false},
+		{"another zone's sum, at a member", &member, &sharepb.Load{Vm: "vm01", Zone: "b", ZoneSum: true}, false},
+		{"a VM's load, at a member", &member, &sharepb.Load{Vm: "vm02", Zone: "a"}, false},
 	} {
-		if got := tc.r.counts(now, tc.load); got != tc.wants {
-			t.Errorf("%s counts: %v", tc.name, got)
+		if got := tc.r.accepts(now, tc.load); got != tc.want {
+			t.Errorf("%s: accepted is %v", tc.name, got)
 		}
 	}
 }
 
-// toldBy is everybody whom a VM tells in one round.
-func (r *region) toldBy(now time.Time) []Peer {
+// recipients returns all recipients of one round.
+func (r *region) recipients(now time.Time) []Peer {
 	var list []Peer
 	for _, m := range r.messages(now, Report{}) {
 		list = append(list, m.to...)
@@ -305,8 +306,8 @@
 	return list
 }
 
-// However much there is to tell, a VM of a small region keeps to its datagrams a second.
-func TestRoundsComeMoreSeldomWithMoreToTell(t *testing.T) {
+// A VM of a small region does not exceed its datagram rate, however much there is to send.
+func TestDirectSendRateIsBounded(t *testing.T) {
 	x := New(Config{VM: "self", Zone: "a", Capacity: 1000})
 	var peers []Peer
 	for i := range directPeers {
@@ -314,56 +315,57 @@
 	}
 	x.SetPeers(peers)
 	if got := x.interval(); got != minInterval {
-		t.Errorf("a first round after %v", got)
+		t.Errorf("the first interval is %v", got)
 	}
 	for _, datagrams := range []int{15, 8 * 15, 100 * 15} {
-		x.noteRound(time.Now(), datagrams, 0)
-		if perSecond := float64(datagrams) / x.interval().Seconds(); perSecond > directDatagrams+1 {
-			t.Errorf("%d datagrams a round are %.0f a second", datagrams, perSecond)
+		x.recordRound(time.Now(), datagrams, 0)
+		if perSecond := float64(datagrams) / x.interval().Seconds(); perSecond > maxDirectRate+1 {
+			t.Errorf("%d datagrams per round are %.0f per second", datagrams, perSecond)
 		}
 	}
 }
 
-// A collector tells its zone as often as a part of its link allows, and the collectors of
-// other zones each time.
-func TestCollectorKeepsToItsLink(t *testing.T) {
+// A collector sends to its zone at the rate that its share of the link allows, and to the
+// collectors of the other zones in each round.
+func TestCollectorSendRateIsBounded(t *testing.T) {
 	for _, tc := range []struct {
-		mbps float64
-		most int
-	}{{0, mostDatagrams}, {10_000, mostDatagrams}, {200, mostDatagrams}, {100, 4465}, {20, 893}, {1, leastDatagrams}} {
+		mbps    float64
+		maxRate int
+	}{{0, maxCollectorRate}, {10_000, maxCollectorRate}, {200, maxCollectorRate}, {100, 4465}, {20, 893}, {1, minCollectorRate}} {
 		x := New(Config{VM: "self", Zone: "a", Capacity: 1000, LinkBitsPerSecond: tc.mbps * 1e6})
 		var peers []Peer
 		for i := range 63 {
 			peers = append(peers, Peer{Name: fmt.Sprint("vm", i), Zone: []string{"a", "b"}[i%2]})
 		}
 		x.SetPeers(peers)
-		now, told, others := time.Unix(1000, 0), 0, 0
+		now, zoneDatagrams, otherZoneMessages := time.Unix(1000, 0), 0, 0
 		const length = 10 * time.Second
 		for end := now.Add(length); now.Before(end); now = now.Add(collectorInterval) {
 			round := 0
 			for _, m := range x.region.messages(now, Report{}) {
-				switch m.of {
-				case ofRegion:
+				switch m.scope {
+				case scopeRegion:
 					round += 6 * len(m.to)
-				case ofZone:
-					others++
+				case scopeZone:
+					otherZoneMessages++
 				}
 			}
-			told += round
-			x.noteRound(now, round, round)
+			zoneDatagrams += round
+			x.recordRound(now, round, round)
 		}
-		perSecond := float64(told) / length.Seconds()
-		if perSecond > float64(tc.most)+6*32/length.Seconds() || perSecond < 0.7*float64(tc.most) {
-			t.Errorf("on a link of %v Mbit/s %.0f datagrams a second, at most %d wanted", tc.mbps, perSecond, tc.most)
+		perSecond := float64(zoneDatagrams) / length.Seconds()
+		if perSecond > float64(tc.maxRate)+6*32/length.Seconds() || perSecond < 0.7*float64(tc.maxRate) {
+			t.Errorf("on a link of %v Mbit/s: %.0f datagrams per second, want at most %d", tc.mbps, perSecond, tc.maxRate)
 		}
-		if want := int(length / collectorInterval); others != want {
-			t.Errorf("the other zone was told %d times, want %d", others, want)
+		if want := int(length / collectorInterval); otherZoneMessages != want {
+			t.Errorf("the other zone was sent %d messages, want %d", otherZoneMessages, want)
 		}
 	}
 }
 
-// What a member hears is the work of all zones but its own, and each prompt once.
-func TestRegionsSumIsComplete(t *testing.T) {
+// The total sent to a member contains the work of all VMs of all zones except its own, and each
+// prompt once.
+func TestRegionSumIsComplete(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newRegion(Peer{Name: "self", Zone: "a", Capacity: 9})
 	var peers []Peer
@@ -372,11 +374,11 @@
 	}
 	r.setPeers(peers)
 	prompt := func(endpoint uint32) []*sharepb.Placed { return []*sharepb.Placed{{Endpoint: endpoint}} }
-	r.heard(now, &sharepb.Load{Vm: "vm0", Zone: "a", Work: []*sharepb.Work{{Endpoint: 1, Runs: 2}}, Placed: prompt(1)})
-	r.heard(now, &sharepb.Load{Vm: "vm2", Zone: "a", Work: []*sharepb.Work{{Endpoint: 1, Runs: 4}}})
-	r.heard(now, &sharepb.Load{Vm: "vm1", Zone: "b", ZoneSum: true, Work: []*sharepb.Work{{Endpoint: 1, Runs: 8}, {Endpoint: 2, Runs: 16}}, Placed: prompt(2)})
-	r.heard(now, &sharepb.Load{Vm: "vm3", Zone: "b", Work: []*sharepb.Work{{Endpoint: 1, Runs: 100}}}) // its collector tells it
-	told := func() (members map[string]string, zone string) {
+	r.record(now, &sharepb.Load{Vm: "vm0", Zone: "a", Work: []*sharepb.Work{{Endpoint: 1, Runs: 2}}, Placed: prompt(1)})
+	r.record(now, &sharepb.Load{Vm: "vm2", Zone: "a", Work: []*sharepb.Work{{Endpoint: 1, Runs: 4}}})
+	r.record(now, &sharepb.Load{Vm: "vm1", Zone: "b", ZoneSum: true, Work: []*sharepb.Work{{Endpoint: 1, Runs: 8}, {Endpoint: 2, Runs: 16}}, Placed: prompt(2)})
+	r.record(now, &sharepb.Load{Vm: "vm3", Zone: "b", Work: []*sharepb.Work{{Endpoint: 1, Runs: 100}}}) // contained in the sum of its collector
+	sentWork := func() (members map[string]string, zone string) {
 		members = map[string]string{}
 		for _, m := range r.messages(now, Report{Work: []*sharepb.Work{{Endpoint: 2, Runs: 1}}}) {
 			text := ""
@@ -384,7 +386,7 @@
 				text += fmt.Sprintf("%d:%d ", w.Endpoint, w.Runs)
 			}
 			text += fmt.Sprint(len(m.report.Placed))
-			if m.of == ofZone {
+			if m.scope == scopeZone {
 				zone = text
 			} else {
 				members[m.to[0].Name] = text
@@ -392,17 +394,17 @@
 		}
 		return members, zone
 	}
-	members, zone := told()
+	members, zone := sentWork()
 	if zone != "1:6 2:1 1" || members["vm0"] != "1:12 2:17 2" || members["vm2"] != "1:10 2:17 2" || members["vm4"] != "1:14 2:17 2" {
-		t.Errorf("the other zone hears %q, the members %v", zone, members)
+		t.Errorf("the other zone is sent %q, the members %v", zone, members)
 	}
-	r.nextRound = now.Add(time.Millisecond)
-	r.heard(now, &sharepb.Load{Vm: "vm0", Zone: "a", Work: []*sharepb.Work{{Endpoint: 1, Runs: 2}}, Placed: prompt(3)})
-	if members, zone := told(); len(members) != 0 || zone != "1:6 2:1 1" {
-		t.Errorf("between rounds the members hear %v, the other zone %q", members, zone)
+	r.nextZoneRound = now.Add(time.Millisecond)
+	r.record(now, &sharepb.Load{Vm: "vm0", Zone: "a", Work: []*sharepb.Work{{Endpoint: 1, Runs: 2}}, Placed: prompt(3)})
+	if members, zone := sentWork(); len(members) != 0 || zone != "1:6 2:1 1" {
+		t.Errorf("between rounds the members are sent %v, the other zone %q", members, zone)
 	}
 	now = now.Add(time.Millisecond)
-	if members, zone := told(); members["vm4"] != "1:14 2:17 1" || zone != "1:6 2:1 0" {
-		t.Errorf("then the members hear %v, the other zone %q", members, zone)
+	if members, zone := sentWork(); members["vm4"] != "1:14 2:17 1" || zone != "1:6 2:1 0" {
+		t.Errorf("in the next round the members are sent %v, the other zone %q", members, zone)
 	}
 }
--- a/loadshare/membership.go
+++ b/loadshare/membership.go
@@ -9,22 +9,22 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// MemberTimeout is how long a registered VM may be unheard before it counts as silent. It is longer
-// than a change of collectors takes.
+// MemberTimeout is how long no datagram of a registered VM may arrive before it counts as
+// unresponsive. It is longer than a change of collectors takes.
 const MemberTimeout = 2 * time.Second
 
-// Member is a VM that was heard lately.
+// Member is a VM that is responsive.
 type Member struct{ Name, Zone string }
 
-// Membership is which VMs of the region this one knows to be there.
+// Membership lists the VMs of the region that this VM finds responsive.
 type Membership struct {
-	// Live are those heard lately, this VM included, by name.
+	// Live lists the responsive VMs by name, this VM included.
 	Live []Member
 	// Registered is the number of all registered VMs, this one included.
 	Registered int
 }
 
-// Membership returns the VMs that are there now.
+// Membership returns the current membership.
 func (x *Exchange) Membership() Membership {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -33,9 +33,9 @@
 
 func (r *region) membership(now time.Time) Membership {
 	m := Membership{Live: []Member{{r.self.Name, r.self.Zone}}, Registered: len(r.peers) + 1}
-	silent := r.silentPeers(now)
+	unresponsive := r.unresponsiveFunc(now)
 	for _, p := range r.peers {
-		if !silent(p) {
+		if !unresponsive(p) {
 			m.Live = append(m.Live, Member{p.Name, p.Zone})
 		}
 	}
@@ -43,83 +43,87 @@
 	return m
 }
 
-// silentPeers returns what tells which of the other VMs are silent. In a large region a VM hears
-// only some of them itself: a collector those of its zone and the other collectors, a member its
-// collector.
-func (r *region) silentPeers(now time.Time) func(Peer) bool {
-	unheard := func(p Peer) bool { return now.Sub(r.heardAt[p.Name]) >= MemberTimeout }
+// unresponsiveFunc returns a function that reports whether a peer is unresponsive. In a large
+// region, a VM receives datagrams only from some of the others: a collector from the VMs of its
+// zone and the other collectors, a member from its collector.
+func (r *region) unresponsiveFunc(now time.Time) func(Peer) bool {
+	unresponsive := func(p Peer) bool { return now.Sub(r.lastSeen[p.Name]) >= MemberTimeout }
 	switch {
-	case !r.collected():
-		return unheard
-	case !r.collects(now):
-		r.collectsSince = time.Time{}
-		report := r.silentRegion
-		return func(p Peer) bool { return now.Sub(report.at) >= MemberTimeout || report.names[Hash(p.Name)] }
+	case !r.usesCollectors():
+		return unresponsive
+	case !r.isCollector(now):
+		r.collectorSince = time.Time{}
+		report := r.unresponsiveInRegion
+		return func(p Peer) bool { return now.Sub(report.receivedAt) >= MemberTimeout || report.hashes[Hash(p.Name)] }
 	}
-	if r.collectsSince.IsZero() {
-		r.collectsSince = now
+	if r.collectorSince.IsZero() {
+		r.collectorSince = now
 	}
 	return func(p Peer) bool {
 		if p.Zone == r.self.Zone {
-			// The members of a zone turn to a new collector only when the one before it is silent.
-			return unheard(p) && now.Sub(r.collectsSince) >= MemberTimeout
+			// The members of a zone send to a new collector only once its predecessor is
+			// unresponsive.
+			return unresponsive(p) && now.Sub(r.collectorSince) >= MemberTimeout
 		}
-		report := r.silentZones[p.Zone]
-		return now.Sub(report.at) >= MemberTimeout || report.names[Hash(p.Name)]
+		report := r.unresponsiveByZone[p.Zone]
+		return now.Sub(report.receivedAt) >= MemberTimeout || report.hashes[Hash(p.Name)]
 	}
 }
 
-// silence is which VMs a collector found silent, by the hash of their names.
-type silence struct {
-	at    time.Time
-	names map[uint32]bool
+// unresponsiveReport holds the VMs that a collector found unresponsive, by the hash of their names.
+type unresponsiveReport struct {
+	receivedAt time.Time
+	hashes     map[uint32]bool
 }
 
-func silenceOf(now time.Time, load *sharepb.Load) silence {
-	s := silence{at: now}
+func newUnresponsiveReport(now time.Time, load *sharepb.Load) unresponsiveReport {
+	report := unresponsiveReport{receivedAt: now}
 	if len(load.Silent) > 0 {
-		s.names = make(map[uint32]bool, len(load.Silent))
-		for _, name := range load.Silent {
-			s.names[name] = true
+		report.hashes = make(map[uint32]bool, len(load.Silent))
+		for _, hash := range load.Silent {
+			report.hashes[hash] = true
 		}
 	}
-	return s
+	return report
 }
 
-// hearSilence takes in which VMs another collector, or the own one, finds silent.
-func (r *region) hearSilence(now time.Time, load *sharepb.Load) {
-	switch own := load.Zone == r.self.Zone; {
+// recordUnresponsive stores which VMs the collector of another zone, or the local one, finds
+// unresponsive.
+func (r *region) recordUnresponsive(now time.Time, load *sharepb.Load) {
+	switch sameZone := load.Zone == r.self.Zone; {
 	case load.NoWork:
-	case own && load.RegionSum:
-		r.silentRegion = silenceOf(now, load)
-	case !own && load.ZoneSum:
-		r.silentZones[load.Zone] = silenceOf(now, load)
+	case sameZone && load.RegionSum:
+		r.unresponsiveInRegion = newUnresponsiveReport(now, load)
+	case !sameZone && load.ZoneSum:
+		r.unresponsiveByZone[load.Zone] = newUnresponsiveReport(now, load)
 	}
 }
 
-// silentRefresh is how often a collector looks anew which VMs are silent: its datagrams are many.
-const silentRefresh = 100 * time.Millisecond
+// unresponsiveRefresh is how often a collector determines the unresponsive VMs. The many datagrams
+// in between repeat the last result.
+const unresponsiveRefresh = 100 * time.Millisecond
 
-// silentHashes are the silent VMs as a collector tells them: those of its zone, or of the region.
-func (r *region) silentHashes(now time.Time, of scope) []uint32 {
-	if of == ofVM {
+// unresponsiveHashes returns the hashes of the unresponsive VMs that a collector reports: those of
+// its zone or of the region.
+func (r *region) unresponsiveHashes(now time.Time, scope loadScope) []uint32 {
+	if scope == scopeVM {
 		return nil
 	}
-	if now.Sub(r.silentAt) >= silentRefresh {
-		r.silentAt, r.silentOwn, r.silentAll = now, nil, nil
-		silent := r.silentPeers(now)
+	if now.Sub(r.unresponsiveAt) >= unresponsiveRefresh {
+		r.unresponsiveAt, r.unresponsiveInZone, r.unresponsiveAll = now, nil, nil
+		unresponsive := r.unresponsiveFunc(now)
 		for _, p := range r.peers {
-			if !silent(p) {
+			if !unresponsive(p) {
 				continue
 			}
-			r.silentAll = append(r.silentAll, Hash(p.Name))
+			r.unresponsiveAll = append(r.unresponsiveAll, Hash(p.Name))
 			if p.Zone == r.self.Zone {
-				r.silentOwn = append(r.silentOwn, Hash(p.Name))
+				r.unresponsiveInZone = append(r.unresponsiveInZone, Hash(p.Name))
 			}
 		}
 	}
-	if of == ofZone {
-		return r.silentOwn
+	if scope == scopeZone {
+		return r.unresponsiveInZone
 	}
-	return r.silentAll
+	return r.unresponsiveAll
 }
--- a/loadshare/rank_test.go
+++ b/loadshare/rank_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// All VMs find the same order, in which the zones take turns, by strength.
+// All VMs compute the same order, in which the zones alternate and VMs are sorted by capacity.
 func TestRank(t *testing.T) {
 	var all []Peer
 	for zone, n := range map[string]int{"a": 3, "b": 1, "c": 4} {
--- a/loadshare/region.go
+++ b/loadshare/region.go
@@ -9,60 +9,61 @@
 )
 
 const (
-	// directPeers is the number of peers up to which every VM tells every other.
-	// Beyond it the datagrams of all to all would grow with the square of the VMs.
+	// directPeers is the number of peers up to which every VM sends to every other directly. Beyond
+	// it, the number of datagrams would grow with the square of the number of VMs.
 	directPeers = 15
-	// CollectorTimeout is how long a collector may be silent before the next VM of
-	// the zone takes its place: some rounds, so that lost datagrams do not count.
+	// CollectorTimeout is how long a collector may be unresponsive before the next VM of the zone
+	// replaces it. It spans several rounds, so that single lost datagrams have no effect.
 	CollectorTimeout = 400 * time.Millisecond
-	// placedRound is the most prompts that are told in one round of a collector: some
-	// three datagrams, as many as the work takes. Work is what choices hang on, so it
-	// must not wait behind the prompts of a burst.
-	placedRound = 120
+	// maxPlacedPerRound bounds the prompts that a collector sends in one round: about three
+	// datagrams, as many as the work takes. Routing decisions depend on the work, so it must not
+	// wait behind the prompts of a burst.
+	maxPlacedPerRound = 120
 )
 
-// region is the part of an Exchange that knows whom to tell what. In a large region
-// the VMs of a zone tell one of them, the collector. It adds up their work and tells the
-// sum to the collectors of the other zones, and the sum of all zones to its own. So what a
-// VM hears grows with the endpoints, not with the VMs or the zones: told the sum of each
-// zone by itself, VMs of a large region heard of a burst 120 to 300 ms late, since five
-// times as much went over the collectors' links.
+// region tracks the VMs of the region and determines the messages of each round and their
+// recipients. In a large region, the VMs of a zone report to one of them, the collector. It adds up
+// their work, and sends the zone's total to the collectors of the other zones and the total of all
+// zones to the VMs of its own. The traffic to a VM thus grows with the number of endpoints, not of
+// VMs or zones. When collectors sent the total of each zone separately, a burst became known to the
+// VMs of a large region 120 to 300 ms late, since five times as much data went over the collectors'
+// links.
 //
-// The collector is the first of a zone's VMs, in an order that all know, that is
-// not silent. Nothing is agreed on: a VM that takes itself for the collector acts
-// as one, and of two sums the newer counts.
+// The collector is the first responsive VM of a zone, in an order that is the same on all VMs.
+// There is no agreement protocol: a VM that considers itself the collector acts as one, and the
+// newer of two totals applies.
 type region struct {
 	self  Peer
 	peers []Peer
-	// zones are the VMs of each zone, in the order of collectors; the own zone's
-	// hold this VM.
+	// zones holds the VMs of each zone in collector order, including this VM.
 	zones map[string][]Peer
-	// heardAt is when a VM was last heard itself, and reliedAt when it was first
-	// taken for a collector since then.
-	heardAt, reliedAt map[string]time.Time
-	// members are what the own zone's other VMs told, and others what the collectors of
-	// the other zones did.
-	members, others memberLoads
-	// nextRound is when this VM, as a collector, next tells its zone, and placed are the
-	// prompts of the region that it has not told it yet.
-	nextRound time.Time
-	placed    []*sharepb.Placed
-	// silentZones are the silent VMs of the other zones, as their collectors told, and silentRegion
-	// those of the region, as the own collector did. collectsSince is since when this VM collects.
-	silentZones   map[string]silence
-	silentRegion  silence
-	collectsSince time.Time
-	// silentOwn and silentAll are the silent VMs of the own zone and of the region, as told, looked
-	// for at silentAt.
-	silentOwn, silentAll []uint32
-	silentAt             time.Time
+	// lastSeen is when the last datagram of a VM arrived. awaitedSince is when a VM was first
+	// considered as a collector after that.
+	lastSeen, awaitedSince map[string]time.Time
+	// members holds the loads of the other VMs of the local zone, and otherZones the totals sent by
+	// the collectors of the other zones.
+	members, otherZones loadAggregate
+	// nextZoneRound is when this VM, as a collector, next sends to its zone. pendingPlaced holds
+	// the prompts of the region that it has not yet sent there.
+	nextZoneRound time.Time
+	pendingPlaced []*sharepb.Placed
+	// unresponsiveByZone holds the unresponsive VMs of the other zones as reported by their
+	// collectors, and unresponsiveInRegion those of the region as reported by the local collector.
+	// collectorSince is when this VM became the collector.
+	unresponsiveByZone   map[string]unresponsiveReport
+	unresponsiveInRegion unresponsiveReport
+	collectorSince       time.Time
+	// unresponsiveInZone and unresponsiveAll are the hashes of the unresponsive VMs of the local
+	// zone and of the region, determined at unresponsiveAt.
+	unresponsiveInZone, unresponsiveAll []uint32
+	unresponsiveAt                      time.Time
 }
 
 func newRegion(self Peer) region {
 	return region{
 		self: self, zones: map[string][]Peer{self.Zone: {self}},
-		heardAt: map[string]time.Time{}, reliedAt: map[string]time.Time{}, members: newMemberLoads(), others: newMemberLoads(),
-		silentZones: map[string]silence{},
+		lastSeen: map[string]time.Time{}, awaitedSince: map[string]time.Time{}, members: newLoadAggregate(), otherZones: newLoadAggregate(),
+		unresponsiveByZone: map[string]unresponsiveReport{},
 	}
 }
 
@@ -73,12 +74,12 @@
 		r.zones[p.Zone] = append(r.zones[p.Zone], p)
 	}
 	for _, list := range r.zones {
-		sortByStrength(list)
+		sortByCapacity(list)
 	}
 }
 
-// sortByStrength puts VMs into the order of collectors.
-func sortByStrength(list []Peer) {
+// sortByCapacity sorts VMs into collector order: by descending capacity, then by name.
+func sortByCapacity(list []Peer) {
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
 		if a.Capacity != b.Capacity {
@@ -88,66 +89,66 @@
 	})
 }
 
-// collected tells whether the region is large enough for collectors.
-func (r *region) collected() bool { return len(r.peers) > directPeers }
+// usesCollectors reports whether the region is large enough for collectors.
+func (r *region) usesCollectors() bool { return len(r.peers) > directPeers }
 
-// collects tells whether this VM is its zone's collector.
-func (r *region) collects(now time.Time) bool {
-	return r.collected() && r.collector(r.self.Zone, now).Name == r.self.Name
+// isCollector reports whether this VM is its zone's collector.
+func (r *region) isCollector(now time.Time) bool {
+	return r.usesCollectors() && r.collector(r.self.Zone, now).Name == r.self.Name
 }
 
-// scope is whose work a message tells.
-type scope int
+// loadScope is the set of VMs whose work a message covers.
+type loadScope int
 
 const (
-	// ofVM is a VM's own work.
-	ofVM scope = iota
-	// ofZone is that of all VMs of a zone.
-	ofZone
-	// ofRegion is that of all VMs of the region.
-	ofRegion
+	// scopeVM is a single VM.
+	scopeVM loadScope = iota
+	// scopeZone is all VMs of a zone.
+	scopeZone
+	// scopeRegion is all VMs of the region.
+	scopeRegion
 )
 
-// message is one report for some peers.
+// message is a report and its recipients.
 type message struct {
 	report Report
-	of     scope
+	scope  loadScope
 	to     []Peer
 }
 
-// messages returns what to tell now, given the VM's own report.
-func (r *region) messages(now time.Time, own Report) []message {
+// messages returns the messages to send now, given the local report.
+func (r *region) messages(now time.Time, local Report) []message {
 	switch {
-	case !r.collected():
-		return []message{{report: own, of: ofVM, to: r.peers}}
-	case !r.collects(now):
-		return []message{{report: own, of: ofVM, to: []Peer{r.collector(r.self.Zone, now)}}}
+	case !r.usesCollectors():
+		return []message{{report: local, scope: scopeVM, to: r.peers}}
+	case !r.isCollector(now):
+		return []message{{report: local, scope: scopeVM, to: []Peer{r.collector(r.self.Zone, now)}}}
 	}
-	zone, others := r.members.sum(now, own), r.others.sum(now, Report{})
-	r.keepPlaced(zone.Placed, others.Placed)
-	list := []message{{report: zone, of: ofZone, to: r.otherCollectors(now)}}
-	if now.Before(r.nextRound) {
+	zone, otherZones := r.members.sum(now, local), r.otherZones.sum(now, Report{})
+	r.queuePlaced(zone.Placed, otherZones.Placed)
+	list := []message{{report: zone, scope: scopeZone, to: r.otherCollectors(now)}}
+	if now.Before(r.nextZoneRound) {
 		return list
 	}
-	all := zone.plus(others)
-	n := min(len(r.placed), placedRound)
-	all.Placed, r.placed = r.placed[:n:n], r.placed[n:]
-	for _, p := range r.zoneMates() {
-		list = append(list, message{report: r.members.without(all, p.Name), of: ofRegion, to: []Peer{p}})
+	all := zone.plus(otherZones)
+	n := min(len(r.pendingPlaced), maxPlacedPerRound)
+	all.Placed, r.pendingPlaced = r.pendingPlaced[:n:n], r.pendingPlaced[n:]
+	for _, p := range r.zonePeers() {
+		list = append(list, message{report: r.members.without(all, p.Name), scope: scopeRegion, to: []Peer{p}})
 	}
 	return list
 }
 
-// keepPlaced keeps prompts for the next round; the oldest are dropped.
-func (r *region) keepPlaced(lists ...[]*sharepb.Placed) {
-	r.placed = append(r.placed, slices.Concat(lists...)...)
-	r.placed = r.placed[max(0, len(r.placed)-maxPlaced):]
+// queuePlaced queues prompts for the next round; beyond maxPlaced the oldest are dropped.
+func (r *region) queuePlaced(lists ...[]*sharepb.Placed) {
+	r.pendingPlaced = append(r.pendingPlaced, slices.Concat(lists...)...)
+	r.pendingPlaced = r.pendingPlaced[max(0, len(r.pendingPlaced)-maxPlaced):]
 }
 
-// before returns the VMs of the own zone that come before this one, in the order of
-// collectors and from the collector on, at most n.
-func (r *region) before(now time.Time, n int) []Peer {
-	if !r.collected() {
+// precedingPeers returns at most n VMs of the local zone that precede this one in collector order,
+// starting with the current collector.
+func (r *region) precedingPeers(now time.Time, n int) []Peer {
+	if !r.usesCollectors() {
 		return nil
 	}
 	collector := r.collector(r.self.Zone, now).Name
@@ -163,32 +164,32 @@
 	return list
 }
 
-// elsewhere returns the collectors of the other zones, or, in a small region, the strongest of the
-// VMs that are not silent, at most n.
-func (r *region) elsewhere(now time.Time, n int) []Peer {
-	if r.collected() {
+// peersOutsideZone returns at most n VMs: the collectors of the other zones or, in a small region,
+// the responsive peers with the highest capacity.
+func (r *region) peersOutsideZone(now time.Time, n int) []Peer {
+	if r.usesCollectors() {
 		list := r.otherCollectors(now)
 		return list[:min(n, len(list))]
 	}
-	list := slices.DeleteFunc(slices.Clone(r.peers), func(p Peer) bool { return !r.alive(p.Name, now) })
-	sortByStrength(list)
+	list := slices.DeleteFunc(slices.Clone(r.peers), func(p Peer) bool { return !r.presumedAlive(p.Name, now) })
+	sortByCapacity(list)
 	return list[:min(n, len(list))]
 }
 
-// rank is the own VM's place among all: by the place in its zone, then by the zone.
+// rank returns this VM's position among all VMs: by the position within the zone, then by zone.
 func (r *region) rank() int {
-	own := slices.IndexFunc(r.zones[r.self.Zone], func(p Peer) bool { return p.Name == r.self.Name })
+	position := slices.IndexFunc(r.zones[r.self.Zone], func(p Peer) bool { return p.Name == r.self.Name })
 	rank := 0
 	for zone, list := range r.zones {
-		rank += min(len(list), own)
-		if zone < r.self.Zone && len(list) > own {
+		rank += min(len(list), position)
+		if zone < r.self.Zone && len(list) > position {
 			rank++
 		}
 	}
 	return rank
 }
 
-// otherCollectors are those of the other zones.
+// otherCollectors returns the collectors of the other zones.
 func (r *region) otherCollectors(now time.Time) []Peer {
 	var list []Peer
 	for zone := range r.zones {
@@ -199,8 +200,8 @@
 	return list
 }
 
-// zoneMates are the other VMs of the own zone.
-func (r *region) zoneMates() []Peer {
+// zonePeers returns the other VMs of the local zone.
+func (r *region) zonePeers() []Peer {
 	var list []Peer
 	for _, p := range r.zones[r.self.Zone] {
 		if p.Name != r.self.Name {
@@ -210,57 +211,57 @@
 	return list
 }
 
-// collector returns the first VM of a zone that is not silent, or its first.
+// collector returns the first responsive VM of a zone, or its first VM if none is responsive.
 func (r *region) collector(zone string, now time.Time) Peer {
 	list := r.zones[zone]
 	for _, p := range list {
-		if p.Name == r.self.Name || r.alive(p.Name, now) {
+		if p.Name == r.self.Name || r.presumedAlive(p.Name, now) {
 			return p
 		}
 	}
 	return list[0]
 }
 
-// alive tells whether a VM was heard lately, or has not been relied on for long
-// enough to say.
-func (r *region) alive(name string, now time.Time) bool {
-	if now.Sub(r.heardAt[name]) < CollectorTimeout {
+// presumedAlive reports whether a VM was seen within CollectorTimeout, or has been awaited for less
+// than that.
+func (r *region) presumedAlive(name string, now time.Time) bool {
+	if now.Sub(r.lastSeen[name]) < CollectorTimeout {
 		return true
 	}
-	since, relied := r.reliedAt[name]
-	if !relied {
-		r.reliedAt[name] = now
+	since, awaited := r.awaitedSince[name]
+	if !awaited {
+		r.awaitedSince[name] = now
 		return true
 	}
 	return now.Sub(since) < CollectorTimeout
 }
 
-// heard notes a datagram that a VM made itself.
-func (r *region) heard(now time.Time, load *sharepb.Load) {
-	r.heardAt[load.Vm] = now
-	delete(r.reliedAt, load.Vm)
-	r.hearSilence(now, load)
-	if !r.collected() || load.RegionSum {
+// record stores the contents of a datagram and when its sender was last seen.
+func (r *region) record(now time.Time, load *sharepb.Load) {
+	r.lastSeen[load.Vm] = now
+	delete(r.awaitedSince, load.Vm)
+	r.recordUnresponsive(now, load)
+	if !r.usesCollectors() || load.RegionSum {
 		return
 	}
-	switch own := load.Zone == r.self.Zone; {
-	case own && !load.ZoneSum:
-		r.members.take(now, load)
-	case !own && load.ZoneSum:
-		r.others.take(now, load)
+	switch sameZone := load.Zone == r.self.Zone; {
+	case sameZone && !load.ZoneSum:
+		r.members.record(now, load)
+	case !sameZone && load.ZoneSum:
+		r.otherZones.record(now, load)
 	}
 }
 
-// counts tells whether a load is to be taken in: every load in a small region; for a
-// collector those of its zone's VMs and the sums of the other zones; for the others their
-// collector's sum of the region, in which all else is contained.
-func (r *region) counts(now time.Time, load *sharepb.Load) bool {
-	own := load.Zone == r.self.Zone
+// accepts reports whether a load is passed on to OnLoad. A small region accepts every load. A
+// collector accepts the loads of its zone's VMs and the totals of the other zones. Other VMs accept
+// only their collector's total of the region, which contains everything else.
+func (r *region) accepts(now time.Time, load *sharepb.Load) bool {
+	sameZone := load.Zone == r.self.Zone
 	switch {
-	case !r.collected():
+	case !r.usesCollectors():
 		return true
-	case !r.collects(now):
-		return own && load.RegionSum
+	case !r.isCollector(now):
+		return sameZone && load.RegionSum
 	}
-	return !load.RegionSum && own != load.ZoneSum
+	return !load.RegionSum && sameZone != load.ZoneSum
 }
--- a/loadshare/usage.go
+++ b/loadshare/usage.go
@@ -11,34 +11,35 @@
 	"github.com/springweir/springweir/loadshare/sharepb"
 )
 
-// Usage holds what processes counted.
+// Usage holds the usage accounts of processes.
 type Usage interface {
-	// Pending returns the changes to tell in this round: the own, and, with forward, those that the
-	// other VMs of the zone have told.
+	// Due returns the changes to send in this round: those of this process and, if forward is set,
+	// those received from the other VMs of the zone.
 	Due(forward bool) []*usagepb.Account
-	// Take takes in what another VM told.
+	// Take merges an account received from another VM.
 	Take(*usagepb.Account)
 }
 
-// keepersPerZone is the number of VMs of a zone that hold its accounts: the collector and the one
-// that takes its place if it is gone.
-const keepersPerZone = 2
+// usageReplicasPerZone is the number of VMs of a zone that hold replicas of its usage accounts: the
+// collector and the VM that replaces it on failure.
+const usageReplicasPerZone = 2
 
-// UsageReplicas returns the VMs of all zones that hold accounts, but for this one.
+// UsageReplicas returns the VMs of all zones that hold replicas of usage accounts, except for this
+// one.
 func (x *Exchange) UsageReplicas() []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.region.allKeepers(clock.Now())
+	return x.region.allUsageReplicas(clock.Now())
 }
 
-// tellUsage sends one round of changes of accounts.
-func (x *Exchange) tellUsage(conn *net.UDPConn) {
+// sendUsage sends one round of account changes.
+func (x *Exchange) sendUsage(conn *net.UDPConn) {
 	if x.cfg.Usage == nil {
 		return
 	}
 	now := clock.Now()
 	x.mu.Lock()
-	forward := x.region.collects(now)
+	forward := x.region.isCollector(now)
 	x.mu.Unlock()
 	list := x.cfg.Usage.Due(forward)
 	if len(list) == 0 {
@@ -48,22 +49,22 @@
 	to := x.region.usagePeers(now)
 	loads := packAccounts(list)
 	for _, load := range loads {
-		x.address(load)
+		x.setSender(load)
 	}
 	x.mu.Unlock()
 	for _, load := range loads {
-		x.sendOne(conn, load, to)
+		x.sendLoad(conn, load, to)
 	}
 }
 
-// packAccounts puts accounts into as few datagrams as take them.
+// packAccounts packs accounts into datagrams of bounded size.
 func packAccounts(list []*usagepb.Account) []*sharepb.Load {
 	var loads []*sharepb.Load
 	size := maxDatagram
 	for _, a := range list {
-		n := proto.Size(a) + fieldHead
+		n := proto.Size(a) + fieldOverhead
 		if size+n > maxDatagram {
-			loads, size = append(loads, &sharepb.Load{NoWork: true}), loadHead
+			loads, size = append(loads, &sharepb.Load{NoWork: true}), loadOverhead
 		}
 		last := loads[len(loads)-1]
 		last.Accounts = append(last.Accounts, a)
@@ -72,7 +73,7 @@
 	return loads
 }
 
-func (x *Exchange) takeUsage(load *sharepb.Load) {
+func (x *Exchange) handleUsage(load *sharepb.Load) {
 	if x.cfg.Usage == nil {
 		return
 	}
@@ -81,33 +82,35 @@
 	}
 }
 
-// usagePeers are the VMs to tell of accounts: in a small region the keepers of all zones, in a large
-// one those of the own zone, which pass it on to the collectors of the others.
+// usagePeers returns the recipients of account changes: in a small region the replicas of all
+// zones, in a large one those of the local zone, whose collector forwards the changes to the other
+// collectors.
 func (r *region) usagePeers(now time.Time) []Peer {
 	switch {
-	case !r.collected():
-		return r.allKeepers(now)
-	case r.collects(now):
-		return append(r.keepers(r.self.Zone, now), r.otherCollectors(now)...)
+	case !r.usesCollectors():
+		return r.allUsageReplicas(now)
+	case r.isCollector(now):
+		return append(r.usageReplicas(r.self.Zone, now), r.otherCollectors(now)...)
 	}
-	return r.keepers(r.self.Zone, now)
+	return r.usageReplicas(r.self.Zone, now)
 }
 
-func (r *region) allKeepers(now time.Time) []Peer {
+func (r *region) allUsageReplicas(now time.Time) []Peer {
 	var list []Peer
 	for zone := range r.zones {
-		list = append(list, r.keepers(zone, now)...)
+		list = append(list, r.usageReplicas(zone, now)...)
 	}
 	return list
 }
 
-// keepers are the collector of a zone and those that come after it, but for the own VM.
-func (r *region) keepers(zone string, now time.Time) []Peer {
+// usageReplicas returns the VMs of a zone that hold replicas, except for this VM: the collector and
+// the VM after it in collector order.
+func (r *region) usageReplicas(zone string, now time.Time) []Peer {
 	collector := r.collector(zone, now).Name
 	var list []Peer
 	n := 0
 	for _, p := range r.zones[zone] {
-		if n == keepersPerZone || n == 0 && p.Name != collector {
+		if n == usageReplicasPerZone || n == 0 && p.Name != collector {
 			continue
 		}
 		if n++; p.Name != r.self.Name {
