--- a/controller/picture.go
+++ b/controller/picture.go
@@ -57,11 +57,11 @@
 			continue
 		}
 		list = append(list, roles.Engine{
-			Name:      e.Name,
-			Role:      engine.Role(e.Role),
-			Away:      away[e.Name] || e.Withheld,
-			Unusable:  e.Leaving || e.Ejected || !e.Known,
-			ReportAge: time.Duration(e.AgeMs) * time.Millisecond,
+			Name:        e.Name,
+			Role:        engine.Role(e.Role),
+			Unavailable: away[e.Name] || e.Withheld,
+			Unusable:    e.Leaving || e.Ejected || !e.Known,
+			ReportAge:   time.Duration(e.AgeMs) * time.Millisecond,
 			Load: engine.Load{
 				Waiting: int(e.Waiting), Running: int(e.Running),
 				WaitingTokens: int(e.WaitingTokens), DecodeTokens: int(e.DecodeTokens),
--- a/entry/demand.go
+++ b/entry/demand.go
@@ -59,7 +59,7 @@
 func (x *expectations) output(w *forward.Work) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.meter(x.poolOf(w.Model)).Expected(w.PromptTokens, w.Priority, w.MaxTokens)
+	return x.meter(x.poolOf(w.Model)).ExpectedOutput(w.PromptTokens, w.Priority, w.MaxTokens)
 }
 
 // arrived counts a request for a in the demand, whether or not it is admitted.
@@ -75,8 +75,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	meter := x.meter(x.poolOf(w.Model))
-	sample.Output = meter.Expected(w.PromptTokens, w.Priority, w.MaxTokens)
-	meter.Arrived(x.now(), sample)
+	sample.Output = meter.ExpectedOutput(w.PromptTokens, w.Priority, w.MaxTokens)
+	meter.RecordArrival(x.now(), sample)
 	if _, known := x.asked[a]; known || len(x.asked) < maxAsked {
 		x.asked[a]++
 	}
@@ -109,7 +109,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.meter(x.poolOf(w.Model)).Finished(w.PromptTokens, w.Priority, w.ResumeFrom+tokens)
+	x.meter(x.poolOf(w.Model)).RecordOutput(w.PromptTokens, w.Priority, w.ResumeFrom+tokens)
 }
 
 // demand is what this entry was lately asked for of a pool.
--- a/roles/history.go
+++ b/roles/history.go
@@ -41,7 +41,7 @@
 	// Wanted is the shape that was better in the last round, and WantedSince
 	// is when it first was. Wanting is false when none was.
 	Wanting     bool
-	Wanted      Shape
+	Wanted      RoleCounts
 	WantedSince time.Duration
 }
 
@@ -87,7 +87,7 @@
 		for _, m := range h.Changes {
 			if m.Engine == out[i].Name && m.To != out[i].Role && now-m.At < s.Settle {
 				out[i].Role = m.To
-				out[i].Away = true
+				out[i].Unavailable = true
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 // refill adds the tokens gained since the last round.
 func (h History) refill(now time.Duration, s Settings) History {
 	if now > h.TokensAt {
-		h.Tokens += float64(now-h.TokensAt) / float64(s.BudgetEvery)
+		h.Tokens += float64(now-h.TokensAt) / float64(s.BudgetInterval)
 		h.TokensAt = now
 	}
 	if limit := float64(s.BudgetBurst); h.Tokens > limit {
@@ -108,7 +108,7 @@
 
 // want notes that shape t is wanted at now and returns since when it, or a
 // shape that asks for the same kind of move, has been.
-func (h History) want(now time.Duration, current, t Shape) History {
+func (h History) want(now time.Duration, current, t RoleCounts) History {
 	if h.Wanting && sameDirection(current, h.Wanted, t) {
 		h.Wanted = t
 		return h
--- a/roles/meter.go
+++ b/roles/meter.go
@@ -66,8 +66,8 @@
 	return &Meter{began: now, last: now, window: window}
 }
 
-// Arrived counts a request, whether or not it was admitted.
-func (m *Meter) Arrived(now time.Duration, s Sample) {
+// RecordArrival counts a request, whether or not it was admitted.
+func (m *Meter) RecordArrival(now time.Duration, s Sample) {
 	m.decay(now)
 	at := &m.sums[classOf(s.Prompt, s.Priority)]
 	at.requests++
@@ -76,16 +76,16 @@
 	at.deadline += s.Deadline.Seconds()
 }
 
-// Finished takes in the length of an answer.
-func (m *Meter) Finished(prompt int, p engine.Priority, output int) {
+// RecordOutput takes in the length of an answer.
+func (m *Meter) RecordOutput(prompt int, p engine.Priority, output int) {
 	at := &m.outputs[classOf(prompt, p)]
 	at.weight = math.Min(at.weight+1, outputMemory)
 	at.value += (float64(output) - at.value) / at.weight
 }
 
-// Expected returns the expected length of an answer to a prompt when the
+// ExpectedOutput returns the expected length of an answer to a prompt when the
 // caller allows most tokens.
-func (m *Meter) Expected(prompt int, p engine.Priority, most int) int {
+func (m *Meter) ExpectedOutput(prompt int, p engine.Priority, most int) int {
 	at := m.outputs[classOf(prompt, p)]
 	if at.weight == 0 {
 		return (most + 1) / 2
--- a/roles/meter_test.go
+++ b/roles/meter_test.go
@@ -18,9 +18,9 @@
 	letter := Sample{Prompt: 6000, Cached: 1000, Output: 200, Deadline: 20 * time.Second, Priority: engine.Standard}
 	question := Sample{Prompt: 100, Output: 80, Deadline: 5 * time.Second}
 	for at := 100 * time.Millisecond; at <= 200*time.Second; at += 100 * time.Millisecond {
-		m.Arrived(at, question)
+		m.RecordArrival(at, question)
 		if at%time.Second == 0 {
-			m.Arrived(at, letter)
+			m.RecordArrival(at, letter)
 		}
 		if at != 10*time.Second && at != 200*time.Second {
 			continue
@@ -49,17 +49,17 @@
 
 func TestMeterExpectsUsualLength(t *testing.T) {
 	m := NewMeter(0, time.Second)
-	if got := m.Expected(100, engine.Interactive, 200); got != 100 {
+	if got := m.ExpectedOutput(100, engine.Interactive, 200); got != 100 {
 		t.Errorf("without answers: %d, want half of what is allowed", got)
 	}
 	for range 10 {
-		m.Finished(100, engine.Interactive, 30)
-		m.Finished(9000, engine.Standard, 400)
+		m.RecordOutput(100, engine.Interactive, 30)
+		m.RecordOutput(9000, engine.Standard, 400)
 	}
-	if got := m.Expected(120, engine.Interactive, 200); got != 30 {
+	if got := m.ExpectedOutput(120, engine.Interactive, 200); got != 30 {
 		t.Errorf("got %d, want 30", got)
 	}
-	if got := m.Expected(8000, engine.Standard, 300); got != 300 {
+	if got := m.ExpectedOutput(8000, engine.Standard, 300); got != 300 {
 		t.Errorf("got %d, want no more than the 300 allowed", got)
 	}
 }
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -31,7 +31,7 @@
 		return d, h.forget()
 	}
 	h = h.want(now, current, d.Target)
-	if now-h.WantedSince < set.Persist {
+	if now-h.WantedSince < set.StabilizationWindow {
 		d.Reason = NotPersistent
 		return d, h
 	}
@@ -62,7 +62,7 @@
 func freshReports(engines []Engine, set Settings) bool {
 	usable, fresh := 0, 0
 	for _, e := range engines {
-		if e.Unusable || e.Away {
+		if e.Unusable || e.Unavailable {
 			continue
 		}
 		usable++
@@ -115,7 +115,7 @@
 
 // value is the predicted goodput of s, for the demand of now and for that
 // remembered. What is not remembered yet counts as the demand of now.
-func (v valuer) value(s Shape) float64 {
+func (v valuer) value(s RoleCounts) float64 {
 	now := Predict(s, v.classes, v.set.Costs)
 	if v.set.MemoryShare == 0 || len(v.past) == 0 {
 		return now
@@ -129,7 +129,7 @@
 }
 
 // weigh picks the best shape by gain less cost, all in seconds of full goodput.
-func (v valuer) weigh(current Shape) Decision {
+func (v valuer) weigh(current RoleCounts) Decision {
 	now := v.value(current)
 	best := Decision{Reason: BestAlready, Current: current, Target: current, Now: now, Then: now}
 	net := 0.0
@@ -148,7 +148,7 @@
 }
 
 // compare weighs going from current to t.
-func (v valuer) compare(current, t Shape, now float64) Decision {
+func (v valuer) compare(current, t RoleCounts, now float64) Decision {
 	w := v.set.Weights
 	then := v.value(t)
 	n := current.changesTo(t)
@@ -165,7 +165,7 @@
 }
 
 // without returns current less one engine of a role that t has fewer of.
-func without(current, t Shape) Shape {
+func without(current, t RoleCounts) RoleCounts {
 	for _, r := range allRoles {
 		if t.count(r) < current.count(r) {
 			return current.add(r, -1)
@@ -177,7 +177,7 @@
 // bounded turns the target into changes, within the bounds. When a bound
 // holds one engine back the next of its role is tried. It names the bound that
 // left no change.
-func bounded(engines []Engine, current, target Shape, now time.Duration, set Settings, h History) ([]Change, Reason) {
+func bounded(engines []Engine, current, target RoleCounts, now time.Duration, set Settings, h History) ([]Change, Reason) {
 	b := newBounds(engines, current, now, set, h)
 	reason := MinimumStay
 	var out []Change
@@ -203,11 +203,11 @@
 }
 
 // newBounds returns the bounds before any change is picked.
-func newBounds(engines []Engine, current Shape, now time.Duration, set Settings, h History) *bounds {
+func newBounds(engines []Engine, current RoleCounts, now time.Duration, set Settings, h History) *bounds {
 	b := &bounds{set: set, h: h, now: now, serving: serving(engines)}
-	b.room = set.MaxAway * stepOf(current.Size())
+	b.room = set.MaxUnavailable * stepOf(current.Size())
 	for _, e := range engines {
-		if e.Away && !e.Unusable {
+		if e.Unavailable && !e.Unusable {
 			b.room--
 		}
 	}
@@ -220,7 +220,7 @@
 	h       History
 	now     time.Duration
 	room    int
-	serving Shape
+	serving RoleCounts
 }
 
 // allow takes c if every bound has room for it.
@@ -243,10 +243,10 @@
 }
 
 // serving counts the usable engines that are not away.
-func serving(engines []Engine) Shape {
-	var s Shape
+func serving(engines []Engine) RoleCounts {
+	var s RoleCounts
 	for _, e := range engines {
-		if !e.Unusable && !e.Away {
+		if !e.Unusable && !e.Unavailable {
 			s = s.add(e.Role, 1)
 		}
 	}
@@ -254,7 +254,7 @@
 }
 
 // wanted returns a role of which target has more than current.
-func wanted(current, target Shape) (engine.Role, bool) {
+func wanted(current, target RoleCounts) (engine.Role, bool) {
 	for _, r := range allRoles {
 		if target.count(r) > current.count(r) {
 			return r, true
@@ -268,7 +268,7 @@
 func movable(engines []Engine, role engine.Role) []Engine {
 	var out []Engine
 	for _, e := range engines {
-		if e.Role == role && !e.Away && !e.Unusable {
+		if e.Role == role && !e.Unavailable && !e.Unusable {
 			out = append(out, e)
 		}
 	}
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -34,12 +34,12 @@
 func ripe(set Settings) History {
 	return History{
 		Tokens: float64(set.BudgetBurst), TokensAt: testNow,
-		Wanting: true, Wanted: Shape{Prefill: 1, Mixed: 3}, WantedSince: testNow - time.Minute,
+		Wanting: true, Wanted: RoleCounts{Prefill: 1, Mixed: 3}, WantedSince: testNow - time.Minute,
 	}
 }
 
 func TestPlanReasons(t *testing.T) {
-	set := Defaults(Kliko)
+	set := Defaults(FavourGoodput)
 	tests := []struct {
 		name    string
 		snap    func(*Snapshot)
@@ -63,15 +63,15 @@
 		{name: "change weighs too much", set: func(s *Settings) { s.Weights.Change = 1000 }, want: GainTooSmall},
 		{name: "not persistent", history: func(h *History) { h.WantedSince = testNow }, want: NotPersistent},
 		{name: "wanted the opposite before", history: func(h *History) {
-			h.Wanted = Shape{Mixed: 4}
+			h.Wanted = RoleCounts{Mixed: 4}
 		}, want: NotPersistent},
 		{name: "budget spent", history: func(h *History) { h.Tokens = 0.5 }, want: BudgetSpent},
 		{name: "minimum stay", history: func(h *History) { h.Began = testNow - time.Second }, want: MinimumStay},
 		{name: "one stayed", history: func(h *History) {
 			h.Changes = []Made{{"a", engine.Mixed, testNow}, {"b", engine.Mixed, testNow}, {"c", engine.Mixed, testNow}}
 		}, want: Gain, changes: 1},
-		{name: "one away", snap: func(s *Snapshot) { s.Engines[3].Away = true }, want: TooManyAway},
-		{name: "floor", set: func(s *Settings) { s.FloorPrefill = 4; s.MaxAway = 2 }, want: BelowFloor},
+		{name: "one away", snap: func(s *Snapshot) { s.Engines[3].Unavailable = true }, want: TooManyAway},
+		{name: "floor", set: func(s *Settings) { s.FloorPrefill = 4; s.MaxUnavailable = 2 }, want: BelowFloor},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -96,11 +96,11 @@
 // TestServingFloor shows that an engine is not taken away while another is
 // and the floor would be broken for that time.
 func TestServingFloor(t *testing.T) {
-	set := Defaults(Kliko)
-	set.MaxAway = 4
+	set := Defaults(FavourGoodput)
+	set.MaxUnavailable = 4
 	set.FloorDecode = 2
 	snap := fourMixed()
-	snap.Engines[2].Away, snap.Engines[3].Away = true, true
+	snap.Engines[2].Unavailable, snap.Engines[3].Unavailable = true, true
 	d, _ := Plan(snap, testNow, set, ripe(set))
 	if d.Reason != BelowFloor || d.Changes != nil {
 		t.Errorf("got %+v, want none for %s", d, BelowFloor)
@@ -110,21 +110,21 @@
 // TestRoleNotYetReported shows that a change which is done but not yet
 // reported is reckoned with: the last decode engine is not taken.
 func TestRoleNotYetReported(t *testing.T) {
-	set := Defaults(Kliko)
+	set := Defaults(FavourGoodput)
 	set.FloorDecode = 1
 	snap := zoneOf(engine.Prefill, engine.Prefill, engine.Decode, engine.Decode)
 	h := ripe(set)
-	h.Wanted = Shape{Prefill: 2, Decode: 1, Mixed: 1}
+	h.Wanted = RoleCounts{Prefill: 2, Decode: 1, Mixed: 1}
 	if d, _ := Plan(snap, testNow, set, h); len(d.Changes) == 0 {
 		t.Fatalf("no change wanted: the test shows nothing: %+v", d)
 	}
 	h.Changes = []Made{{"c", engine.Mixed, testNow - 10*time.Second}}
 	d, _ := Plan(snap, testNow, set, h)
-	if want := (Shape{Prefill: 2, Decode: 1, Mixed: 1}); d.Current != want || len(d.Changes) != 0 {
+	if want := (RoleCounts{Prefill: 2, Decode: 1, Mixed: 1}); d.Current != want || len(d.Changes) != 0 {
 		t.Errorf("got %+v, want no change from %v", d, want)
 	}
 	h.Changes[0].At = testNow - 2*set.Settle
-	if d, _ := Plan(snap, testNow, set, h); d.Current != (Shape{Prefill: 2, Decode: 2}) {
+	if d, _ := Plan(snap, testNow, set, h); d.Current != (RoleCounts{Prefill: 2, Decode: 2}) {
 		t.Errorf("a change that failed long ago still counts: %+v", d)
 	}
 }
@@ -132,7 +132,7 @@
 // TestChangesWithinBudget runs the planner for twenty minutes of demand that flips
 // every two minutes and checks the bounds after the fact.
 func TestChangesWithinBudget(t *testing.T) {
-	for _, set := range []Settings{Defaults(Kliko), Defaults(Szallashalo)} {
+	for _, set := range []Settings{Defaults(FavourGoodput), Defaults(FavourStability)} {
 		h := NewHistory(0)
 		snap := fourMixed()
 		var made []Made
@@ -164,29 +164,29 @@
 			t.Errorf("%s changed at %v and %v", m.Engine, before, m.At)
 		}
 		last[m.Engine] = m.At
-		if m.At < set.BudgetEvery*time.Duration(i+1) {
+		if m.At < set.BudgetInterval*time.Duration(i+1) {
 			t.Errorf("change %d at %v is over the budget", i+1, m.At)
 		}
 	}
 }
 
 func TestPredictPrefersFittingShapes(t *testing.T) {
-	c := Defaults(Kliko).Costs
-	split := Predict(Shape{Prefill: 3, Decode: 1}, letters, c)
-	wrong := Predict(Shape{Prefill: 1, Decode: 3}, letters, c)
+	c := Defaults(FavourGoodput).Costs
+	split := Predict(RoleCounts{Prefill: 3, Decode: 1}, letters, c)
+	wrong := Predict(RoleCounts{Prefill: 1, Decode: 3}, letters, c)
 	if split <= wrong {
 		t.Errorf("prefill-heavy demand: 3p/1d predicts %.3f, 1p/3d %.3f", split, wrong)
 	}
-	if none := Predict(Shape{Prefill: 4}, letters, c); none != 0 {
+	if none := Predict(RoleCounts{Prefill: 4}, letters, c); none != 0 {
 		t.Errorf("without decode got %.3f, want 0", none)
 	}
 }
 
 func TestCandidatesKeepFloors(t *testing.T) {
-	set := Defaults(Kliko)
+	set := Defaults(FavourGoodput)
 	set.FloorDecode = 1
-	got := candidates(Shape{Prefill: 1, Decode: 1}, set)
-	want := []Shape{{Decode: 1, Mixed: 1}, {Prefill: 1, Mixed: 1}, {Mixed: 2}}
+	got := candidates(RoleCounts{Prefill: 1, Decode: 1}, set)
+	want := []RoleCounts{{Decode: 1, Mixed: 1}, {Prefill: 1, Mixed: 1}, {Mixed: 2}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -198,7 +198,7 @@
 		for i := range roles {
 			roles[i] = engine.Mixed
 		}
-		snap, set := zoneOf(roles...), Defaults(Kliko)
+		snap, set := zoneOf(roles...), Defaults(FavourGoodput)
 		b.Run(ShapeOf(snap.Engines).String(), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/roles/predict.go
+++ b/roles/predict.go
@@ -21,7 +21,7 @@
 // the cheapest requests first, and each quantum takes the path through the
 // engines that is fastest given those placed before it. A quantum that no path
 // has room for is taken as refused. The goodput is then read off the final load.
-func Predict(s Shape, classes []Class, c costs.Engine) float64 {
+func Predict(s RoleCounts, classes []Class, c costs.Engine) float64 {
 	sum := 0.0
 	for _, level := range levels {
 		sum += predictAt(level, s, classes, c)
@@ -30,7 +30,7 @@
 }
 
 // predictAt predicts for a multiple of the demand.
-func predictAt(level float64, s Shape, classes []Class, c costs.Engine) float64 {
+func predictAt(level float64, s RoleCounts, classes []Class, c costs.Engine) float64 {
 	f := fluid{shape: s, c: c, level: level}
 	rate, good := 0.0, 0.0
 	for _, k := range classes {
@@ -83,7 +83,7 @@
 // fluid is a shape with the load placed on it so far.
 type fluid struct {
 	level                  float64
-	shape                  Shape
+	shape                  RoleCounts
 	c                      costs.Engine
 	prefill, decode, mixed group
 }
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -20,8 +20,8 @@
 	Name string
 	// Role is the role that the engine itself reports.
 	Role engine.Role
-	// Away is set while the engine carries out an order or is withheld for one.
-	Away bool
+	// Unavailable is set while the engine carries out an order or is withheld for one.
+	Unavailable bool
 	// Unusable is set when the engine is leaving, withdrawn, ejected or unreachable.
 	Unusable bool
 	// ReportAge is the age of the newest load report.
@@ -110,7 +110,7 @@
 	// Reason explains the changes, or why there are none.
 	Reason Reason
 	// Current and Target are the shapes weighed.
-	Current, Target Shape
+	Current, Target RoleCounts
 	// Now and Then are the predicted goodputs (0..1) of the two.
 	Now, Then float64
 	// Benefit and Cost are in seconds of full goodput.
--- a/roles/settings.go
+++ b/roles/settings.go
@@ -14,11 +14,11 @@
 	Change float64
 }
 
-// Kliko and Szallashalo are the weights of the two deployments: the first
+// FavourGoodput and FavourStability are the weights of the two deployments: the first
 // weighs goodput more, the second the number of role changes.
 var (
-	Kliko       = Weights{Goodput: 1, Change: 0.5}
-	Szallashalo = Weights{Goodput: 1, Change: 10}
+	FavourGoodput   = Weights{Goodput: 1, Change: 0.5}
+	FavourStability = Weights{Goodput: 1, Change: 10}
 )
 
 // Settings bound the planner.
@@ -33,16 +33,16 @@
 	Settle time.Duration
 	// Horizon is how long a mix is expected to last.
 	Horizon time.Duration
-	// Persist is how long a better shape must stay better before it is taken.
-	Persist time.Duration
+	// StabilizationWindow is how long a better shape must stay better before it is taken.
+	StabilizationWindow time.Duration
 	// MinimumStay is how long an engine keeps a role.
 	MinimumStay time.Duration
-	// BudgetBurst and BudgetEvery bound the changes: a token bucket that
-	// holds BudgetBurst and gains one each BudgetEvery.
-	BudgetBurst int
-	BudgetEvery time.Duration
-	// MaxAway is the number of engines that may be away at once.
-	MaxAway int
+	// BudgetBurst and BudgetInterval bound the changes: a token bucket that
+	// holds BudgetBurst and gains one each BudgetInterval.
+	BudgetBurst    int
+	BudgetInterval time.Duration
+	// MaxUnavailable is the number of engines that may be away at once.
+	MaxUnavailable int
 	// FloorPrefill and FloorDecode are the numbers of usable engines that
 	// must always be able to prefill and to decode.
 	FloorPrefill, FloorDecode int
@@ -70,24 +70,24 @@
 // Defaults returns the settings for weights w.
 func Defaults(w Weights) Settings {
 	return Settings{
-		Weights:      w,
-		Costs:        costs.Defaults(),
-		ChangeTime:   8 * time.Second,
-		Settle:       60 * time.Second,
-		Horizon:      120 * time.Second,
-		Persist:      5 * time.Second,
-		MinimumStay:  30 * time.Second,
-		BudgetBurst:  2,
-		BudgetEvery:  30 * time.Second,
-		MaxAway:      1,
-		FloorPrefill: 1,
-		FloorDecode:  2,
-		MaxReportAge: 5 * time.Second,
-		MaxDemandAge: 5 * time.Second,
-		MinFresh:     0.75,
-		Warmup:       15 * time.Second,
-		Drain:        30 * time.Second,
-		Memory:       5 * time.Minute,
-		MemoryShare:  w.Change / (w.Change + memoryHalf),
+		Weights:             w,
+		Costs:               costs.Defaults(),
+		ChangeTime:          8 * time.Second,
+		Settle:              60 * time.Second,
+		Horizon:             120 * time.Second,
+		StabilizationWindow: 5 * time.Second,
+		MinimumStay:         30 * time.Second,
+		BudgetBurst:         2,
+		BudgetInterval:      30 * time.Second,
+		MaxUnavailable:      1,
+		FloorPrefill:        1,
+		FloorDecode:         2,
+		MaxReportAge:        5 * time.Second,
+		MaxDemandAge:        5 * time.Second,
+		MinFresh:            0.75,
+		Warmup:              15 * time.Second,
+		Drain:               30 * time.Second,
+		Memory:              5 * time.Minute,
+		MemoryShare:         w.Change / (w.Change + memoryHalf),
 	}
 }
--- a/roles/shape.go
+++ b/roles/shape.go
@@ -6,23 +6,23 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// Shape counts the engines of a zone by role.
-type Shape struct {
+// RoleCounts counts the engines of a zone by role.
+type RoleCounts struct {
 	Prefill, Decode, Mixed int
 }
 
 // String returns the counts, as in 1p/2d/1m.
-func (s Shape) String() string {
+func (s RoleCounts) String() string {
 	return fmt.Sprintf("%dp/%dd/%dm", s.Prefill, s.Decode, s.Mixed)
 }
 
 // Size returns the number of engines.
-func (s Shape) Size() int { return s.Prefill + s.Decode + s.Mixed }
+func (s RoleCounts) Size() int { return s.Prefill + s.Decode + s.Mixed }
 
 // ShapeOf counts the usable engines by the role they have, or, when they are
 // away, the role they had.
-func ShapeOf(engines []Engine) Shape {
-	var s Shape
+func ShapeOf(engines []Engine) RoleCounts {
+	var s RoleCounts
 	for _, e := range engines {
 		if !e.Unusable {
 			s = s.add(e.Role, 1)
@@ -32,7 +32,7 @@
 }
 
 // add returns the shape with n more engines of role r.
-func (s Shape) add(r engine.Role, n int) Shape {
+func (s RoleCounts) add(r engine.Role, n int) RoleCounts {
 	switch r {
 	case engine.Prefill:
 		s.Prefill += n
@@ -45,7 +45,7 @@
 }
 
 // count returns the number of engines of role r.
-func (s Shape) count(r engine.Role) int {
+func (s RoleCounts) count(r engine.Role) int {
 	switch r {
 	case engine.Prefill:
 		return s.Prefill
@@ -58,7 +58,7 @@
 
 // changesTo returns the least number of role changes that lead to t, a shape
 // of the same size.
-func (s Shape) changesTo(t Shape) int {
+func (s RoleCounts) changesTo(t RoleCounts) int {
 	n := 0
 	for _, r := range allRoles {
 		if d := t.count(r) - s.count(r); d > 0 {
@@ -69,7 +69,7 @@
 }
 
 // keepsFloors tells whether the shape can prefill and decode as the floors ask.
-func (s Shape) keepsFloors(set Settings) bool {
+func (s RoleCounts) keepsFloors(set Settings) bool {
 	return s.Prefill+s.Mixed >= set.FloorPrefill && s.Decode+s.Mixed >= set.FloorDecode
 }
 
@@ -77,7 +77,7 @@
 
 // sameDirection tells whether going from current to a and to b asks for at
 // least one move in common: a role that both shrink and a role that both grow.
-func sameDirection(current, a, b Shape) bool {
+func sameDirection(current, a, b RoleCounts) bool {
 	shrinks, grows := false, false
 	for _, r := range allRoles {
 		da := a.count(r) - current.count(r)
@@ -101,12 +101,12 @@
 
 // candidates returns the shapes within maxMoves steps of s that keep the
 // floors, s itself excluded.
-func candidates(s Shape, set Settings) []Shape {
-	seen := map[Shape]bool{s: true}
-	frontier := []Shape{s}
-	var all []Shape
+func candidates(s RoleCounts, set Settings) []RoleCounts {
+	seen := map[RoleCounts]bool{s: true}
+	frontier := []RoleCounts{s}
+	var all []RoleCounts
 	for range maxMoves {
-		var next []Shape
+		var next []RoleCounts
 		for _, from := range frontier {
 			next = append(next, neighbours(from, seen, set)...)
 		}
@@ -117,9 +117,9 @@
 }
 
 // neighbours returns the unseen shapes one step from s.
-func neighbours(s Shape, seen map[Shape]bool, set Settings) []Shape {
+func neighbours(s RoleCounts, seen map[RoleCounts]bool, set Settings) []RoleCounts {
 	step := stepOf(s.Size())
-	var out []Shape
+	var out []RoleCounts
 	for _, from := range allRoles {
 		for _, to := range allRoles {
 			n := min(step, s.count(from))
--- a/settings/tuning/tuning.go
+++ b/settings/tuning/tuning.go
@@ -106,8 +106,8 @@
 	s.ChangeTime = r.ChangeTime
 	s.MinimumStay = r.MinimumStay
 	s.BudgetBurst = r.ChangeBurst
-	s.BudgetEvery = time.Duration(float64(time.Second) / r.ChangeBudget)
-	s.MaxAway = r.MaxAway
+	s.BudgetInterval = time.Duration(float64(time.Second) / r.ChangeBudget)
+	s.MaxUnavailable = r.MaxAway
 	s.FloorPrefill = r.FloorPrefill
 	s.FloorDecode = r.FloorDecode
 	s.MaxReportAge = r.ReportAgeLimit
--- a/settings/tuning/tuning_test.go
+++ b/settings/tuning/tuning_test.go
@@ -89,7 +89,7 @@
 		{"organisation's queue", 9, Admission(s.Queues).MaxPerOrganisation},
 		{"batch share", 9.0, Admission(s.Queues).ClassWeights[engine.Batch]},
 		{"spill age", 9 * time.Second, Spill(s.Spill).MaxAge},
-		{"budget every", 10 * time.Second, Roles(s.Roles).BudgetEvery},
+		{"budget every", 10 * time.Second, Roles(s.Roles).BudgetInterval},
 		{"step", 9 * time.Microsecond, Roles(s.Roles).Costs.StepPerSequence},
 		{"organisation", admission.OrganisationLimit{TokensPerSecond: 1, Concurrent: 9}, Organisation(organisation)},
 		{"priority", []engine.Priority{engine.Interactive, engine.Standard, engine.Batch}, []engine.Priority{Priority("interactive"), Priority("standard"), Priority("batch")}},
--- a/simulate/planner.go
+++ b/simulate/planner.go
@@ -25,12 +25,12 @@
 	snap := roles.Snapshot{PlatformLost: s.cut[zone]}
 	for _, e := range z.entries[0].store.Snapshot().Endpoints() {
 		snap.Engines = append(snap.Engines, roles.Engine{
-			Name:      e.Name,
-			Role:      e.Role,
-			Away:      e.Withheld,
-			Unusable:  !e.Known || e.SelfLeaving || e.Leaving || !e.Health.Usable(s.now),
-			ReportAge: e.Age(s.now),
-			Load:      e.Load,
+			Name:        e.Name,
+			Role:        e.Role,
+			Unavailable: e.Withheld,
+			Unusable:    !e.Known || e.SelfLeaving || e.Leaving || !e.Health.Usable(s.now),
+			ReportAge:   e.Age(s.now),
+			Load:        e.Load,
 		})
 	}
 	var parts []roles.Demand
--- a/simulate/simulate_test.go
+++ b/simulate/simulate_test.go
@@ -61,8 +61,8 @@
 // TestNoChangeWithoutReports freezes all reports while the roles are badly
 // wrong and checks that the planner waits.
 func TestNoChangeWithoutReports(t *testing.T) {
-	set := roles.Defaults(roles.Kliko)
-	set.Warmup, set.Persist, set.MinimumStay, set.BudgetEvery = 0, 0, 0, time.Second
+	set := roles.Defaults(roles.FavourGoodput)
+	set.Warmup, set.StabilizationWindow, set.MinimumStay, set.BudgetInterval = 0, 0, 0, time.Second
 	trace := short(t, "kliko-morning")
 	changes := func(faults []Fault) int {
 		trace.Faults = faults
--- a/simulate/springweir.go
+++ b/simulate/springweir.go
@@ -107,7 +107,7 @@
 // arrive counts the request in the demand.
 func (p *springweir) arrive(s *sim, r *running) {
 	vm := p.entry(r)
-	vm.meter.Arrived(s.now, roles.Sample{
+	vm.meter.RecordArrival(s.now, roles.Sample{
 		Prompt:   r.Prompt,
 		Cached:   p.cached(vm, r),
 		Output:   p.expected(vm, r),
@@ -131,7 +131,7 @@
 	if p.variant.exact {
 		return r.Output
 	}
-	return vm.meter.Expected(r.Prompt, r.Priority, r.MaxTokens)
+	return vm.meter.ExpectedOutput(r.Prompt, r.Priority, r.MaxTokens)
 }
 
 func (s *sim) named(name string) *node {
@@ -189,7 +189,7 @@
 		p.unhold(s, j.run)
 	}
 	if how == finished {
-		vm.meter.Finished(j.run.Prompt, j.run.Priority, j.run.Output)
+		vm.meter.RecordOutput(j.run.Prompt, j.run.Priority, j.run.Output)
 	}
 }
 
--- a/simulate/suite.go
+++ b/simulate/suite.go
@@ -47,8 +47,8 @@
 		simple("least-load", 0, 0, newLeastLoad),
 		simple("static-split", startPrefill, startDecode, newSplit),
 		simple("threshold", startPrefill, startDecode, newThreshold),
-		ours("springweir-kliko", roles.Kliko),
-		ours("springweir-szallashalo", roles.Szallashalo),
+		ours("springweir-kliko", roles.FavourGoodput),
+		ours("springweir-szallashalo", roles.FavourStability),
 	}
 }
 
@@ -156,7 +156,7 @@
 		}
 		if best.Split == "" || results[i].Goodput > best.Result.Goodput {
 			best.Result = results[i]
-			best.Split = roles.Shape{Prefill: c.prefill, Decode: c.decode, Mixed: enginesPerZone - c.prefill - c.decode}.String()
+			best.Split = roles.RoleCounts{Prefill: c.prefill, Decode: c.decode, Mixed: enginesPerZone - c.prefill - c.decode}.String()
 		}
 	}
 	return append(out, best)
