--- a/roles/history.go
+++ b/roles/history.go
@@ -6,48 +6,48 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// Made is a change that was ordered.
-type Made struct {
+// PastChange is a change that was ordered.
+type PastChange struct {
 	Engine string
 	To     engine.Role
 	At     time.Duration
 }
 
-// Remembered is the demand at a moment.
-type Remembered struct {
+// PastDemand is the demand at a time.
+type PastDemand struct {
 	At      time.Duration
 	Classes []Class
 }
 
-// samples is the number of demands that a whole Memory holds.
-const samples = 8
+// historySamples is the number of samples in a full demand history.
+const historySamples = 8
 
-// History is what the planner remembers between rounds. It is a value: Plan
-// and Record return a new one and leave the old one as it was.
+// History is the planner's state between rounds. It is a value: Plan and Record return a new one
+// and leave the old one unchanged.
 //
-// A planner that takes over a lease starts with NewHistory: every engine
-// counts as just changed and the budget is empty, so that a row of takeovers
-// cannot make more changes than one planner may.
+// A planner that takes over a lease starts with NewHistory: every engine counts as just changed and
+// the budget is empty, so that a series of takeovers cannot make more changes than a single
+// planner.
 type History struct {
-	// Began is when this planner took over.
-	Began time.Duration
-	// Tokens is the budget left at TokensAt.
-	Tokens   float64
-	TokensAt time.Duration
-	// Changes holds the last change of each engine that had one.
-	Changes []Made
-	// Past is the demand remembered, oldest first.
-	Past []Remembered
-	// Wanted is the shape that was better in the last round, and WantedSince
-	// is when it first was. Wanting is false when none was.
-	Wanting     bool
-	Wanted      RoleCounts
-	WantedSince time.Duration
+	// StartedAt is when this planner took over.
+	StartedAt time.Duration
+	// Tokens is the budget that remained at RefilledAt.
+	Tokens     float64
+	RefilledAt time.Duration
+	// Changes holds the last change of each engine that was changed.
+	Changes []PastChange
+	// Demands holds samples of past demand, oldest first.
+	Demands []PastDemand
+	// Target is the best role counts of the last round, and TargetSince is when a change in this
+	// direction first became beneficial. HasTarget is false when no change was.
+	HasTarget   bool
+	Target      RoleCounts
+	TargetSince time.Duration
 }
 
 // NewHistory returns the history of a planner that takes over at now.
 func NewHistory(now time.Duration) History {
-	return History{Began: now, TokensAt: now}
+	return History{StartedAt: now, RefilledAt: now}
 }
 
 // Record returns the history with changes ordered at now.
@@ -57,36 +57,36 @@
 	}
 	h = h.refill(now, s)
 	h.Tokens -= float64(len(changes))
-	h.Wanting = false
+	h.HasTarget = false
 	ordered := make(map[string]bool, len(changes))
 	for _, c := range changes {
 		ordered[c.Engine] = true
 	}
-	kept := make([]Made, 0, len(h.Changes)+len(changes))
+	kept := make([]PastChange, 0, len(h.Changes)+len(changes))
 	for _, m := range h.Changes {
 		if !ordered[m.Engine] {
 			kept = append(kept, m)
 		}
 	}
 	for _, c := range changes {
-		kept = append(kept, Made{Engine: c.Engine, To: c.To, At: now})
+		kept = append(kept, PastChange{Engine: c.Engine, To: c.To, At: now})
 	}
 	h.Changes = kept
 	return h
 }
 
-// settled returns the engines as they will be once the changes ordered lately
-// are done and reported. An engine that does not yet report the role it was
-// ordered to take counts as away and in that role: its last report may be from
-// before the change, and counting it in its old role would let the zone fall
-// below a floor. After Settle its report is believed: the change has failed.
-func (h History) settled(engines []Engine, now time.Duration, s Settings) []Engine {
+// expectedEngines returns the engines as they will be once recently ordered changes are complete
+// and reported. An engine that does not yet report its ordered role counts as unavailable and in
+// that role: its last report may be from before the change, and counting it in its old role would
+// let the zone fall below a floor. After ChangeTimeout the change is considered failed, and the
+// report applies.
+func (h History) expectedEngines(engines []Engine, now time.Duration, s Settings) []Engine {
 	out := make([]Engine, len(engines))
 	copy(out, engines)
 	for i := range out {
-		for _, m := range h.Changes {
-			if m.Engine == out[i].Name && m.To != out[i].Role && now-m.At < s.Settle {
-				out[i].Role = m.To
+		for _, c := range h.Changes {
+			if c.Engine == out[i].Name && c.To != out[i].Role && now-c.At < s.ChangeTimeout {
+				out[i].Role = c.To
 				out[i].Unavailable = true
 			}
 		}
@@ -94,11 +94,11 @@
 	return out
 }
 
-// refill adds the tokens gained since the last round.
+// refill adds the tokens accumulated since the last round.
 func (h History) refill(now time.Duration, s Settings) History {
-	if now > h.TokensAt {
-		h.Tokens += float64(now-h.TokensAt) / float64(s.BudgetInterval)
-		h.TokensAt = now
+	if now > h.RefilledAt {
+		h.Tokens += float64(now-h.RefilledAt) / float64(s.BudgetInterval)
+		h.RefilledAt = now
 	}
 	if limit := float64(s.BudgetBurst); h.Tokens > limit {
 		h.Tokens = limit
@@ -106,44 +106,45 @@
 	return h
 }
 
-// want notes that shape t is wanted at now and returns since when it, or a
-// shape that asks for the same kind of move, has been.
-func (h History) want(now time.Duration, current, t RoleCounts) History {
-	if h.Wanting && sameDirection(current, h.Wanted, t) {
-		h.Wanted = t
+// setTarget returns the history with a new target. TargetSince is unchanged if the previous target
+// asked for a change in the same direction.
+func (h History) setTarget(now time.Duration, current, target RoleCounts) History {
+	if h.HasTarget && sameDirection(current, h.Target, target) {
+		h.Target = target
 		return h
 	}
-	h.Wanting = true
-	h.Wanted = t
-	h.WantedSince = now
+	h.HasTarget = true
+	h.Target = target
+	h.TargetSince = now
 	return h
 }
 
-// remember adds the demand to what is remembered when it is time to.
-func (h History) remember(now time.Duration, classes []Class, s Settings) History {
-	n := len(h.Past)
-	if s.Memory <= 0 || n > 0 && now-h.Past[n-1].At < s.Memory/samples {
+// recordDemand adds a sample of the demand if the last one is old enough, and drops those older
+// than DemandHistory.
+func (h History) recordDemand(now time.Duration, classes []Class, s Settings) History {
+	n := len(h.Demands)
+	if s.DemandHistory <= 0 || n > 0 && now-h.Demands[n-1].At < s.DemandHistory/historySamples {
 		return h
 	}
-	past := make([]Remembered, 0, n+1)
-	for _, r := range h.Past {
-		if now-r.At <= s.Memory {
+	past := make([]PastDemand, 0, n+1)
+	for _, r := range h.Demands {
+		if now-r.At <= s.DemandHistory {
 			past = append(past, r)
 		}
 	}
-	h.Past = append(past, Remembered{At: now, Classes: classes})
+	h.Demands = append(past, PastDemand{At: now, Classes: classes})
 	return h
 }
 
-// forget notes that no other shape is wanted.
-func (h History) forget() History {
-	h.Wanting = false
+// clearTarget returns the history without a target.
+func (h History) clearTarget() History {
+	h.HasTarget = false
 	return h
 }
 
-// stayed returns how long the named engine has surely been in its role.
-func (h History) stayed(now time.Duration, name string) time.Duration {
-	since := h.Began
+// timeInRole returns the minimum time that the named engine has been in its role.
+func (h History) timeInRole(now time.Duration, name string) time.Duration {
+	since := h.StartedAt
 	for _, m := range h.Changes {
 		if m.Engine == name {
 			since = m.At
--- a/roles/meter.go
+++ b/roles/meter.go
@@ -7,21 +7,21 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// Sample is one request that arrived.
+// Sample is an arrived request.
 type Sample struct {
-	// Prompt is the length of the whole prompt, Cached the part of it that is
-	// expected to be cached.
+	// Prompt is the length of the prompt, and Cached the length of the part that is expected to be
+	// cached, both in tokens.
 	Prompt, Cached int
-	// Output is the expected length of the answer.
+	// Output is the expected length of the response in tokens.
 	Output   int
 	Deadline time.Duration
 	Priority engine.Priority
 }
 
-// The classes of a Meter: each priority by the size of the prompt.
+// The classes of a Meter are the combinations of priority and prompt size.
 const (
 	priorities = 3
-	// shortPrompt and middlePrompt are the upper bounds of the first two sizes.
+	// shortPrompt and middlePrompt are the upper bounds, in tokens, of the first two sizes.
 	shortPrompt  = 1024
 	middlePrompt = 4096
 	sizes        = 3
@@ -41,66 +41,64 @@
 	return row*sizes + size
 }
 
-// Meter measures the demand that one entry VM sees, as exponentially decaying
-// sums, and the usual length of answers. The zero value is not usable; see
-// NewMeter. It is not safe for concurrent use.
+// Meter measures the demand at one entry VM as exponentially decaying sums, and the mean length of
+// responses. Use NewMeter to create one. It is not safe for concurrent use.
 type Meter struct {
-	began, last time.Duration
-	window      time.Duration
-	sums        [classes]sums
-	// outputs is the mean length of finished answers.
+	startedAt, updatedAt time.Duration
+	window               time.Duration
+	sums                 [classes]sums
+	// outputs holds the mean length of finished responses.
 	outputs [classes]mean
 }
 
-// sums are decaying totals.
+// sums holds decaying sums.
 type sums struct{ requests, prompt, output, deadline float64 }
 
 // mean is a decaying mean.
 type mean struct{ value, weight float64 }
 
-// outputMemory is about how many answers the mean length remembers.
-const outputMemory = 50
+// maxOutputWeight is about the number of responses that the mean length covers.
+const maxOutputWeight = 50
 
-// NewMeter returns a meter whose rates look back about window.
+// NewMeter returns a meter whose rates decay with a time constant of window.
 func NewMeter(now, window time.Duration) *Meter {
-	return &Meter{began: now, last: now, window: window}
+	return &Meter{startedAt: now, updatedAt: now, window: window}
 }
 
 // RecordArrival counts a request, whether or not it was admitted.
 func (m *Meter) RecordArrival(now time.Duration, s Sample) {
 	m.decay(now)
-	at := &m.sums[classOf(s.Prompt, s.Priority)]
-	at.requests++
-	at.prompt += float64(s.Prompt - s.Cached)
-	at.output += float64(s.Output)
-	at.deadline += s.Deadline.Seconds()
+	sum := &m.sums[classOf(s.Prompt, s.Priority)]
+	sum.requests++
+	sum.prompt += float64(s.Prompt - s.Cached)
+	sum.output += float64(s.Output)
+	sum.deadline += s.Deadline.Seconds()
 }
 
-// RecordOutput takes in the length of an answer.
+// RecordOutput records the length of a response.
 func (m *Meter) RecordOutput(prompt int, p engine.Priority, output int) {
-	at := &m.outputs[classOf(prompt, p)]
-	at.weight = math.Min(at.weight+1, outputMemory)
-	at.value += (float64(output) - at.value) / at.weight
+	average := &m.outputs[classOf(prompt, p)]
+	average.weight = math.Min(average.weight+1, maxOutputWeight)
+	average.value += (float64(output) - average.value) / average.weight
 }
 
-// ExpectedOutput returns the expected length of an answer to a prompt when the
-// caller allows most tokens.
-func (m *Meter) ExpectedOutput(prompt int, p engine.Priority, most int) int {
-	at := m.outputs[classOf(prompt, p)]
-	if at.weight == 0 {
-		return (most + 1) / 2
+// ExpectedOutput returns the expected length of the response to a prompt for which the caller
+// allows maxTokens.
+func (m *Meter) ExpectedOutput(prompt int, p engine.Priority, maxTokens int) int {
+	average := m.outputs[classOf(prompt, p)]
+	if average.weight == 0 {
+		return (maxTokens + 1) / 2
 	}
-	return min(most, int(math.Ceil(at.value)))
+	return min(maxTokens, int(math.Ceil(average.value)))
 }
 
-// Demand returns what this entry VM sees. Age, Heard and Roster are left to
-// whoever puts the contributions of a zone together with Merge.
+// Demand returns the demand at this entry VM. Age, Contributors and Registered are set by Merge.
 func (m *Meter) Demand(now time.Duration) Demand {
 	m.decay(now)
-	watched := now - m.began
-	d := Demand{Window: watched}
-	// Until the window has passed the sums are short of their full weight.
-	span := m.window.Seconds() * (1 - math.Exp(-watched.Seconds()/m.window.Seconds()))
+	observed := now - m.startedAt
+	d := Demand{Window: observed}
+	// Until the window has passed, the sums have not reached their full weight.
+	span := m.window.Seconds() * (1 - math.Exp(-observed.Seconds()/m.window.Seconds()))
 	if span <= 0 {
 		return d
 	}
@@ -119,28 +117,28 @@
 	return d
 }
 
-// minRequests is the decayed number of requests below which a class is left out.
+// minRequests is the decayed number of requests below which a class is omitted.
 const minRequests = 0.01
 
 func (m *Meter) decay(now time.Duration) {
-	if now <= m.last {
+	if now <= m.updatedAt {
 		return
 	}
-	keep := math.Exp(-(now - m.last).Seconds() / m.window.Seconds())
-	m.last = now
+	factor := math.Exp(-(now - m.updatedAt).Seconds() / m.window.Seconds())
+	m.updatedAt = now
 	for i := range m.sums {
 		s := &m.sums[i]
-		s.requests *= keep
-		s.prompt *= keep
-		s.output *= keep
-		s.deadline *= keep
+		s.requests *= factor
+		s.prompt *= factor
+		s.output *= factor
+		s.deadline *= factor
 	}
 }
 
-// Merge puts the contributions of a zone's entry VMs together. age is that of
-// the oldest one and roster the number of entry VMs there should be.
+// Merge combines the contributions of a zone's entry VMs. age is the age of the oldest one, and
+// roster the number of entry VMs on the roster.
 func Merge(parts []Demand, age time.Duration, roster int) Demand {
-	out := Demand{Age: age, Heard: len(parts), Roster: roster}
+	out := Demand{Age: age, Contributors: len(parts), Registered: roster}
 	var kinds [classes]Class
 	for _, p := range parts {
 		out.Window = max(out.Window, p.Window)
@@ -159,17 +157,17 @@
 	return out
 }
 
-// plus adds the rates and takes the means by rate.
+// plus returns the sum of the rates, and the means weighted by rate.
 func (k Class) plus(o Class) Class {
 	rate := k.Rate + o.Rate
 	if rate == 0 {
 		return k
 	}
-	share := o.Rate / rate
+	fraction := o.Rate / rate
 	return Class{
 		Rate:     rate,
-		Prompt:   k.Prompt + share*(o.Prompt-k.Prompt),
-		Output:   k.Output + share*(o.Output-k.Output),
-		Deadline: k.Deadline + time.Duration(share*float64(o.Deadline-k.Deadline)),
+		Prompt:   k.Prompt + fraction*(o.Prompt-k.Prompt),
+		Output:   k.Output + fraction*(o.Output-k.Output),
+		Deadline: k.Deadline + time.Duration(fraction*float64(o.Deadline-k.Deadline)),
 	}
 }
--- a/roles/meter_test.go
+++ b/roles/meter_test.go
@@ -10,17 +10,17 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// TestMeterMeasuresRates feeds two kinds of request at steady rates: the
-// rates are right early, while the window fills, and late.
+// The measured rates of two steady kinds of requests are correct both while the window fills and
+// later.
 func TestMeterMeasuresRates(t *testing.T) {
 	const window = 20 * time.Second
 	m := NewMeter(0, window)
-	letter := Sample{Prompt: 6000, Cached: 1000, Output: 200, Deadline: 20 * time.Second, Priority: engine.Standard}
-	question := Sample{Prompt: 100, Output: 80, Deadline: 5 * time.Second}
+	long := Sample{Prompt: 6000, Cached: 1000, Output: 200, Deadline: 20 * time.Second, Priority: engine.Standard}
+	short := Sample{Prompt: 100, Output: 80, Deadline: 5 * time.Second}
 	for at := 100 * time.Millisecond; at <= 200*time.Second; at += 100 * time.Millisecond {
-		m.RecordArrival(at, question)
+		m.RecordArrival(at, short)
 		if at%time.Second == 0 {
-			m.RecordArrival(at, letter)
+			m.RecordArrival(at, long)
 		}
 		if at != 10*time.Second && at != 200*time.Second {
 			continue
@@ -42,15 +42,15 @@
 			}
 		}
 	}
-	if rate := m.Demand(500 * time.Second).Classes; len(rate) != 0 {
-		t.Errorf("after a long silence: %+v", rate)
+	if classes := m.Demand(500 * time.Second).Classes; len(classes) != 0 {
+		t.Errorf("after a long time without requests: %+v", classes)
 	}
 }
 
-func TestMeterExpectsUsualLength(t *testing.T) {
+func TestMeterExpectsMeanLength(t *testing.T) {
 	m := NewMeter(0, time.Second)
 	if got := m.ExpectedOutput(100, engine.Interactive, 200); got != 100 {
-		t.Errorf("without answers: %d, want half of what is allowed", got)
+		t.Errorf("without responses: %d, want half of what is allowed", got)
 	}
 	for range 10 {
 		m.RecordOutput(100, engine.Interactive, 30)
@@ -74,7 +74,7 @@
 		}},
 	}
 	want := Demand{
-		Age: time.Second, Window: time.Minute, Heard: 2, Roster: 3,
+		Age: time.Second, Window: time.Minute, Contributors: 2, Registered: 3,
 		Classes: []Class{
 			{Kind: 0, Rate: 4, Prompt: 175, Output: 25, Deadline: 4 * time.Second},
 			{Kind: 5, Rate: 2, Prompt: 9000, Output: 1, Deadline: time.Second},
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -7,45 +7,43 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// Plan decides which engines change role now. It returns the history to pass
-// to the next round; the caller adds the changes that it really ordered with
-// History.Record.
+// Plan decides which engines change role now, and returns the history for the next round. The
+// caller adds the changes that it actually ordered with History.Record.
 //
-// The order of the steps matters: the guards that need nothing but the
-// snapshot's freshness come first, so that no figure is computed from stale
-// data; the bounds on changes come last, so that the decision still tells what
-// would be better.
+// The order of the steps matters. Checks of the snapshot's freshness come first, so that nothing is
+// computed from stale data. The limits on changes come last, so that the decision still contains
+// the best target.
 func Plan(snap Snapshot, now time.Duration, set Settings, h History) (Decision, History) {
 	h = h.refill(now, set)
-	snap.Engines = h.settled(snap.Engines, now, set)
-	current := ShapeOf(snap.Engines)
+	snap.Engines = h.expectedEngines(snap.Engines, now, set)
+	current := CountRoles(snap.Engines)
 	d := Decision{Current: current, Target: current}
-	if reason, ok := trusted(snap, set); !ok {
+	if reason, ok := checkSnapshot(snap, set); !ok {
 		d.Reason = reason
-		return d, h.forget()
+		return d, h.clearTarget()
 	}
-	h = h.remember(now, snap.Demand.Classes, set)
-	v := valuer{classes: withBacklog(snap, set), past: h.Past, set: set}
-	d = v.weigh(current)
+	h = h.recordDemand(now, snap.Demand.Classes, set)
+	ev := evaluator{classes: addBacklog(snap, set), history: h.Demands, set: set}
+	d = ev.best(current)
 	if d.Reason != Gain {
-		return d, h.forget()
+		return d, h.clearTarget()
 	}
-	h = h.want(now, current, d.Target)
-	if now-h.WantedSince < set.StabilizationWindow {
+	h = h.setTarget(now, current, d.Target)
+	if now-h.TargetSince < set.StabilisationWindow {
 		d.Reason = NotPersistent
 		return d, h
 	}
-	d.Changes, d.Reason = bounded(snap.Engines, current, d.Target, now, set, h)
+	d.Changes, d.Reason = selectChanges(snap.Engines, current, d.Target, now, set, h)
 	return d, h
 }
 
-// trusted tells whether the snapshot is fresh enough to decide on.
-func trusted(snap Snapshot, set Settings) (Reason, bool) {
+// checkSnapshot reports whether the snapshot is fresh enough for a decision, or else why it is not.
+func checkSnapshot(snap Snapshot, set Settings) (Reason, bool) {
 	d := snap.Demand
 	switch {
 	case snap.PlatformLost:
 		return PlatformLost, false
-	case d.Heard < d.Roster || d.Age > set.MaxDemandAge:
+	case d.Contributors < d.Registered || d.Age > set.MaxDemandAge:
 		return StaleDemand, false
 	case d.Window < set.Warmup:
 		return WarmingUp, false
@@ -58,7 +56,7 @@
 	return "", true
 }
 
-// freshReports tells whether enough usable engines have reported lately.
+// freshReports reports whether enough usable engines have a recent load report.
 func freshReports(engines []Engine, set Settings) bool {
 	usable, fresh := 0, 0
 	for _, e := range engines {
@@ -70,12 +68,12 @@
 			fresh++
 		}
 	}
-	return usable > 0 && float64(fresh) >= set.MinFresh*float64(usable)
+	return usable > 0 && float64(fresh) >= set.MinFreshFraction*float64(usable)
 }
 
-// withBacklog adds what waits at the engines to the demand, spread over the
-// time in which it is meant to be worked off.
-func withBacklog(snap Snapshot, set Settings) []Class {
+// addBacklog returns the demand with the prompts that wait at the engines added, spread over
+// BacklogDrainTime.
+func addBacklog(snap Snapshot, set Settings) []Class {
 	waiting := 0
 	for _, e := range snap.Engines {
 		if !e.Unusable && e.ReportAge <= set.MaxReportAge {
@@ -84,17 +82,17 @@
 	}
 	prompt := promptRate(snap.Demand.Classes)
 	classes := append([]Class(nil), snap.Demand.Classes...)
-	if prompt == 0 || set.Drain <= 0 {
+	if prompt == 0 || set.BacklogDrainTime <= 0 {
 		return classes
 	}
-	grow := 1 + float64(waiting)/set.Drain.Seconds()/prompt
+	factor := 1 + float64(waiting)/set.BacklogDrainTime.Seconds()/prompt
 	for i := range classes {
-		classes[i].Prompt *= grow
+		classes[i].Prompt *= factor
 	}
 	return classes
 }
 
-// promptRate is the prompt tokens asked for a second.
+// promptRate returns the demand in prompt tokens per second.
 func promptRate(classes []Class) float64 {
 	sum := 0.0
 	for _, k := range classes {
@@ -103,39 +101,39 @@
 	return sum
 }
 
-// noise is a difference of goodput that means nothing.
-const noise = 1e-6
+// minGoodputDifference is the difference of goodput up to which two predictions count as equal.
+const minGoodputDifference = 1e-6
 
-// valuer tells what shapes are worth.
-type valuer struct {
+// evaluator evaluates role counts.
+type evaluator struct {
 	classes []Class
-	past    []Remembered
+	history []PastDemand
 	set     Settings
 }
 
-// value is the predicted goodput of s, for the demand of now and for that
-// remembered. What is not remembered yet counts as the demand of now.
-func (v valuer) value(s RoleCounts) float64 {
-	now := Predict(s, v.classes, v.set.Costs)
-	if v.set.MemoryShare == 0 || len(v.past) == 0 {
+// goodput returns the predicted goodput of s, averaged over the current and the past demand.
+// Missing samples count as the current demand.
+func (ev evaluator) goodput(s RoleCounts) float64 {
+	now := Predict(s, ev.classes, ev.set.Costs)
+	if ev.set.HistoryWeight == 0 || len(ev.history) == 0 {
 		return now
 	}
-	each := v.set.MemoryShare / max(samples, float64(len(v.past)))
-	sum := (1 - each*float64(len(v.past))) * now
-	for _, r := range v.past {
-		sum += each * predictAt(1, s, r.Classes, v.set.Costs)
+	weight := ev.set.HistoryWeight / max(historySamples, float64(len(ev.history)))
+	sum := (1 - weight*float64(len(ev.history))) * now
+	for _, r := range ev.history {
+		sum += weight * predictAt(1, s, r.Classes, ev.set.Costs)
 	}
 	return sum
 }
 
-// weigh picks the best shape by gain less cost, all in seconds of full goodput.
-func (v valuer) weigh(current RoleCounts) Decision {
-	now := v.value(current)
-	best := Decision{Reason: BestAlready, Current: current, Target: current, Now: now, Then: now}
+// best returns the decision with the highest benefit less cost, in seconds of full goodput.
+func (ev evaluator) best(current RoleCounts) Decision {
+	now := ev.goodput(current)
+	best := Decision{Reason: BestAlready, Current: current, Target: current, CurrentGoodput: now, TargetGoodput: now}
 	net := 0.0
-	for _, t := range candidates(current, v.set) {
-		d := v.compare(current, t, now)
-		if d.Then > now+noise && best.Reason == BestAlready {
+	for _, target := range candidates(current, ev.set) {
+		d := ev.compare(current, target, now)
+		if d.TargetGoodput > now+minGoodputDifference && best.Reason == BestAlready {
 			best.Reason = GainTooSmall
 		}
 		if d.Benefit-d.Cost > net {
@@ -147,48 +145,48 @@
 	return best
 }
 
-// compare weighs going from current to t.
-func (v valuer) compare(current, t RoleCounts, now float64) Decision {
-	w := v.set.Weights
-	then := v.value(t)
-	n := current.changesTo(t)
-	lost := max(now-v.value(without(current, t)), 0)
-	away := float64(n) * lost * v.set.ChangeTime.Seconds()
+// compare evaluates the change from current to target.
+func (ev evaluator) compare(current, target RoleCounts, now float64) Decision {
+	w := ev.set.Weights
+	then := ev.goodput(target)
+	n := current.changesTo(target)
+	loss := max(now-ev.goodput(duringChange(current, target)), 0)
+	changeCost := float64(n) * loss * ev.set.ChangeTime.Seconds()
 	return Decision{
-		Current: current,
-		Target:  t,
-		Now:     now,
-		Then:    then,
-		Benefit: w.Goodput * (then - now) * v.set.Horizon.Seconds(),
-		Cost:    w.Goodput*away + w.Change*float64(n),
+		Current:        current,
+		Target:         target,
+		CurrentGoodput: now,
+		TargetGoodput:  then,
+		Benefit:        w.Goodput * (then - now) * ev.set.Horizon.Seconds(),
+		Cost:           w.Goodput*changeCost + w.Change*float64(n),
 	}
 }
 
-// without returns current less one engine of a role that t has fewer of.
-func without(current, t RoleCounts) RoleCounts {
+// duringChange returns current less one engine of a role that target has fewer of.
+func duringChange(current, target RoleCounts) RoleCounts {
 	for _, r := range allRoles {
-		if t.count(r) < current.count(r) {
+		if target.count(r) < current.count(r) {
 			return current.add(r, -1)
 		}
 	}
 	return current
 }
 
-// bounded turns the target into changes, within the bounds. When a bound
-// holds one engine back the next of its role is tried. It names the bound that
-// left no change.
-func bounded(engines []Engine, current, target RoleCounts, now time.Duration, set Settings, h History) ([]Change, Reason) {
-	b := newBounds(engines, current, now, set, h)
+// selectChanges returns the changes towards the target that the limits allow. If a limit excludes
+// an engine, the next one of its role is tried. Without changes it returns the limit that prevented
+// them.
+func selectChanges(engines []Engine, current, target RoleCounts, now time.Duration, set Settings, h History) ([]Change, Reason) {
+	limits := newChangeLimits(engines, current, now, set, h)
 	reason := MinimumStay
 	var out []Change
 	for _, from := range allRoles {
 		for _, e := range movable(engines, from) {
-			to, ok := wanted(current, target)
+			to, ok := growingRole(current, target)
 			if !ok || current.count(from) <= target.count(from) {
 				break
 			}
 			c := Change{Engine: e.Name, From: from, To: to}
-			if r, ok := b.allow(c); !ok {
+			if r, ok := limits.allow(c); !ok {
 				reason = r
 				continue
 			}
@@ -202,47 +200,48 @@
 	return out, reason
 }
 
-// newBounds returns the bounds before any change is picked.
-func newBounds(engines []Engine, current RoleCounts, now time.Duration, set Settings, h History) *bounds {
-	b := &bounds{set: set, h: h, now: now, serving: serving(engines)}
-	b.room = set.MaxUnavailable * stepOf(current.Size())
+// newChangeLimits returns the limits before any change is selected.
+func newChangeLimits(engines []Engine, current RoleCounts, now time.Duration, set Settings, h History) *changeLimits {
+	l := &changeLimits{set: set, h: h, now: now, serving: serving(engines)}
+	l.available = set.MaxUnavailable * stepSize(current.Size())
 	for _, e := range engines {
 		if e.Unavailable && !e.Unusable {
-			b.room--
+			l.available--
 		}
 	}
-	return b
+	return l
 }
 
-// bounds is what is left of each bound while changes are picked.
-type bounds struct {
-	set     Settings
-	h       History
-	now     time.Duration
-	room    int
-	serving RoleCounts
+// changeLimits holds what remains of each limit while changes are selected.
+type changeLimits struct {
+	set       Settings
+	h         History
+	now       time.Duration
+	available int
+	serving   RoleCounts
 }
 
-// allow takes c if every bound has room for it.
-func (b *bounds) allow(c Change) (Reason, bool) {
-	left := b.serving.add(c.From, -1)
+// allow applies c to the limits if all of them permit it; otherwise it returns the limit that does
+// not.
+func (l *changeLimits) allow(c Change) (Reason, bool) {
+	left := l.serving.add(c.From, -1)
 	switch {
-	case b.room <= 0:
-		return TooManyAway, false
-	case b.h.Tokens < 1:
+	case l.available <= 0:
+		return TooManyUnavailable, false
+	case l.h.Tokens < 1:
 		return BudgetSpent, false
-	case b.h.stayed(b.now, c.Engine) < b.set.MinimumStay:
+	case l.h.timeInRole(l.now, c.Engine) < l.set.MinimumStay:
 		return MinimumStay, false
-	case !left.keepsFloors(b.set):
+	case !left.meetsFloors(l.set):
 		return BelowFloor, false
 	}
-	b.room--
-	b.h.Tokens--
-	b.serving = left
+	l.available--
+	l.h.Tokens--
+	l.serving = left
 	return "", true
 }
 
-// serving counts the usable engines that are not away.
+// serving counts the engines that are both usable and available.
 func serving(engines []Engine) RoleCounts {
 	var s RoleCounts
 	for _, e := range engines {
@@ -253,8 +252,8 @@
 	return s
 }
 
-// wanted returns a role of which target has more than current.
-func wanted(current, target RoleCounts) (engine.Role, bool) {
+// growingRole returns a role of which target has more engines than current.
+func growingRole(current, target RoleCounts) (engine.Role, bool) {
 	for _, r := range allRoles {
 		if target.count(r) > current.count(r) {
 			return r, true
@@ -263,8 +262,7 @@
 	return "", false
 }
 
-// movable returns the usable engines of a role that are not away, the least
-// loaded first and by name after that.
+// movable returns the available usable engines of a role, sorted by load and then by name.
 func movable(engines []Engine, role engine.Role) []Engine {
 	var out []Engine
 	for _, e := range engines {
--- a/roles/settings.go
+++ b/roles/settings.go
@@ -6,66 +6,66 @@
 	"github.com/springweir/springweir/costs"
 )
 
-// Weights tell what a deployment wants more of.
+// Weights are the weights of the planner's objectives.
 type Weights struct {
-	// Goodput multiplies the predicted gain.
+	// Goodput is the weight of the predicted gain.
 	Goodput float64
-	// Change is what one role change must be worth, in seconds of full goodput.
+	// Change is the cost of one role change, in seconds of full goodput.
 	Change float64
 }
 
-// FavourGoodput and FavourStability are the weights of the two deployments: the first
-// weighs goodput more, the second the number of role changes.
+// FavourGoodput and FavourStability are presets: the first prefers goodput, the second few role
+// changes.
 var (
 	FavourGoodput   = Weights{Goodput: 1, Change: 0.5}
 	FavourStability = Weights{Goodput: 1, Change: 10}
 )
 
-// Settings bound the planner.
+// Settings holds the parameters and limits of the planner.
 type Settings struct {
 	Weights Weights
 	// Costs are the speeds of the pool's engines.
 	Costs costs.Engine
-	// ChangeTime is how long a role change takes an engine away.
+	// ChangeTime is how long a role change makes an engine unavailable.
 	ChangeTime time.Duration
-	// Settle is how long after its order an engine that still reports its old
-	// role counts as changing: drain, change and the reports' lag.
-	Settle time.Duration
-	// Horizon is how long a mix is expected to last.
+	// ChangeTimeout is how long after its order an engine that still reports its old role counts as
+	// changing. It covers the drain, the change and the lag of the reports.
+	ChangeTimeout time.Duration
+	// Horizon is how long the demand is expected to last.
 	Horizon time.Duration
-	// StabilizationWindow is how long a better shape must stay better before it is taken.
-	StabilizationWindow time.Duration
-	// MinimumStay is how long an engine keeps a role.
+	// StabilisationWindow is how long a change must remain beneficial before it is made.
+	StabilisationWindow time.Duration
+	// MinimumStay is the minimum time that an engine stays in a role.
 	MinimumStay time.Duration
-	// BudgetBurst and BudgetInterval bound the changes: a token bucket that
-	// holds BudgetBurst and gains one each BudgetInterval.
+	// BudgetBurst and BudgetInterval limit the changes by a token bucket with a capacity of
+	// BudgetBurst, which gains one token each BudgetInterval.
 	BudgetBurst    int
 	BudgetInterval time.Duration
-	// MaxUnavailable is the number of engines that may be away at once.
+	// MaxUnavailable is the maximum number of engines that may be unavailable at the same time, in
+	// multiples of stepSize.
 	MaxUnavailable int
-	// FloorPrefill and FloorDecode are the numbers of usable engines that
-	// must always be able to prefill and to decode.
+	// FloorPrefill and FloorDecode are the numbers of usable engines that must always be able to
+	// prefill and to decode.
 	FloorPrefill, FloorDecode int
-	// MaxReportAge and MaxDemandAge are the ages above which a load report
-	// and the demand are not decided on.
+	// MaxReportAge and MaxDemandAge are the ages above which a load report and the demand are not
+	// used.
 	MaxReportAge, MaxDemandAge time.Duration
-	// MinFresh is the share of usable engines whose reports must be fresh.
-	MinFresh float64
-	// Warmup is the shortest window of demand that is decided on.
+	// MinFreshFraction is the fraction of usable engines whose reports must be fresh.
+	MinFreshFraction float64
+	// Warmup is the minimum window of demand for a decision.
 	Warmup time.Duration
-	// Memory is how far back demand is remembered, and MemoryShare how much it
-	// counts against the demand of now once all of Memory has been watched. A
-	// deployment that weighs changes more wants a shape that suits the mixes
-	// that come and go, and few changes between them.
-	Memory      time.Duration
-	MemoryShare float64
-	// Drain is the time in which a backlog is meant to be worked off.
-	Drain time.Duration
+	// DemandHistory is how long past demand is retained, and HistoryWeight its weight against the
+	// current demand once the history is full. A higher cost of changes calls for role counts that
+	// suit recurring demand, with few changes in between.
+	DemandHistory time.Duration
+	HistoryWeight float64
+	// BacklogDrainTime is the time in which a backlog is to be processed.
+	BacklogDrainTime time.Duration
 }
 
-// memoryHalf is the weight of a change, in seconds of full goodput, at which
-// the remembered demand counts as much as that of now.
-const memoryHalf = 4
+// halfHistoryChangeWeight is the cost of a change, in seconds of full goodput, at which past and
+// current demand have the same weight.
+const halfHistoryChangeWeight = 4
 
 // Defaults returns the settings for weights w.
 func Defaults(w Weights) Settings {
@@ -73,9 +73,9 @@
 		Weights:             w,
 		Costs:               costs.Defaults(),
 		ChangeTime:          8 * time.Second,
-		Settle:              60 * time.Second,
+		ChangeTimeout:       60 * time.Second,
 		Horizon:             120 * time.Second,
-		StabilizationWindow: 5 * time.Second,
+		StabilisationWindow: 5 * time.Second,
 		MinimumStay:         30 * time.Second,
 		BudgetBurst:         2,
 		BudgetInterval:      30 * time.Second,
@@ -84,10 +84,10 @@
 		FloorDecode:         2,
 		MaxReportAge:        5 * time.Second,
 		MaxDemandAge:        5 * time.Second,
-		MinFresh:            0.75,
+		MinFreshFraction:    0.75,
 		Warmup:              15 * time.Second,
-		Drain:               30 * time.Second,
-		Memory:              5 * time.Minute,
-		MemoryShare:         w.Change / (w.Change + memoryHalf),
+		BacklogDrainTime:    30 * time.Second,
+		DemandHistory:       5 * time.Minute,
+		HistoryWeight:       w.Change / (w.Change + halfHistoryChangeWeight),
 	}
 }
--- a/roles/shape.go
+++ b/roles/shape.go
@@ -6,7 +6,7 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// RoleCounts counts the engines of a zone by role.
+// RoleCounts is the number of engines of a zone in each role.
 type RoleCounts struct {
 	Prefill, Decode, Mixed int
 }
@@ -19,9 +19,9 @@
 // Size returns the number of engines.
 func (s RoleCounts) Size() int { return s.Prefill + s.Decode + s.Mixed }
 
-// ShapeOf counts the usable engines by the role they have, or, when they are
-// away, the role they had.
-func ShapeOf(engines []Engine) RoleCounts {
+// CountRoles counts the usable engines by role; an unavailable engine counts in the last role that
+// it had.
+func CountRoles(engines []Engine) RoleCounts {
 	var s RoleCounts
 	for _, e := range engines {
 		if !e.Unusable {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// add returns the shape with n more engines of role r.
+// add returns the counts with n more engines of role r.
 func (s RoleCounts) add(r engine.Role, n int) RoleCounts {
 	switch r {
 	case engine.Prefill:
@@ -56,27 +56,27 @@
 	}
 }
 
-// changesTo returns the least number of role changes that lead to t, a shape
-// of the same size.
-func (s RoleCounts) changesTo(t RoleCounts) int {
+// changesTo returns the minimum number of role changes that lead to target, which has the same
+// size.
+func (s RoleCounts) changesTo(target RoleCounts) int {
 	n := 0
 	for _, r := range allRoles {
-		if d := t.count(r) - s.count(r); d > 0 {
+		if d := target.count(r) - s.count(r); d > 0 {
 			n += d
 		}
 	}
 	return n
 }
 
-// keepsFloors tells whether the shape can prefill and decode as the floors ask.
-func (s RoleCounts) keepsFloors(set Settings) bool {
+// meetsFloors reports whether enough engines can prefill and decode.
+func (s RoleCounts) meetsFloors(set Settings) bool {
 	return s.Prefill+s.Mixed >= set.FloorPrefill && s.Decode+s.Mixed >= set.FloorDecode
 }
 
 var allRoles = []engine.Role{engine.Prefill, engine.Decode, engine.Mixed}
 
-// sameDirection tells whether going from current to a and to b asks for at
-// least one move in common: a role that both shrink and a role that both grow.
+// sameDirection reports whether changing from current to a and to b have a move in common: a role
+// that shrinks in both and a role that grows in both.
 func sameDirection(current, a, b RoleCounts) bool {
 	shrinks, grows := false, false
 	for _, r := range allRoles {
@@ -88,24 +88,23 @@
 	return shrinks && grows
 }
 
-// maxMoves is the number of changes that a candidate may be away from the
-// current shape, in steps of stepOf engines.
-const maxMoves = 2
+// maxSteps is the maximum distance of a candidate from the current counts, in steps of stepSize
+// engines.
+const maxSteps = 2
 
-// stepOf is the number of engines moved together in a zone of n engines, so
-// that the number of candidates does not grow with the zone.
-func stepOf(n int) int {
+// stepSize returns the number of engines that change together in a zone of n engines, so that the
+// number of candidates does not grow with the zone.
+func stepSize(n int) int {
 	const parts = 16
 	return 1 + n/parts
 }
 
-// candidates returns the shapes within maxMoves steps of s that keep the
-// floors, s itself excluded.
+// candidates returns the role counts within maxSteps steps of s that meet the floors, except s.
 func candidates(s RoleCounts, set Settings) []RoleCounts {
 	seen := map[RoleCounts]bool{s: true}
 	frontier := []RoleCounts{s}
 	var all []RoleCounts
-	for range maxMoves {
+	for range maxSteps {
 		var next []RoleCounts
 		for _, from := range frontier {
 			next = append(next, neighbours(from, seen, set)...)
@@ -116,9 +115,9 @@
 	return all
 }
 
-// neighbours returns the unseen shapes one step from s.
+// neighbours returns the unseen role counts one step from s.
 func neighbours(s RoleCounts, seen map[RoleCounts]bool, set Settings) []RoleCounts {
-	step := stepOf(s.Size())
+	step := stepSize(s.Size())
 	var out []RoleCounts
 	for _, from := range allRoles {
 		for _, to := range allRoles {
@@ -126,12 +125,12 @@
 			if from == to || n == 0 {
 				continue
 			}
-			t := s.add(from, -n).add(to, n)
-			if seen[t] || !t.keepsFloors(set) {
+			counts := s.add(from, -n).add(to, n)
+			if seen[counts] || !counts.meetsFloors(set) {
 				continue
 			}
-			seen[t] = true
-			out = append(out, t)
+			seen[counts] = true
+			out = append(out, counts)
 		}
 	}
 	return out
--- a/simulate/simulate_test.go
+++ b/simulate/simulate_test.go
@@ -62,7 +62,7 @@
 // wrong and checks that the planner waits.
 func TestNoChangeWithoutReports(t *testing.T) {
 	set := roles.Defaults(roles.FavourGoodput)
-	set.Warmup, set.StabilizationWindow, set.MinimumStay, set.BudgetInterval = 0, 0, 0, time.Second
+	set.Warmup, set.StabilisationWindow, set.MinimumStay, set.BudgetInterval = 0, 0, 0, time.Second
 	trace := short(t, "kliko-morning")
 	changes := func(faults []Fault) int {
 		trace.Faults = faults
