--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
 		s := NewStore(Config{Table: rows})
-		rows.SetHook(commitFaults(memtable.Fault{LoseAnswer: true}))
+		rows.SetHook(commitFaults(memtable.Fault{LoseResponse: true}))
 		if c, _, f := begin(t, s, testDigest); c == nil {
 			t.Fatalf("the claim's own write was not recognised: %v", f)
 		}
@@ -162,7 +162,7 @@
 			if first && c.Op == memtable.OpCommit {
 				first = false
 				time.AfterFunc(time.Millisecond, func() { rows.SetDown(true) })
-				return memtable.Fault{LoseAnswer: true}
+				return memtable.Fault{LoseResponse: true}
 			}
 			return memtable.Fault{}
 		})
@@ -204,7 +204,7 @@
 func TestPausedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
-		rows.SetHook(commitFaults(memtable.Fault{Slow: 5 * time.Second}))
+		rows.SetHook(commitFaults(memtable.Fault{Delay: 5 * time.Second}))
 		paused := NewStore(Config{Table: rows})
 		other := NewStore(Config{Table: rows})
 		result := make(chan outcome)
--- a/claim/cost_test.go
+++ b/claim/cost_test.go
@@ -59,7 +59,7 @@
 	for _, perSecond := range []int{10, 400, 2000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
 			rows := memtable.New()
-			rows.SetFault(memtable.Fault{Slow: 5 * time.Millisecond})
+			rows.SetFault(memtable.Fault{Delay: 5 * time.Millisecond})
 			s := NewStore(Config{Table: table.NewBatcher(rows, table.BatcherConfig{})})
 			var wg sync.WaitGroup
 			for i := range calls {
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -49,7 +49,7 @@
 		have, err := decode(row)
 		return err == nil && have.Write == rec.Write
 	}
-	versions, err := table.CommitSettled(ctx, s.cfg.Table, txn, mine)
+	versions, err := table.CommitAndResolve(ctx, s.cfg.Table, txn, mine)
 	if err == nil {
 		return versions[0], nil
 	}
--- a/controller/duties.go
+++ b/controller/duties.go
@@ -96,7 +96,7 @@
 	d.running[pool] = stop
 	d.mu.Unlock()
 	holder := lease.NewHolder(d.c.platform.Rows, lease.Config{
-		Pool: pool, Zone: d.c.process.Zone, Self: d.c.self,
+		Pool: pool, Zone: d.c.process.Zone, Identity: d.c.self,
 		Eligible: func() bool { return d.c.departed.Listed(d.c.process.VM) },
 		Rank:     func() int { return d.c.rank(pool) },
 	})
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -46,7 +46,7 @@
 				// Both have read the head before either commits.
 				z.rows.SetHook(func(c memtable.Call) memtable.Fault {
 					if c.Op == memtable.OpCommit {
-						return memtable.Fault{Slow: 100 * time.Millisecond}
+						return memtable.Fault{Delay: 100 * time.Millisecond}
 					}
 					return memtable.Fault{}
 				})
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -67,7 +67,7 @@
 		Withholder:   withholder{w},
 		Confirmer:    confirmer{c},
 		Departures:   c.departed,
-		EngineGone:   c.members.Gone,
+		EngineGone:   c.members.Removed,
 		OnStaleFence: holder.RaiseFloor,
 	}, 0)
 	p := &poolPlanner{
--- a/controller/takeover_test.go
+++ b/controller/takeover_test.go
@@ -76,7 +76,7 @@
 		holder := z.leases("language").Holder
 		z.rows.SetHook(func(c memtable.Call) memtable.Fault {
 			if c.Op == memtable.OpScan && c.Keys[0].Table == order.TableName {
-				return memtable.Fault{Slow: journalRead}
+				return memtable.Fault{Delay: journalRead}
 			}
 			return memtable.Fault{}
 		})
--- a/directory/stepback_test.go
+++ b/directory/stepback_test.go
@@ -14,7 +14,7 @@
 
 func version(t *testing.T, epoch, number uint64) table.Version {
 	t.Helper()
-	v, err := table.At(epoch, number)
+	v, err := table.NewVersion(epoch, number)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/duties/duties.go
+++ b/duties/duties.go
@@ -69,7 +69,7 @@
 // NewRunner returns a Runner that does not contend until Run is called.
 func NewRunner(cfg Config, duties ...Duty) *Runner {
 	return &Runner{cfg: cfg, duties: duties, holder: lease.NewHolder(cfg.Rows, lease.Config{
-		Pool: leasePool, Zone: leaseZone, Self: cfg.Self,
+		Pool: leasePool, Zone: leaseZone, Identity: cfg.Self,
 		TTL: leaseTTL, Renew: leaseRenew, Poll: leasePoll, Rank: cfg.Rank, Eligible: cfg.Eligible, Epoch: cfg.Epoch,
 	})}
 }
--- a/duties/usage/faults_test.go
+++ b/duties/usage/faults_test.go
@@ -87,7 +87,7 @@
 		}
 		switch outcome {
 		case responseLost:
-			return memtable.Fault{LoseAnswer: true}
+			return memtable.Fault{LoseResponse: true}
 		case notApplied:
 			return memtable.Fault{Fail: true}
 		case appliedLate:
--- a/duties/usage/region_test.go
+++ b/duties/usage/region_test.go
@@ -192,7 +192,7 @@
 		case f.ApplyAfter > 0:
 			time.AfterFunc(f.ApplyAfter, func() { _, _ = s.Service.Commit(context.Background(), txn) })
 			return nil, &table.UnknownError{Cause: errFault}
-		case f.LoseAnswer:
+		case f.LoseResponse:
 			_, _ = s.Service.Commit(ctx, txn)
 			return nil, &table.UnknownError{Cause: errFault}
 		}
--- a/duties/usage/reporter_test.go
+++ b/duties/usage/reporter_test.go
@@ -182,7 +182,7 @@
 func TestStoreRestore(t *testing.T) {
 	runRegion(t, 2, func(r *testRegion) {
 		r.serveFor(20 * time.Second)
-		backup := r.rows.Copy()
+		backup := r.rows.Backup()
 		w := windowNow()
 		r.serveFor(length + time.Second) // window w is committed and reported
 		if _, _, reported := r.platform.reported(w); !reported {
@@ -190,7 +190,7 @@
 		}
 		r.vms[0].kill()
 		r.vms[1].ledger.RequestStarted("south") // as if it had received more than the killed VM
-		r.rows.ComeBack(backup)
+		r.rows.Restore(backup)
 		r.mu.Lock()
 		r.epochSince = time.Now()
 		r.mu.Unlock()
--- a/feedshare/cache.go
+++ b/feedshare/cache.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		if at < after {
-			return nil, 0, &BehindError{Version: at, Known: after}
+			return nil, 0, &BehindError{Version: at, Local: after}
 		}
 		return nil, at, nil
 	}
--- a/feedshare/client.go
+++ b/feedshare/client.go
@@ -17,7 +17,7 @@
 )
 
 // Peers asks other VMs for tables. Its errors are *NotReaderError, *BehindError,
-// *SilentError and, from Changes, *table.HistoryGoneError.
+// *UnreachableError and, from Changes, *table.HistoryGoneError.
 type Peers interface {
 	List(ctx context.Context, address, name string) ([]table.Row, table.Version, error)
 	Changes(ctx context.Context, address, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error)
@@ -113,8 +113,8 @@
 		case twirp.OutOfRange:
 			return &table.HistoryGoneError{Table: name, After: after}
 		case twirp.Aborted:
-			return &BehindError{Known: after}
+			return &BehindError{Local: after}
 		}
 	}
-	return &SilentError{Address: address, Cause: err}
+	return &UnreachableError{Address: address, Cause: err}
 }
--- a/feedshare/client_test.go
+++ b/feedshare/client_test.go
@@ -20,7 +20,7 @@
 func serving(t *testing.T) (source *Source, address string) {
 	t.Helper()
 	store := memtable.New()
-	source = NewSource("t", Settings{Within: within}, store, NewClient(network.TCP()), func() Place { return Place{First: true} })
+	source = NewSource("t", Settings{PropagationLimit: within}, store, NewClient(network.TCP()), func() Position { return Position{First: true} })
 	server := httptest.NewServer(Handler(source))
 	t.Cleanup(server.Close)
 	return source, strings.TrimPrefix(server.URL, "http://")
@@ -63,7 +63,7 @@
 	if _, _, err := client.Changes(ctx, address, "t", 43, time.Second); !errors.As(err, &reader) {
 		t.Errorf("a VM without news: %v", err)
 	}
-	var silent *SilentError
+	var silent *UnreachableError
 	if _, _, err := client.List(ctx, address, "unknown"); !errors.As(err, &silent) {
 		t.Errorf("a table that is not followed: %v", err)
 	}
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, _, err = NewClient(network.TCP()).List(ctx, l.Addr().String(), "t")
-	var silent *SilentError
+	var silent *UnreachableError
 	if !errors.As(err, &silent) {
 		t.Errorf("got %v", err)
 	}
--- a/feedshare/errors.go
+++ b/feedshare/errors.go
@@ -20,46 +20,46 @@
 func (e *NotReaderError) Reason() failure.Reason { return failure.FeedNotReader }
 
 // BehindError is an answer of a VM that knows less than the one that asks.
-type BehindError struct{ Version, Known table.Version }
+type BehindError struct{ Version, Local table.Version }
 
 // Error implements error.
 func (e *BehindError) Error() string {
-	return fmt.Sprintf("the VM asked knows version %d, older than %d", e.Version, e.Known)
+	return fmt.Sprintf("the VM asked knows version %d, older than %d", e.Version, e.Local)
 }
 
 // Reason implements failure.Coded.
 func (e *BehindError) Reason() failure.Reason { return failure.FeedBehind }
 
-// SilentError is a VM that could not be reached or did not answer in time.
-type SilentError struct {
+// UnreachableError is a VM that could not be reached or did not answer in time.
+type UnreachableError struct {
 	Address string
 	Cause   error
 }
 
 // Error implements error.
-func (e *SilentError) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("no answer from VM at %s: %v", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *SilentError) Unwrap() error { return e.Cause }
+func (e *UnreachableError) Unwrap() error { return e.Cause }
 
 // Reason implements failure.Coded.
-func (e *SilentError) Reason() failure.Reason { return failure.FeedSilent }
+func (e *UnreachableError) Reason() failure.Reason { return failure.FeedSilent }
 
-// RestingError is a question not put to the store, which gave no answer a moment ago.
-type RestingError struct {
+// CooldownError is a question not put to the store, which gave no answer a moment ago.
+type CooldownError struct {
 	Table string
 	Cause error
 }
 
 // Error implements error.
-func (e *RestingError) Error() string {
+func (e *CooldownError) Error() string {
 	return fmt.Sprintf("the store was away a moment ago, it is not asked for table %s yet: %v", e.Table, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *RestingError) Unwrap() error { return e.Cause }
+func (e *CooldownError) Unwrap() error { return e.Cause }
 
 // Reason implements failure.Coded.
-func (e *RestingError) Reason() failure.Reason { return failure.TableUnavailable }
+func (e *CooldownError) Reason() failure.Reason { return failure.TableUnavailable }
--- a/feedshare/feedshare.go
+++ b/feedshare/feedshare.go
@@ -28,9 +28,9 @@
 	// listTimeout bounds reading a whole table from another VM: three thousand endpoints
 	// are under a megabyte, which takes a VM's link of 20 Mbit/s 0.4 s.
 	listTimeout = 1500 * time.Millisecond
-	// PlaceInterval is how often a VM that waits for another's answer looks whether that one
+	// PositionInterval is how often a VM that waits for another's answer looks whether that one
 	// still has its place.
-	PlaceInterval = 100 * time.Millisecond
+	PositionInterval = 100 * time.Millisecond
 	// doubt is how long a VM that gave no answer is not asked again. The VMs that it
 	// served ask the store meanwhile, with a wait that makes this cost a call or two each.
 	doubt = 3 * time.Second
@@ -56,29 +56,29 @@
 
 // Settings are what a Source works with.
 type Settings struct {
-	// Within is the time within which a change must be known everywhere. A third of it
+	// PropagationLimit is the time within which a change must be known everywhere. A third of it
 	// is how long a question waits on a VM that serves others, or that others serve: a
 	// source that fell silent is found in that time, and what is left is for asking
 	// the store.
-	Within time.Duration
-	// Gather is how long changes are left to gather at the store after some were read.
-	Gather time.Duration
+	PropagationLimit time.Duration
+	// CoalesceInterval is how long changes are left to gather at the store after some were read.
+	CoalesceInterval time.Duration
 }
 
-func (s Settings) wait() time.Duration { return s.Within / 3 }
+func (s Settings) wait() time.Duration { return s.PropagationLimit / 3 }
 
-// Place is where a VM stands among those of its zone.
-type Place struct {
-	// Before are the addresses of the VMs that this one may ask, best first: some of those
+// Position is where a VM stands among those of its zone.
+type Position struct {
+	// PrecedingPeers are the addresses of the VMs that this one may ask, best first: some of those
 	// that come before it in the order of the zone.
-	Before []string
+	PrecedingPeers []string
 	// First is set on the VM that the others of the zone ask first.
 	First bool
 	// Rank is this VM's place among those of the region, from 0.
 	Rank int
-	// Elsewhere are VMs to ask when neither those before this one nor the store give an answer:
+	// PeersOutsideZone are VMs to ask when neither those before this one nor the store give an answer:
 	// the store may have turned away this VM, or its whole zone, and not them.
-	Elsewhere []string
+	PeersOutsideZone []string
 }
 
 // Source follows one table, from the store or from a VM that does. It implements
@@ -90,7 +90,7 @@
 	settings Settings
 	store    table.Feed
 	peers    Peers
-	place    func() Place
+	place    func() Position
 	cache    *cache
 
 	// The fields below belong to the follower.
@@ -112,9 +112,9 @@
 }
 
 // NewSource returns a source of one table.
-func NewSource(name string, s Settings, store table.Feed, peers Peers, place func() Place) *Source {
+func NewSource(name string, s Settings, store table.Feed, peers Peers, place func() Position) *Source {
 	return &Source{
 		table: name, settings: s, store: store, peers: peers, place: place,
-		cache: newCache(s.Gather + s.wait() + storeSlack), doubted: map[string]time.Time{}, from: fromStore,
+		cache: newCache(s.CoalesceInterval + s.wait() + storeSlack), doubted: map[string]time.Time{}, from: fromStore,
 	}
 }
--- a/feedshare/follow_test.go
+++ b/feedshare/follow_test.go
@@ -108,7 +108,7 @@
 // questions to these, and goes back to its own once it can.
 func TestZoneThatLosesTheStoreLearnsFromOthers(t *testing.T) {
 	for _, lost := range []fault{cutFromStore, deafToStore} {
-		z := &zone{settings: Settings{Within: within, Gather: within / 12}, zones: 3}
+		z := &zone{settings: Settings{PropagationLimit: within, CoalesceInterval: within / 12}, zones: 3}
 		playZones(t, z, 60, func(z *zone) {
 			z.put("a", "old")
 			time.Sleep(10 * time.Second)
@@ -174,7 +174,7 @@
 // did not know then that others would ask it: a first question that waits for long leaves it without
 // an answer that it may pass on.
 func TestVMsThatStartAskTheFirstOfTheirZone(t *testing.T) {
-	z := &zone{settings: Settings{Within: within, Gather: within / 12}, zones: 3, headStart: 100 * time.Millisecond}
+	z := &zone{settings: Settings{PropagationLimit: within, CoalesceInterval: within / 12}, zones: 3, headStart: 100 * time.Millisecond}
 	playZones(t, z, 60, func(z *zone) {
 		time.Sleep(5 * time.Second)
 		if n := z.asked(); n > 30 {
@@ -233,7 +233,7 @@
 				z.put("a", "old")
 				z.put("b", "old")
 				time.Sleep(10 * time.Second)
-				copied := z.store.Copy()
+				copied := z.store.Backup()
 				for n := range 5 {
 					z.put("a", fmt.Sprint("lost ", n))
 				}
@@ -243,7 +243,7 @@
 					z.vms[i].set(f)
 					excepted = append(excepted, i)
 				}
-				z.store.ComeBack(copied)
+				z.store.Restore(copied)
 				for n := range 9 { // past the versions that were lost
 					z.put("b", fmt.Sprint("new ", n))
 				}
--- a/feedshare/news_test.go
+++ b/feedshare/news_test.go
@@ -37,7 +37,7 @@
 		for _, n := range []int{9, 30, 300} {
 			t.Run(fmt.Sprintf("%s, %d VMs", tc.name, n), func(t *testing.T) {
 				t.Parallel()
-				z := &zone{settings: Settings{Within: bound, Gather: bound / 3}, zones: min(n, 3), notices: true, delay: tc.delay, forgets: tc.forgets}
+				z := &zone{settings: Settings{PropagationLimit: bound, CoalesceInterval: bound / 3}, zones: min(n, 3), notices: true, delay: tc.delay, forgets: tc.forgets}
 				if n < readersFrom {
 					z.zones = n // each VM asks the store itself
 				}
--- a/feedshare/source.go
+++ b/feedshare/source.go
@@ -18,9 +18,9 @@
 
 var _ table.Feed = (*Source)(nil)
 
-// Confirmed returns when the last question was asked that the store itself answered, or zero: all
+// ConfirmedAt returns when the last question was asked that the store itself answered, or zero: all
 // that was acknowledged before that is known here. Only the follower may call it.
-func (s *Source) Confirmed() time.Time { return s.current }
+func (s *Source) ConfirmedAt() time.Time { return s.current }
 
 // Version is that of what was last read, from wherever.
 func (s *Source) Version() table.Version { return s.cache.at() }
@@ -30,7 +30,7 @@
 
 // List implements table.Feed.
 func (s *Source) List(ctx context.Context, name string) ([]table.Row, table.Version, error) {
-	for _, address := range s.trusted(s.place().Before) {
+	for _, address := range s.trusted(s.place().PrecedingPeers) {
 		ctx, cancel := s.whileReader(ctx, address, listTimeout)
 		rows, at, err := s.listPeer(ctx, address, name)
 		cancel()
@@ -43,7 +43,7 @@
 	if err == nil {
 		return rows, at, nil
 	}
-	for _, address := range s.trusted(s.place().Elsewhere) {
+	for _, address := range s.trusted(s.place().PeersOutsideZone) {
 		ctx, cancel := clock.WithTimeout(ctx, listTimeout)
 		rows, at, failed := s.listPeer(ctx, address, name)
 		cancel()
@@ -59,7 +59,7 @@
 func (s *Source) listPeer(ctx context.Context, address, name string) ([]table.Row, table.Version, error) {
 	rows, at, err := s.peers.List(ctx, address, name)
 	if err == nil && at < s.cache.at() {
-		err = &BehindError{Version: at, Known: s.cache.at()}
+		err = &BehindError{Version: at, Local: s.cache.at()}
 	}
 	if err != nil {
 		return nil, 0, err
@@ -88,7 +88,7 @@
 // Changes implements table.Feed.
 func (s *Source) Changes(ctx context.Context, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
 	short := min(wait, s.settings.wait())
-	for _, address := range s.trusted(s.place().Before) {
+	for _, address := range s.trusted(s.place().PrecedingPeers) {
 		asking, cancel := s.whileReader(ctx, address, short+peerWaitMargin)
 		changes, next, err := s.changesOfPeer(asking, address, name, after, short)
 		cancel()
@@ -101,7 +101,7 @@
 	if err == nil || isGone(err) {
 		return changes, next, err
 	}
-	for _, address := range s.trusted(s.place().Elsewhere) {
+	for _, address := range s.trusted(s.place().PeersOutsideZone) {
 		asking, cancel := clock.WithTimeout(ctx, short+peerWaitMargin)
 		changes, next, failed := s.changesOfPeer(asking, address, name, after, short)
 		cancel()
@@ -133,8 +133,8 @@
 // silent loses it within half a second, and news must not wait until a question to it times out.
 func (s *Source) whileReader(ctx context.Context, address string, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := clock.WithTimeout(ctx, limit)
-	go loop.Every(ctx, PlaceInterval, func() {
-		if !slices.Contains(s.place().Before, address) {
+	go loop.Every(ctx, PositionInterval, func() {
+		if !slices.Contains(s.place().PrecedingPeers, address) {
 			cancel()
 		}
 	})
@@ -162,7 +162,7 @@
 	}
 	came := clock.Now()
 	if len(changes) > 0 {
-		s.gatherUntil = came.Add(s.settings.Gather)
+		s.gatherUntil = came.Add(s.settings.CoalesceInterval)
 		s.date(changes, asked, came)
 	}
 	s.current = asked
@@ -238,7 +238,7 @@
 // resting returns why the store is left alone now, or nil.
 func (s *Source) resting() error {
 	if clock.Now().Before(s.restUntil) {
-		return &RestingError{Table: s.table, Cause: s.away}
+		return &CooldownError{Table: s.table, Cause: s.away}
 	}
 	return nil
 }
@@ -252,7 +252,7 @@
 	s.cache.lost()
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_feed_lost_total{table=%q}`, s.table)).Inc()
 	place := s.place()
-	if len(place.Before) == 0 {
+	if len(place.PrecedingPeers) == 0 {
 		return
 	}
 	clear(s.doubted)
--- a/feedshare/zone_test.go
+++ b/feedshare/zone_test.go
@@ -78,7 +78,7 @@
 
 // play runs n VMs of a zone in virtual time.
 func play(t *testing.T, n int, steps func(z *zone)) {
-	playZones(t, &zone{settings: Settings{Within: within, Gather: within / 3}, zones: 1}, n, steps)
+	playZones(t, &zone{settings: Settings{PropagationLimit: within, CoalesceInterval: within / 3}, zones: 1}, n, steps)
 }
 
 // playZones runs n VMs in virtual time.
@@ -116,10 +116,10 @@
 const noticed = 400 * time.Millisecond
 
 // place is where the VM stands among those of its zone that are not known to be silent.
-func (v *vm) place() Place {
+func (v *vm) place() Position {
 	z := v.zone
 	if time.Since(z.begun) < z.headStart {
-		return Place{}
+		return Position{}
 	}
 	var before []string
 	first := true
@@ -138,7 +138,7 @@
 			elsewhere = append(elsewhere, fmt.Sprint(i))
 		}
 	}
-	return Place{Before: before, First: first, Rank: v.index, Elsewhere: elsewhere}
+	return Position{PrecedingPeers: before, First: first, Rank: v.index, PeersOutsideZone: elsewhere}
 }
 
 // silentFor is how long the VM has said nothing to the others.
@@ -173,7 +173,7 @@
 				}
 			}
 		},
-		OnLost: func(error) {
+		OnUnavailable: func(error) {
 			v.mu.Lock()
 			defer v.mu.Unlock()
 			v.lost++
@@ -263,14 +263,14 @@
 func (p peersOf) reach(ctx context.Context, address string) (*vm, error) {
 	var index int
 	if _, err := fmt.Sscan(address, &index); err != nil {
-		return nil, &SilentError{Address: address, Cause: err}
+		return nil, &UnreachableError{Address: address, Cause: err}
 	}
 	to := p.vm.zone.vms[index]
 	if to.is(frozen) {
 		<-ctx.Done()
 	}
 	if to.is(unreachable) || ctx.Err() != nil {
-		return nil, &SilentError{Address: address, Cause: errCut}
+		return nil, &UnreachableError{Address: address, Cause: errCut}
 	}
 	time.Sleep(time.Millisecond)
 	return to, nil
@@ -297,7 +297,7 @@
 	defer cancel()
 	if to.is(behind) {
 		<-ctx.Done()
-		return nil, 0, &BehindError{Version: after - 1, Known: after}
+		return nil, 0, &BehindError{Version: after - 1, Local: after}
 	}
 	return to.source.cache.changes(ctx, name, after)
 }
--- a/forward/recheck_test.go
+++ b/forward/recheck_test.go
@@ -81,7 +81,7 @@
 		router.Ledger = new(fakeforward.Ledger)
 		router.Recheck = leavesAt("a", time.Second)
 		table := memtable.New()
-		table.SetFault(memtable.Fault{Slow: 2 * time.Second})
+		table.SetFault(memtable.Fault{Delay: 2 * time.Second})
 		f := forward.New(forward.Config{
 			Router: router, Admitter: fakeforward.Open{}, MaxAttempts: 1,
 			Claims: claim.NewStore(claim.Config{Table: table}),
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -36,7 +36,7 @@
 // newDrainBudget divides a time. What the fixed parts leave is for gathering, up to a part of the
 // whole; with a time that is too short for them nothing gathers.
 func newDrainBudget(within time.Duration) drainBudget {
-	b := drainBudget{reader: loadshare.CollectorTimeout + feedshare.PlaceInterval, store: slowStore, write: lastWrite}
+	b := drainBudget{reader: loadshare.CollectorTimeout + feedshare.PositionInterval, store: slowStore, write: lastWrite}
 	b.gather = max(0, min(within/gatherPart, within-b.reader-b.store-b.write))
 	return b
 }
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -29,10 +29,10 @@
 			}
 		},
 		OnChanges: g.changeEndpoints,
-		OnLost: func(err error) {
+		OnUnavailable: func(err error) {
 			klog.InfoS("gateway: endpoints cannot be followed, the known ones stay", "err", err)
 		},
-		OnRegained: func(away time.Duration) {
+		OnRecovered: func(away time.Duration) {
 			klog.InfoS("gateway: endpoints are followed again", "away", away)
 		},
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -35,15 +35,15 @@
 				version = g.takeConfigChange(c, version)
 			}
 		},
-		OnAnswered: func() {
+		OnResponse: func() {
 			g.stored.Store(&storedConfig{at: g.configs.Version(), version: version})
-			g.confirmConfig(version, g.configs.Confirmed())
+			g.confirmConfig(version, g.configs.ConfirmedAt())
 		},
-		OnLost: func(err error) {
+		OnUnavailable: func(err error) {
 			g.state.configLost.Store(time.Now().UnixNano())
 			klog.InfoS("gateway: configuration cannot be followed", "err", err)
 		},
-		OnRegained: func(away time.Duration) {
+		OnRecovered: func(away time.Duration) {
 			g.state.configLost.Store(0)
 			klog.InfoS("gateway: configuration is followed again", "away", away)
 		},
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -34,7 +34,7 @@
 func (g *Gateway) newSources() {
 	peers := feedshare.NewClient(g.network)
 	source := func(name string, within, gather time.Duration) *feedshare.Source {
-		return feedshare.NewSource(name, feedshare.Settings{Within: within, Gather: gather}, g.platform.Feed, peers, g.place)
+		return feedshare.NewSource(name, feedshare.Settings{PropagationLimit: within, CoalesceInterval: gather}, g.platform.Feed, peers, g.place)
 	}
 	drain, apply := g.settings.DrainWithin, g.settings.ApplyWithin
 	g.configs = source(g.platform.Config.Table, apply, gatherConfig)
@@ -44,14 +44,14 @@
 }
 
 // place tells which VMs of the zone this one may ask.
-func (g *Gateway) place() feedshare.Place {
-	var place feedshare.Place
+func (g *Gateway) place() feedshare.Position {
+	var place feedshare.Position
 	for _, p := range g.exchange.PrecedingPeers(readersBefore) {
-		place.Before = append(place.Before, p.Address.String())
+		place.PrecedingPeers = append(place.PrecedingPeers, p.Address.String())
 	}
 	place.First, place.Rank = g.exchange.IsCollector(), g.exchange.Rank()
 	for _, p := range g.exchange.PeersOutsideZone(readersElsewhere) {
-		place.Elsewhere = append(place.Elsewhere, p.Address.String())
+		place.PeersOutsideZone = append(place.PeersOutsideZone, p.Address.String())
 	}
 	return place
 }
--- a/internal/history/faults.go
+++ b/internal/history/faults.go
@@ -32,16 +32,16 @@
 // TableFaults makes a table lose answers, apply late, refuse and lag.
 func TableFaults(d *Dice) func(memtable.Call) memtable.Fault {
 	return func(memtable.Call) memtable.Fault {
-		f := memtable.Fault{Slow: d.Millis(10)}
+		f := memtable.Fault{Delay: d.Millis(10)}
 		switch d.Roll(10) {
 		case 0:
-			f.LoseAnswer = true
+			f.LoseResponse = true
 		case 1:
 			f.ApplyAfter = d.Millis(1000)
 		case 2:
 			f.Fail = true
 		case 3:
-			f.Slow = d.Millis(400)
+			f.Delay = d.Millis(400)
 		}
 		return f
 	}
--- a/lease/config.go
+++ b/lease/config.go
@@ -17,7 +17,7 @@
 // Config says which lease to contend for, as whom and at what pace.
 type Config struct {
 	Pool, Zone string
-	Self       Identity
+	Identity   Identity
 	// TTL is how long a lease lasts; Renew is the time between renewals; Poll
 	// is the mean time between a contender's reads. Zero takes the default.
 	TTL, Renew, Poll time.Duration
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -80,7 +80,7 @@
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	c := &contender{stop: stop, done: make(chan struct{})}
-	c.holder = NewHolder(v, Config{Pool: "chat", Zone: "a", Self: Identity{VM: name, Process: name, Address: name}, Epoch: v.Epoch})
+	c.holder = NewHolder(v, Config{Pool: "chat", Zone: "a", Identity: Identity{VM: name, Process: name, Address: name}, Epoch: v.Epoch})
 	go func() {
 		defer close(c.done)
 		c.holder.Run(ctx, func(ctx context.Context, l *Lease) {
@@ -124,19 +124,19 @@
 
 func stepBack(t *testing.T, phase int, released, cut, fresh bool) {
 	m := memtable.New()
-	m.ComeBack(m.Copy()) // an epoch before, so that processes know one
+	m.Restore(m.Backup()) // an epoch before, so that processes know one
 	views := map[string]*view{}
 	begin := func(name string) *contender {
 		views[name] = &view{Table: m}
 		return startSeeing(t, views[name], name)
 	}
-	c := m.Copy()
+	c := m.Backup()
 	if released {
 		first := begin("first")
 		until(t, "the first tenure", first.holds)
 		first.stop()
 		<-first.done
-		c = m.Copy()
+		c = m.Backup()
 	}
 	second := begin("second")
 	until(t, "the second tenure", second.holds)
@@ -147,7 +147,7 @@
 	}
 	time.Sleep(time.Duration(phase) * DefaultRenew / 7)
 	views["second"].setCut(cut)
-	m.ComeBack(c)
+	m.Restore(c)
 	if fresh {
 		third = begin("third")
 	}
@@ -198,19 +198,19 @@
 func TestWriteThatOutlivesAnEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
-		m.ComeBack(m.Copy())
-		empty := m.Copy()
+		m.Restore(m.Backup())
+		empty := m.Backup()
 		slow, other := &view{Table: m, held: 3 * time.Second}, &view{Table: m}
 		c := startSeeing(t, slow, "slow")
 		until(t, "the write that is held up", slow.isCut)
 		other.epoch = m.Epoch()
-		h := NewHolder(other, Config{Pool: "chat", Zone: "a", Self: Identity{VM: "other", Process: "other"}, Epoch: other.Epoch})
+		h := NewHolder(other, Config{Pool: "chat", Zone: "a", Identity: Identity{VM: "other", Process: "other"}, Epoch: other.Epoch})
 		l, err := h.take(t.Context(), table.Row{}, Record{}, m.Epoch())
 		if err != nil {
 			t.Fatal(err)
 		}
 		other.setCut(true)
-		m.ComeBack(empty)
+		m.Restore(empty)
 		time.Sleep(4 * time.Second) // the write has come into effect
 		slow.setCut(false)
 		for range 100 {
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -237,7 +237,7 @@
 func (l *Lease) record() Record {
 	return Record{
 		WriteID:   rand.Text(),
-		Holder:    l.cfg.Self,
+		Holder:    l.cfg.Identity,
 		Fence:     l.fence,
 		TTLMillis: l.cfg.TTL.Milliseconds(),
 		Epoch:     l.epoch,
@@ -252,7 +252,7 @@
 		Writes: []table.Write{{Key: key, Value: rec.encode()}},
 	}
 	mine := func(row table.Row) bool { return wroteBy(row, rec.WriteID) }
-	versions, err := table.CommitSettled(ctx, l.svc, txn, mine)
+	versions, err := table.CommitAndResolve(ctx, l.svc, txn, mine)
 	if err != nil {
 		return table.Absent, err
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -47,7 +47,7 @@
 func (l *Lease) First() bool { return l.first }
 
 // Holder returns the process that holds the lease.
-func (l *Lease) Holder() Identity { return l.cfg.Self }
+func (l *Lease) Holder() Identity { return l.cfg.Identity }
 
 // Pool returns the name of the pool.
 func (l *Lease) Pool() string { return l.cfg.Pool }
@@ -80,7 +80,7 @@
 // Commit applies txn only if this lease still stands in the table, in the same
 // transaction, and settles a lost answer: mine tells whether a row read back
 // holds this write's own id. Each write must be checked by txn itself. Errors
-// are *LostError, or those of table.CommitSettled for txn.
+// are *LostError, or those of table.CommitAndResolve for txn.
 //
 // Invariant: a renewal changes the row's version but not its fence, so a check
 // at any version of this tenure proves the fence. A conflict on the lease's row
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 		guarded := table.Txn{Checks: l.guarded(txn.Checks), Writes: txn.Writes}
-		versions, err := table.CommitSettled(ctx, l.svc, guarded, mine)
+		versions, err := table.CommitAndResolve(ctx, l.svc, guarded, mine)
 		var conflict *table.ConflictError
 		if !errors.As(err, &conflict) {
 			return versions, err
@@ -150,7 +150,7 @@
 	if err != nil {
 		return false
 	}
-	return rec.Fence == l.fence && rec.Holder.Process == l.cfg.Self.Process && !rec.Released
+	return rec.Fence == l.fence && rec.Holder.Process == l.cfg.Identity.Process && !rec.Released
 }
 
 // renewed notes a renewal that was sent at sent and committed at version.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -49,10 +49,10 @@
 	ctx, stop := context.WithCancel(t.Context())
 	c := &contender{stop: stop, done: make(chan struct{})}
 	c.holder = NewHolder(c.Table(svc), Config{
-		Pool: "chat",
-		Zone: "a",
-		Self: Identity{VM: name, Process: name, Address: name},
-		Rank: func() int { return rank },
+		Pool:     "chat",
+		Zone:     "a",
+		Identity: Identity{VM: name, Process: name, Address: name},
+		Rank:     func() int { return rank },
 	})
 	go func() {
 		defer close(c.done)
@@ -145,7 +145,7 @@
 func TestCommitChecksTheRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
-		h := NewHolder(svc, Config{Pool: "chat", Zone: "a", Self: Identity{Process: "old"}})
+		h := NewHolder(svc, Config{Pool: "chat", Zone: "a", Identity: Identity{Process: "old"}})
 		old, err := h.take(t.Context(), table.Row{}, Record{}, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -163,7 +163,7 @@
 		if err := write(table.Absent); err != nil {
 			t.Errorf("after a renewal: %v", err)
 		}
-		successor := NewHolder(svc, Config{Pool: "chat", Zone: "a", Self: Identity{Process: "new"}})
+		successor := NewHolder(svc, Config{Pool: "chat", Zone: "a", Identity: Identity{Process: "new"}})
 		rows, _ := svc.Get(t.Context(), Key("chat", "a"))
 		rec, _ := Decode(rows[0])
 		if _, err := successor.take(t.Context(), rows[0], rec, 0); err != nil {
@@ -232,7 +232,7 @@
 			calls++
 			switch calls % 4 {
 			case 0:
-				return memtable.Fault{LoseAnswer: true}
+				return memtable.Fault{LoseResponse: true}
 			case 1:
 				return memtable.Fault{ApplyAfter: 300 * time.Millisecond}
 			}
--- a/loads/budget_test.go
+++ b/loads/budget_test.go
@@ -87,7 +87,7 @@
 		rows := memtable.New()
 		b := budgetOf(rows, "p1", "a")
 		v := read(t, b, 0)
-		rows.SetFault(memtable.Fault{LoseAnswer: applied, Fail: !applied})
+		rows.SetFault(memtable.Fault{LoseResponse: applied, Fail: !applied})
 		if err := b.Claim(context.Background(), v.Slots[0], "w", want("e", "x", 1)); err == nil {
 			t.Fatal("the fault was not injected")
 		}
--- a/membership/client.go
+++ b/membership/client.go
@@ -13,7 +13,7 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// ListPath is the HTTP path of the list. A GET returns a ListAnswer with an
+// ListPath is the HTTP path of the list. A GET returns a ListResponse with an
 // ETag, or 304 when If-None-Match names the present one. With ZoneParameter the
 // answer leaves out the endpoints of other zones.
 const (
@@ -21,13 +21,13 @@
 	ZoneParameter = "zone"
 )
 
-// ListAnswer is the answer to a request for the list.
-type ListAnswer struct {
+// ListResponse is the answer to a request for the list.
+type ListResponse struct {
 	VMs []VM `json:"vms"`
 }
 
-// AnswerError is an answer that the client does not understand.
-type AnswerError struct {
+// ResponseError is an answer that the client does not understand.
+type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
 	// Cause is the failure to decode, or nil.
@@ -35,15 +35,15 @@
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	return fmt.Sprintf("membership answer with status %d not understood: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
-func (e *AnswerError) Reason() failure.Reason { return failure.MembershipUnavailable }
+func (e *ResponseError) Reason() failure.Reason { return failure.MembershipUnavailable }
 
 // Unwrap returns the cause.
-func (e *AnswerError) Unwrap() error { return e.Cause }
+func (e *ResponseError) Unwrap() error { return e.Cause }
 
 // Client reads the platform's list over HTTP/JSON. It fetches the list again
 // only when it changed, as a large fleet's list is too long for every poll.
@@ -83,7 +83,7 @@
 	case a.Status == http.StatusNotModified && etag != "":
 		return slices.Clone(known), nil
 	case a.Status != http.StatusOK:
-		return nil, &UnavailableError{Cause: &AnswerError{Status: a.Status}}
+		return nil, &UnavailableError{Cause: &ResponseError{Status: a.Status}}
 	}
 	// A body that lacks the field must not pass for an empty list, which would
 	// declare every VM gone.
@@ -91,7 +91,7 @@
 		VMs *[]VM `json:"vms"`
 	}
 	if err := json.Unmarshal(a.Body, &answer); err != nil || answer.VMs == nil {
-		return nil, &UnavailableError{Cause: &AnswerError{Status: a.Status, Cause: err}}
+		return nil, &UnavailableError{Cause: &ResponseError{Status: a.Status, Cause: err}}
 	}
 	c.keep(*answer.VMs, a.Header.Get("ETag"))
 	return slices.Clone(*answer.VMs), nil
--- a/membership/fakelist/fakelist.go
+++ b/membership/fakelist/fakelist.go
@@ -90,8 +90,8 @@
 	l.down = down
 }
 
-// SetSlow sets how long each read takes.
-func (l *List) SetSlow(d time.Duration) {
+// SetDelay sets how long each read takes.
+func (l *List) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow = d
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -39,15 +39,15 @@
 	ReadAt time.Time
 }
 
-// Known tells whether the list was ever read.
-func (s Snapshot) Known() bool { return !s.ReadAt.IsZero() }
+// Loaded tells whether the list was ever read.
+func (s Snapshot) Loaded() bool { return !s.ReadAt.IsZero() }
 
 // Age is how old the list is at now, apart from the platform's own lag.
 func (s Snapshot) Age(now time.Time) time.Duration { return now.Sub(s.ReadAt) }
 
 // Watcher polls a List and keeps the last good one.
 //
-// Invariant: once Gone(name) is true and while it is remembered, the VM is in no
+// Invariant: once Removed(name) is true and while it is remembered, the VM is in no
 // snapshot, even if an older copy of the list shows it again. A VM that was
 // never seen, or is merely missing at first, is not gone.
 type Watcher struct {
@@ -118,8 +118,8 @@
 	return w.snapshot
 }
 
-// Gone tells whether the VM was listed and then dropped. False means not known.
-func (w *Watcher) Gone(name string) bool {
+// Removed tells whether the VM was listed and then dropped. False means not known.
+func (w *Watcher) Removed(name string) bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.gone[name]
@@ -141,7 +141,7 @@
 	}
 	old := byName(w.snapshot.VMs)
 	kept := make([]VM, 0, len(vms))
-	changed := !w.snapshot.Known()
+	changed := !w.snapshot.Loaded()
 	for _, vm := range vms {
 		if w.gone[vm.Name] {
 			continue
--- a/membership/watcher_test.go
+++ b/membership/watcher_test.go
@@ -65,7 +65,7 @@
 			}
 			gone := ""
 			for _, name := range []string{"a", "b", "c", "never"} {
-				if w.Gone(name) {
+				if w.Removed(name) {
 					gone += name
 				}
 			}
@@ -93,7 +93,7 @@
 		list := fakelist.New(vm("a"))
 		list.SetLag(5 * time.Second)
 		w := membership.NewWatcher(list, membership.WatcherConfig{})
-		if w.Snapshot().Known() {
+		if w.Snapshot().Loaded() {
 			t.Error("known before the first read")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -111,18 +111,18 @@
 		if got := names(w.Snapshot()); got != "ab" {
 			t.Errorf("after the lag: %q", got)
 		}
-		list.SetSlow(time.Hour)
+		list.SetDelay(time.Hour)
 		time.Sleep(time.Minute)
 		s := w.Snapshot()
 		age := s.Age(time.Now())
 		if names(s) != "ab" || age < time.Minute || age > 62*time.Second {
 			t.Errorf("while down: %q, age %v", names(s), age)
 		}
-		list.SetSlow(0)
+		list.SetDelay(0)
 		list.Remove("a")
 		time.Sleep(10 * time.Second)
 		s = w.Snapshot()
-		if names(s) != "b" || !w.Gone("a") || s.Age(time.Now()) > 2*time.Second {
+		if names(s) != "b" || !w.Removed("a") || s.Age(time.Now()) > 2*time.Second {
 			t.Errorf("after: %q, age %v", names(s), s.Age(time.Now()))
 		}
 		cancel()
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 	}
-	if w.Gone("0") || !w.Gone(fmt.Sprint(n-2)) {
-		t.Errorf("first gone: %v, last gone: %v", w.Gone("0"), w.Gone(fmt.Sprint(n-2)))
+	if w.Removed("0") || !w.Removed(fmt.Sprint(n-2)) {
+		t.Errorf("first gone: %v, last gone: %v", w.Removed("0"), w.Removed(fmt.Sprint(n-2)))
 	}
 }
--- a/operator/history/history_test.go
+++ b/operator/history/history_test.go
@@ -53,7 +53,7 @@
 	rows.SetHook(func(c memtable.Call) memtable.Fault {
 		first := c.Op == memtable.OpCommit && !lost
 		lost = lost || first
-		return memtable.Fault{LoseAnswer: first}
+		return memtable.Fault{LoseResponse: first}
 	})
 	state, err := client.PutConfig(ctx, edit(0, text, "w1"))
 	if err != nil || !lost {
--- a/order/departed.go
+++ b/order/departed.go
@@ -43,12 +43,12 @@
 // Gone implements Departures.
 func (d *Departed) Gone(vm string) bool {
 	snapshot := d.Watcher.Snapshot()
-	if d.Watcher.Gone(vm) {
+	if d.Watcher.Removed(vm) {
 		return true
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !snapshot.Known() || listed(snapshot, vm) {
+	if !snapshot.Loaded() || listed(snapshot, vm) {
 		delete(d.missing, vm)
 		return false
 	}
--- a/order/gate_test.go
+++ b/order/gate_test.go
@@ -58,7 +58,7 @@
 // withLease runs lead once under a lease.
 func withLease(t *testing.T, self lease.Identity, svc *memtable.Table, lead func(context.Context, *lease.Lease)) {
 	ctx, stop := context.WithCancel(t.Context())
-	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Self: self})
+	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Identity: self})
 	holder.Run(ctx, func(ctx context.Context, l *lease.Lease) {
 		lead(ctx, l)
 		stop()
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -115,7 +115,7 @@
 	p.answers = NewResponder(p.gate, p.self, Timing{})
 	line := &fakeorder.Line{Process: &p.Process, Withholder: w.entry, Network: w.network, RestoreFails: w.restoreFails}
 	svc := p.Table(w.table)
-	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Self: p.self})
+	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Identity: p.self})
 	p.executor = NewExecutor(Config{
 		Journal:      NewJournal(svc),
 		Gate:         p.gate,
--- a/poison/restore_test.go
+++ b/poison/restore_test.go
@@ -35,7 +35,7 @@
 			time.Sleep(time.Second)
 		}
 		quarantine(removed)
-		backup := backend.Copy()
+		backup := backend.Backup()
 		quarantine(lost)
 		for _, l := range ledgers {
 			l.Clear(removed.Key, anyOrigin)
@@ -50,7 +50,7 @@
 			}
 			return memtable.Fault{}
 		})
-		backend.ComeBack(backup)
+		backend.Restore(backup)
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
 			for i, l := range ledgers {
--- a/poison/store.go
+++ b/poison/store.go
@@ -200,9 +200,9 @@
 func (q *QuarantineStore) follow(ctx context.Context) {
 	f := &table.Follower{
 		Feed: q.feed, Table: Table, Wait: followWait,
-		OnList:    func(rows []table.Row, l table.Listing) { q.applyListing(rows, l.NewEpoch) },
-		OnChanges: func(changes []table.Change, _ bool) { q.applyChanges(changes) },
-		OnLost:    func(err error) { klog.InfoS("poison: table cannot be followed, the known entries remain", "err", err) },
+		OnList:        func(rows []table.Row, l table.Listing) { q.applyListing(rows, l.NewEpoch) },
+		OnChanges:     func(changes []table.Change, _ bool) { q.applyChanges(changes) },
+		OnUnavailable: func(err error) { klog.InfoS("poison: table cannot be followed, the known entries remain", "err", err) },
 	}
 	f.Run(ctx)
 }
--- a/rollout/random_test.go
+++ b/rollout/random_test.go
@@ -134,7 +134,7 @@
 	case 7:
 		f.Rows.SetDown(rng.IntN(4) == 0)
 	case 8:
-		f.Rows.SetFault(memtable.Fault{Slow: time.Duration(rng.IntN(1500)) * time.Millisecond})
+		f.Rows.SetFault(memtable.Fault{Delay: time.Duration(rng.IntN(1500)) * time.Millisecond})
 	case 9:
 		n.Table.SetCut(rng.IntN(2) == 0)
 	case 10:
@@ -166,7 +166,7 @@
 		}
 		switch rng.IntN(8) {
 		case 0:
-			return memtable.Fault{LoseAnswer: true}
+			return memtable.Fault{LoseResponse: true}
 		case 1:
 			return memtable.Fault{ApplyAfter: time.Duration(rng.IntN(10_000)) * time.Millisecond}
 		default:
--- a/rollout/store.go
+++ b/rollout/store.go
@@ -93,7 +93,7 @@
 // commit settles a lost answer. The row of the version is never written again,
 // so it still tells whose write made it when the head has long moved on.
 func (s *Store) commit(ctx context.Context, e Edit, txn table.Txn) (Version, error) {
-	_, err := table.CommitSettled(ctx, s.rows, txn, func(row table.Row) bool {
+	_, err := table.CommitAndResolve(ctx, s.rows, txn, func(row table.Row) bool {
 		entry, err := decodeRow[Entry](row)
 		return err == nil && row.Key == VersionKey(e.Base+1) && entry.WriteID == e.WriteID
 	})
--- a/rollout/syncer_test.go
+++ b/rollout/syncer_test.go
@@ -82,7 +82,7 @@
 	const slow = contact.Lapse - time.Second
 	sync := map[string]func(t *testing.T, r *rig) error{
 		"table": func(t *testing.T, r *rig) error {
-			r.rows.SetFault(memtable.Fault{Slow: slow})
+			r.rows.SetFault(memtable.Fault{Delay: slow})
 			return r.syncer.SyncTable(t.Context())
 		},
 		"peer": func(t *testing.T, r *rig) error {
@@ -157,7 +157,7 @@
 
 // A write whose answer is lost, or that takes effect late, is settled.
 func TestPutSettles(t *testing.T) {
-	for _, fault := range []memtable.Fault{{LoseAnswer: true}, {ApplyAfter: 300 * time.Millisecond}, {ApplyAfter: time.Minute}} {
+	for _, fault := range []memtable.Fault{{LoseResponse: true}, {ApplyAfter: 300 * time.Millisecond}, {ApplyAfter: time.Minute}} {
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(fakepeer.Scripted{})
 			first := true
--- a/roster/epoch_test.go
+++ b/roster/epoch_test.go
@@ -25,11 +25,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				rows := memtable.New()
 				var all []*Roster
-				copied := rows.Copy()
+				copied := rows.Backup()
 				for i := range tc.vms {
 					if i == tc.vms-tc.lost {
 						time.Sleep(time.Minute)
-						copied = rows.Copy()
+						copied = rows.Backup()
 					}
 					r, stop := start(t, rows, fmt.Sprintf("v%03d", i))
 					defer stop()
@@ -43,7 +43,7 @@
 					}
 					return memtable.Fault{}
 				})
-				rows.ComeBack(copied)
+				rows.Restore(copied)
 				back := time.Now()
 				for time.Since(back) < within {
 					time.Sleep(50 * time.Millisecond)
@@ -93,12 +93,12 @@
 		rows := memtable.New()
 		_, stopEarlier := start(t, rows, "v1")
 		time.Sleep(time.Second)
-		copied := rows.Copy()
+		copied := rows.Backup()
 		stopEarlier()
 		r, stop := start(t, rows, "v1")
 		defer stop()
 		time.Sleep(time.Second)
-		rows.ComeBack(copied)
+		rows.Restore(copied)
 		time.Sleep(2 * time.Second)
 		list, _, err := rows.List(t.Context(), Table)
 		if err != nil || len(list) != 1 || !r.isOwn(list[0]) {
@@ -114,11 +114,11 @@
 		r, stop := start(t, rows, "v1")
 		defer stop()
 		time.Sleep(time.Second)
-		copied := rows.Copy()
+		copied := rows.Backup()
 		_, stopOther := start(t, rows, "v2")
 		time.Sleep(checkPeriod)
 		stopOther()
-		rows.ComeBack(copied)
+		rows.Restore(copied)
 		time.Sleep(time.Second)
 		if got := names(r); got != "v2" {
 			t.Errorf("at first %q are known", got)
@@ -137,13 +137,13 @@
 		r, stop := start(t, rows, "v1")
 		defer stop()
 		time.Sleep(time.Second)
-		copied := rows.Copy()
+		copied := rows.Backup()
 		_, stopOther := start(t, rows, "v2")
 		defer stopOther()
 		time.Sleep(checkPeriod)
-		rows.ComeBack(copied)
+		rows.Restore(copied)
 		time.Sleep(rewriteGrace - 500*time.Millisecond)
-		rows.ComeBack(copied)
+		rows.Restore(copied)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			if got := names(r); got != "v2" {
--- a/roster/follow.go
+++ b/roster/follow.go
@@ -24,7 +24,7 @@
 				r.change(changes)
 			}
 		},
-		OnLost: func(err error) { klog.InfoS("roster: VMs cannot be followed, the known ones stay", "err", err) },
+		OnUnavailable: func(err error) { klog.InfoS("roster: VMs cannot be followed, the known ones stay", "err", err) },
 	}
 	f.Run(ctx)
 }
--- a/standin/platform/admin.go
+++ b/standin/platform/admin.go
@@ -90,9 +90,9 @@
 func (p *Platform) Apply(f Faults) {
 	p.Table.SetDown(f.Table.Down)
 	p.Table.SetFault(memtable.Fault{
-		Slow:       millis(f.Table.SlowMillis),
-		LoseAnswer: f.Table.LoseAnswers,
-		ApplyAfter: millis(f.Table.ApplyAfterMillis),
+		Delay:        millis(f.Table.SlowMillis),
+		LoseResponse: f.Table.LoseAnswers,
+		ApplyAfter:   millis(f.Table.ApplyAfterMillis),
 	})
 	p.Objects.SetFault(memobject.Fault{
 		Down:       f.Objects.Down,
@@ -100,7 +100,7 @@
 		LoseAnswer: f.Objects.LoseAnswers,
 	})
 	p.List.SetDown(f.Membership.Down)
-	p.List.SetSlow(millis(f.Membership.SlowMillis))
+	p.List.SetDelay(millis(f.Membership.SlowMillis))
 	if f.Membership.LagMillis != nil {
 		p.List.SetLag(millis(*f.Membership.LagMillis))
 	}
@@ -115,7 +115,7 @@
 		return
 	}
 	if vm.Name == "" || vm.Zone == "" || vm.Kind != membership.Entry && vm.Kind != membership.Endpoint {
-		answer(w, http.StatusBadRequest, table.Refusal{Problem: "name, kind and zone must be given"})
+		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: "name, kind and zone must be given"})
 		return
 	}
 	p.List.Put(vm)
--- a/standin/platform/membership.go
+++ b/standin/platform/membership.go
@@ -13,10 +13,10 @@
 func (p *Platform) membershipList(w http.ResponseWriter, r *http.Request) {
 	vms, err := p.List.VMs(r.Context())
 	if err != nil {
-		answer(w, http.StatusServiceUnavailable, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusServiceUnavailable, table.ErrorResponse{Problem: err.Error()})
 		return
 	}
-	body := membership.ListAnswer{VMs: seenFrom(r.URL.Query().Get(membership.ZoneParameter), vms)}
+	body := membership.ListResponse{VMs: seenFrom(r.URL.Query().Get(membership.ZoneParameter), vms)}
 	tag := etag(body)
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
@@ -38,7 +38,7 @@
 }
 
 // etag is a digest of the list as sent.
-func etag(a membership.ListAnswer) string {
+func etag(a membership.ListResponse) string {
 	h := fnv.New128a()
 	_ = json.NewEncoder(h).Encode(a)
 	return fmt.Sprintf("%q", fmt.Sprintf("%x", h.Sum(nil)))
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -82,7 +82,7 @@
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	d.DisallowUnknownFields()
 	if err := d.Decode(request); err != nil {
-		answer(w, http.StatusBadRequest, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: err.Error()})
 		return false
 	}
 	return true
@@ -105,7 +105,7 @@
 func (p *Platform) objectPut(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, object.MaxBytes))
 	if err != nil {
-		answer(w, http.StatusRequestEntityTooLarge, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusRequestEntityTooLarge, table.ErrorResponse{Problem: err.Error()})
 		return
 	}
 	if err := p.Objects.Put(r.Context(), r.PathValue("name"), data); err != nil {
@@ -140,7 +140,7 @@
 	case errors.As(err, &invalid):
 		status = http.StatusBadRequest
 	}
-	answer(w, status, table.Refusal{Problem: err.Error()})
+	answer(w, status, table.ErrorResponse{Problem: err.Error()})
 }
 
 func (p *Platform) weightsDescribe(w http.ResponseWriter, r *http.Request) {
@@ -163,7 +163,7 @@
 		return
 	}
 	if f.Bytes <= 0 || f.Fetcher == "" {
-		answer(w, http.StatusBadRequest, table.Refusal{Problem: "fetcher and bytes must be given"})
+		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: "fetcher and bytes must be given"})
 		return
 	}
 	weightsAnswer(w, struct{}{}, p.Weights.Fetch(r.Context(), f.Fetcher, f.Artifact, f.Bytes))
@@ -176,10 +176,10 @@
 	case err == nil:
 		answer(w, http.StatusOK, body)
 	case errors.As(err, &missing):
-		answer(w, http.StatusNotFound, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusNotFound, table.ErrorResponse{Problem: err.Error()})
 	case errors.As(err, &limited):
 		answer(w, http.StatusTooManyRequests, weightstore.Refusal{RetryAfterMillis: limited.RetryAfter.Milliseconds() + 1})
 	default:
-		answer(w, http.StatusServiceUnavailable, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusServiceUnavailable, table.ErrorResponse{Problem: err.Error()})
 	}
 }
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -13,7 +13,7 @@
 		return
 	}
 	rows, err := p.Table.Get(r.Context(), request.Keys...)
-	tableAnswer(w, table.RowsAnswer{Rows: rows}, err)
+	tableAnswer(w, table.RowsResponse{Rows: rows}, err)
 }
 
 func (p *Platform) tableScan(w http.ResponseWriter, r *http.Request) {
@@ -22,7 +22,7 @@
 		return
 	}
 	rows, err := p.Table.Scan(r.Context(), request.Table, request.Prefix, request.After, request.Limit)
-	tableAnswer(w, table.RowsAnswer{Rows: rows}, err)
+	tableAnswer(w, table.RowsResponse{Rows: rows}, err)
 }
 
 func (p *Platform) tableCommit(w http.ResponseWriter, r *http.Request) {
@@ -31,7 +31,7 @@
 		return
 	}
 	versions, err := p.Table.Commit(r.Context(), txn)
-	tableAnswer(w, table.CommitAnswer{Versions: versions}, err)
+	tableAnswer(w, table.CommitResponse{Versions: versions}, err)
 }
 
 // tableAnswer answers with body, or with a refusal for errors that are certain.
@@ -44,11 +44,11 @@
 	case err == nil:
 		answer(w, http.StatusOK, body)
 	case errors.As(err, &conflict):
-		answer(w, http.StatusConflict, table.Refusal{Conflict: conflict})
+		answer(w, http.StatusConflict, table.ErrorResponse{Conflict: conflict})
 	case errors.As(err, &invalid):
-		answer(w, http.StatusBadRequest, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: err.Error()})
 	case errors.As(err, &unavailable):
-		answer(w, http.StatusServiceUnavailable, table.Refusal{Problem: err.Error()})
+		answer(w, http.StatusServiceUnavailable, table.ErrorResponse{Problem: err.Error()})
 	default:
 		loseAnswer()
 	}
--- a/table/batcher.go
+++ b/table/batcher.go
@@ -13,15 +13,15 @@
 
 // Defaults of BatcherConfig.
 const (
-	DefaultLanes        = 4
-	DefaultBatchTimeout = 3 * time.Second
-	DefaultMaxWaiting   = 4096
+	DefaultMaxConcurrent = 4
+	DefaultBatchTimeout  = 3 * time.Second
+	DefaultMaxPending    = 4096
 )
 
 // BatcherConfig bounds a Batcher. The zero value takes the defaults.
 type BatcherConfig struct {
-	// Lanes is the most commits in flight at once.
-	Lanes int
+	// MaxConcurrent is the most commits in flight at once.
+	MaxConcurrent int
 	// Interval is the least time between the starts of two commits, so that one
 	// process makes at most 1/Interval commits a second, apart from groups that
 	// fall apart in a conflict. Zero sets no bound. A transaction that comes
@@ -29,8 +29,8 @@
 	Interval time.Duration
 	// Timeout bounds one commit of a group.
 	Timeout time.Duration
-	// MaxWaiting is the most transactions that wait; more are refused.
-	MaxWaiting int
+	// MaxPending is the most transactions that wait; more are refused.
+	MaxPending int
 }
 
 // Batcher is a Service that groups transactions which wait at the same moment
@@ -45,7 +45,7 @@
 //
 // A group whose answer was lost may yet take effect, like a lone transaction:
 // a waiter that repeats its own part moves a row that the group checks (see
-// CommitSettled), so the late group then fails wholly.
+// CommitAndResolve), so the late group then fails wholly.
 type Batcher struct {
 	Service
 	config BatcherConfig
@@ -70,26 +70,28 @@
 	done     chan struct{}
 }
 
-// BusyError is the cause of an *UnavailableError for a transaction that found
+// QueueFullError is the cause of an *UnavailableError for a transaction that found
 // too many others waiting.
-type BusyError struct{ Waiting int }
+type QueueFullError struct{ Pending int }
 
 // Error implements error.
-func (e *BusyError) Error() string { return fmt.Sprintf("%d transactions wait already", e.Waiting) }
+func (e *QueueFullError) Error() string {
+	return fmt.Sprintf("%d transactions wait already", e.Pending)
+}
 
 // Reason implements failure.Coded.
-func (e *BusyError) Reason() failure.Reason { return failure.TableUnavailable }
+func (e *QueueFullError) Reason() failure.Reason { return failure.TableUnavailable }
 
 // NewBatcher returns a Batcher in front of s.
 func NewBatcher(s Service, c BatcherConfig) *Batcher {
-	if c.Lanes <= 0 {
-		c.Lanes = DefaultLanes
+	if c.MaxConcurrent <= 0 {
+		c.MaxConcurrent = DefaultMaxConcurrent
 	}
 	if c.Timeout <= 0 {
 		c.Timeout = DefaultBatchTimeout
 	}
-	if c.MaxWaiting <= 0 {
-		c.MaxWaiting = DefaultMaxWaiting
+	if c.MaxPending <= 0 {
+		c.MaxPending = DefaultMaxPending
 	}
 	return &Batcher{Service: s, config: c}
 }
@@ -122,8 +124,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting) >= b.config.MaxWaiting {
-		return &UnavailableError{Cause: &BusyError{Waiting: len(b.waiting)}}
+	if len(b.waiting) >= b.config.MaxPending {
+		return &UnavailableError{Cause: &QueueFullError{Pending: len(b.waiting)}}
 	}
 	b.waiting = append(b.waiting, p)
 	b.startLane()
@@ -144,7 +146,7 @@
 
 // startLane starts a lane if one is needed and free, with b.mu held.
 func (b *Batcher) startLane() {
-	if len(b.waiting) == 0 || b.pacing || b.busy >= b.config.Lanes {
+	if len(b.waiting) == 0 || b.pacing || b.busy >= b.config.MaxConcurrent {
 		return
 	}
 	b.busy++
--- a/table/batcher_test.go
+++ b/table/batcher_test.go
@@ -67,8 +67,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := memtable.New()
-				m.SetFault(memtable.Fault{Slow: 5 * time.Millisecond})
-				s := table.NewBatcher(m, table.BatcherConfig{Lanes: tt.lanes})
+				m.SetFault(memtable.Fault{Delay: 5 * time.Millisecond})
+				s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: tt.lanes})
 				var txns []table.Txn
 				for i := range n {
 					version := table.Absent
@@ -116,8 +116,8 @@
 func TestBatcherGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
-		m.SetFault(memtable.Fault{Slow: time.Second})
-		s := table.NewBatcher(m, table.BatcherConfig{Lanes: 1, MaxWaiting: 1})
+		m.SetFault(memtable.Fault{Delay: time.Second})
+		s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: 1, MaxPending: 1})
 		ctx, cancel := context.WithCancel(t.Context())
 		reasons := make([]failure.Reason, 3)
 		var wg sync.WaitGroup
@@ -150,7 +150,7 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
-		m.SetFault(memtable.Fault{Slow: slow})
+		m.SetFault(memtable.Fault{Delay: slow})
 		s := table.NewBatcher(m, table.BatcherConfig{Interval: interval})
 		commit := func(row string) {
 			start := time.Now()
@@ -184,13 +184,13 @@
 func TestBatcherPassesOnDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for fault, want := range map[memtable.Fault]failure.Reason{
-			{Slow: time.Second, LoseAnswer: true}: failure.TableUnknown,
-			{Slow: time.Second, Fail: true}:       failure.TableUnavailable,
-			{Slow: time.Hour}:                     failure.TableUnknown,
+			{Delay: time.Second, LoseResponse: true}: failure.TableUnknown,
+			{Delay: time.Second, Fail: true}:         failure.TableUnavailable,
+			{Delay: time.Hour}:                       failure.TableUnknown,
 		} {
 			m := memtable.New()
 			m.SetFault(fault)
-			s := table.NewBatcher(m, table.BatcherConfig{Lanes: 1})
+			s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: 1})
 			txns := []table.Txn{guarded("a", "1", 0), guarded("b", "2", 0), guarded("c", "3", 0)}
 			for i, r := range commitAll(t.Context(), s, txns) {
 				if r.Reason != want || r.Versions != nil {
--- a/table/client.go
+++ b/table/client.go
@@ -26,8 +26,8 @@
 	return &Client{base: "http://" + address, sender: httponce.NewSender(c)}
 }
 
-// AnswerError is an answer that the client does not understand.
-type AnswerError struct {
+// ResponseError is an answer that the client does not understand.
+type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
 	// Cause is the failure to decode, or nil.
@@ -35,15 +35,15 @@
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	return fmt.Sprintf("table answer with status %d not understood: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
-func (e *AnswerError) Reason() failure.Reason { return failure.TableUnknown }
+func (e *ResponseError) Reason() failure.Reason { return failure.TableUnknown }
 
 // Unwrap returns the cause.
-func (e *AnswerError) Unwrap() error { return e.Cause }
+func (e *ResponseError) Unwrap() error { return e.Cause }
 
 // Get implements Service.
 func (c *Client) Get(ctx context.Context, keys ...Key) ([]Row, error) {
@@ -52,7 +52,7 @@
 	}
 	rows, err := c.read(ctx, GetPath, GetRequest{Keys: keys})
 	if err == nil && len(rows) != len(keys) {
-		return nil, &UnavailableError{Cause: &AnswerError{Status: http.StatusOK}}
+		return nil, &UnavailableError{Cause: &ResponseError{Status: http.StatusOK}}
 	}
 	return rows, err
 }
@@ -64,7 +64,7 @@
 
 // read sends a read. Whatever goes wrong, a read had no effect.
 func (c *Client) read(ctx context.Context, path string, request any) ([]Row, error) {
-	var answer RowsAnswer
+	var answer RowsResponse
 	err := c.call(ctx, path, request, &answer)
 	var unknown *UnknownError
 	if errors.As(err, &unknown) {
@@ -78,12 +78,12 @@
 	if err := txn.Validate(); err != nil {
 		return nil, err
 	}
-	var answer CommitAnswer
+	var answer CommitResponse
 	if err := c.call(ctx, CommitPath, txn, &answer); err != nil {
 		return nil, err
 	}
 	if len(answer.Versions) != len(txn.Writes) {
-		return nil, &UnknownError{Cause: &AnswerError{Status: http.StatusOK}}
+		return nil, &UnknownError{Cause: &ResponseError{Status: http.StatusOK}}
 	}
 	return answer.Versions, nil
 }
@@ -106,16 +106,16 @@
 		return refusal(a)
 	}
 	if err := json.Unmarshal(a.Body, answer); err != nil {
-		return &UnknownError{Cause: &AnswerError{Status: a.Status, Cause: err}}
+		return &UnknownError{Cause: &ResponseError{Status: a.Status, Cause: err}}
 	}
 	return nil
 }
 
 // refusal turns an answer other than 200 into an error.
 func refusal(a *httponce.Answer) error {
-	var r Refusal
+	var r ErrorResponse
 	if err := json.Unmarshal(a.Body, &r); err != nil {
-		return &UnknownError{Cause: &AnswerError{Status: a.Status, Cause: err}}
+		return &UnknownError{Cause: &ResponseError{Status: a.Status, Cause: err}}
 	}
 	switch {
 	case a.Status == http.StatusConflict && r.Conflict != nil:
@@ -123,7 +123,7 @@
 	case a.Status == http.StatusBadRequest && r.Problem != "":
 		return &InvalidError{Problem: r.Problem}
 	case a.Status == http.StatusServiceUnavailable && r.Problem != "":
-		return &UnavailableError{Cause: &AnswerError{Status: a.Status}}
+		return &UnavailableError{Cause: &ResponseError{Status: a.Status}}
 	}
-	return &UnknownError{Cause: &AnswerError{Status: a.Status}}
+	return &UnknownError{Cause: &ResponseError{Status: a.Status}}
 }
--- a/table/follow.go
+++ b/table/follow.go
@@ -43,12 +43,12 @@
 	OnList func(rows []Row, l Listing)
 	// OnChanges takes changes; there may be none.
 	OnChanges func(changes []Change, afterOutage bool)
-	// OnAnswered, which may be nil, is called after OnList or OnChanges has taken in an answer.
-	OnAnswered func()
-	// OnLost is called when a question fails after one that did not, OnRegained
+	// OnResponse, which may be nil, is called after OnList or OnChanges has taken in an answer.
+	OnResponse func()
+	// OnUnavailable is called when a question fails after one that did not, OnRecovered
 	// when one succeeds again, with how long there was no answer. Both may be nil.
-	OnLost     func(err error)
-	OnRegained func(away time.Duration)
+	OnUnavailable func(err error)
+	OnRecovered   func(away time.Duration)
 
 	lost  bool
 	since time.Time
@@ -102,8 +102,8 @@
 }
 
 func (f *Follower) taken() {
-	if f.OnAnswered != nil {
-		f.OnAnswered()
+	if f.OnResponse != nil {
+		f.OnResponse()
 	}
 }
 
@@ -114,8 +114,8 @@
 	}
 	if !f.lost {
 		f.lost = true
-		if f.OnLost != nil {
-			f.OnLost(err)
+		if f.OnUnavailable != nil {
+			f.OnUnavailable(err)
 		}
 	}
 	pause := min(feedRetryMin<<min(f.failures, 8), feedRetryMax)
@@ -127,8 +127,8 @@
 func (f *Follower) answered() (afterOutage bool) {
 	now := clock.Now()
 	afterOutage = f.lost
-	if f.lost && f.OnRegained != nil {
-		f.OnRegained(now.Sub(f.since))
+	if f.lost && f.OnRecovered != nil {
+		f.OnRecovered(now.Sub(f.since))
 	}
 	f.lost, f.failures, f.since = false, 0, now
 	return afterOutage
--- a/table/follow_test.go
+++ b/table/follow_test.go
@@ -128,8 +128,8 @@
 			}
 			told = append(told, line)
 		},
-		OnLost:     func(error) { told = append(told, "lost") },
-		OnRegained: func(time.Duration) { told = append(told, "regained") },
+		OnUnavailable: func(error) { told = append(told, "lost") },
+		OnRecovered:   func(time.Duration) { told = append(told, "regained") },
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/table/memtable/copy.go
+++ b/table/memtable/copy.go
@@ -7,23 +7,23 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Copy is what a Table held at a moment.
-type Copy struct {
+// Backup is what a Table held at a moment.
+type Backup struct {
 	tables  map[string]*rows
 	written table.Version
 }
 
-// Copy returns what the table service holds now.
-func (t *Table) Copy() Copy {
+// Backup returns what the table service holds now.
+func (t *Table) Backup() Backup {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Copy{tables: cloned(t.tables), written: t.written}
+	return Backup{tables: cloned(t.tables), written: t.written}
 }
 
-// ComeBack puts a copy in the place of what the table service holds and begins a new epoch: what was
+// Restore puts a copy in the place of what the table service holds and begins a new epoch: what was
 // written since is gone, and the numbers of its versions are given out again. Who waits for changes
 // is told that the history is gone.
-func (t *Table) ComeBack(c Copy) {
+func (t *Table) Restore(c Backup) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.epoch++
@@ -48,7 +48,7 @@
 
 // inEpoch is the version of a copy's number in the present epoch.
 func (t *Table) inEpoch(v table.Version) table.Version {
-	now, err := table.At(t.epoch, v.Number())
+	now, err := table.NewVersion(t.epoch, v.Number())
 	if err != nil {
 		panic(err) // more epochs than a test has
 	}
--- a/table/memtable/copy_test.go
+++ b/table/memtable/copy_test.go
@@ -14,7 +14,7 @@
 func TestComesBackFromACopy(t *testing.T) {
 	m := New()
 	first := mustCommit(t, m, table.Txn{Writes: []table.Write{put("a", "old")}})[0]
-	c := m.Copy()
+	c := m.Backup()
 	lost := mustCommit(t, m, table.Txn{Writes: []table.Write{put("a", "lost")}})[0]
 	mustCommit(t, m, table.Txn{Writes: []table.Write{put("b", "lost")}})
 	_, at, err := m.List(t.Context(), "t")
@@ -27,7 +27,7 @@
 		waiting <- err
 	}()
 	time.Sleep(10 * time.Millisecond)
-	m.ComeBack(c)
+	m.Restore(c)
 	var gone *table.HistoryGoneError
 	if err := <-waiting; !errors.As(err, &gone) {
 		t.Errorf("who waited was told %v", err)
--- a/table/memtable/faults.go
+++ b/table/memtable/faults.go
@@ -31,15 +31,15 @@
 
 // Fault is what to do to one call. The zero value does nothing.
 type Fault struct {
-	// Slow is how long the call waits before anything else happens.
-	Slow time.Duration
+	// Delay is how long the call waits before anything else happens.
+	Delay time.Duration
 	// Fail refuses the call before it has any effect.
 	Fail bool
 	// ApplyAfter answers "unknown" at once and applies the transaction that
 	// much later, if its checks hold then.
 	ApplyAfter time.Duration
-	// LoseAnswer lets the transaction take effect and answers "unknown".
-	LoseAnswer bool
+	// LoseResponse lets the transaction take effect and answers "unknown".
+	LoseResponse bool
 	// Hang waits until the caller gives up; a Commit is then not applied, but
 	// the caller cannot know.
 	Hang bool
@@ -113,7 +113,7 @@
 	if hook != nil {
 		f = merge(f, hook(c))
 	}
-	if f.Slow > 0 && !loop.Sleep(ctx, f.Slow) {
+	if f.Delay > 0 && !loop.Sleep(ctx, f.Delay) {
 		return f, giveUp(c.Op, context.Cause(ctx))
 	}
 	if f.Hang {
@@ -159,11 +159,11 @@
 // merge takes the worse of two faults, field by field.
 func merge(a, b Fault) Fault {
 	return Fault{
-		Slow:       max(a.Slow, b.Slow),
-		Fail:       a.Fail || b.Fail,
-		ApplyAfter: max(a.ApplyAfter, b.ApplyAfter),
-		LoseAnswer: a.LoseAnswer || b.LoseAnswer,
-		Hang:       a.Hang || b.Hang,
+		Delay:        max(a.Delay, b.Delay),
+		Fail:         a.Fail || b.Fail,
+		ApplyAfter:   max(a.ApplyAfter, b.ApplyAfter),
+		LoseResponse: a.LoseResponse || b.LoseResponse,
+		Hang:         a.Hang || b.Hang,
 	}
 }
 
--- a/table/memtable/memtable.go
+++ b/table/memtable/memtable.go
@@ -112,7 +112,7 @@
 		return nil, &table.UnknownError{Cause: &FaultError{Name: "applied late"}}
 	}
 	versions, err := t.apply(txn)
-	if f.LoseAnswer {
+	if f.LoseResponse {
 		return nil, &table.UnknownError{Cause: &FaultError{Name: "answer lost"}}
 	}
 	return versions, err
--- a/table/memtable/memtable_test.go
+++ b/table/memtable/memtable_test.go
@@ -136,11 +136,11 @@
 		{name: "none", wantNow: true, wantLater: true},
 		{name: "down", down: true, wantErr: true},
 		{name: "fail", fault: Fault{Fail: true}, wantErr: true},
-		{name: "slow", fault: Fault{Slow: time.Second}, wantNow: true, wantLater: true, wantTook: time.Second},
-		{name: "answer lost", fault: Fault{LoseAnswer: true}, wantErr: true, wantUnknown: true, wantNow: true, wantLater: true},
+		{name: "slow", fault: Fault{Delay: time.Second}, wantNow: true, wantLater: true, wantTook: time.Second},
+		{name: "answer lost", fault: Fault{LoseResponse: true}, wantErr: true, wantUnknown: true, wantNow: true, wantLater: true},
 		{name: "applied late", fault: Fault{ApplyAfter: time.Second}, wantErr: true, wantUnknown: true, wantLater: true},
 		{name: "hang", fault: Fault{Hang: true}, wantErr: true, wantUnknown: true, wantTook: 10 * time.Second},
-		{name: "too slow", fault: Fault{Slow: time.Minute}, wantErr: true, wantUnknown: true, wantTook: 10 * time.Second},
+		{name: "too slow", fault: Fault{Delay: time.Minute}, wantErr: true, wantUnknown: true, wantTook: 10 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/table/settle.go
+++ b/table/settle.go
@@ -39,7 +39,7 @@
 // Unwrap returns the conflict.
 func (e *SupersededError) Unwrap() error { return e.Conflict }
 
-// CommitSettled commits txn and settles a lost answer. mine tells whether a row
+// CommitAndResolve commits txn and settles a lost answer. mine tells whether a row
 // read back holds the id of this very write.
 //
 // Returned versions are those of this write; for a row that somebody else has
@@ -59,7 +59,7 @@
 // back, and so the check of every other copy fails. A check for Absent gives
 // this only while nobody deletes the row: rows made by such a transaction must
 // outlive every copy that can still be in flight.
-func CommitSettled(ctx context.Context, s Service, txn Txn, mine func(Row) bool) ([]Version, error) {
+func CommitAndResolve(ctx context.Context, s Service, txn Txn, mine func(Row) bool) ([]Version, error) {
 	if !guardsItself(txn) {
 		return nil, &InvalidError{Problem: "a write to be settled must check a row that it writes"}
 	}
--- a/table/settle_test.go
+++ b/table/settle_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestCommitSettled(t *testing.T) {
-	lost := memtable.Fault{LoseAnswer: true}
+	lost := memtable.Fault{LoseResponse: true}
 	late := memtable.Fault{ApplyAfter: time.Minute}
 	mine := guarded("a", "mine", 1)
 	other := func(row, value string) table.Txn { return table.Txn{Writes: []table.Write{put(row, value)}} }
@@ -129,7 +129,7 @@
 						mustCommit(t, m, *tt.after)
 					}
 				}()
-				versions, err := table.CommitSettled(ctx, m, tt.txn, holds("mine"))
+				versions, err := table.CommitAndResolve(ctx, m, tt.txn, holds("mine"))
 				if diff := cmp.Diff(tt.want, reason(err)); diff != "" {
 					t.Errorf("%v: %s", err, diff)
 				}
@@ -151,14 +151,14 @@
 func TestSettledOutageKeepsTrying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
-		m.SetHook(firstCommit(memtable.Fault{LoseAnswer: true}))
+		m.SetHook(firstCommit(memtable.Fault{LoseResponse: true}))
 		go func() {
 			time.Sleep(time.Millisecond)
 			m.SetDown(true)
 			time.Sleep(time.Minute)
 			m.SetDown(false)
 		}()
-		versions, err := table.CommitSettled(t.Context(), m, guarded("a", "mine", table.Absent), holds("mine"))
+		versions, err := table.CommitAndResolve(t.Context(), m, guarded("a", "mine", table.Absent), holds("mine"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -176,14 +176,14 @@
 func TestSettledWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
-		m.SetFault(memtable.Fault{LoseAnswer: true})
+		m.SetFault(memtable.Fault{LoseResponse: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		versions, err := table.CommitSettled(ctx, m, guarded("a", "mine", table.Absent), holds("mine"))
+		versions, err := table.CommitAndResolve(ctx, m, guarded("a", "mine", table.Absent), holds("mine"))
 		if diff := cmp.Diff([]table.Version{1}, versions); diff != "" || err != nil {
 			t.Errorf("%v: %s", err, diff)
 		}
-		if _, err := table.CommitSettled(ctx, m, guarded("a", "late", table.Absent), holds("late")); reason(err) != failure.TableUnknown {
+		if _, err := table.CommitAndResolve(ctx, m, guarded("a", "late", table.Absent), holds("late")); reason(err) != failure.TableUnknown {
 			t.Errorf("a write that meets another's row, unheard: %v", err)
 		}
 	})
@@ -191,10 +191,10 @@
 
 // randomFault draws a fault for a call.
 func randomFault(r *rand.Rand) memtable.Fault {
-	f := memtable.Fault{Slow: time.Duration(r.IntN(20)) * time.Millisecond}
+	f := memtable.Fault{Delay: time.Duration(r.IntN(20)) * time.Millisecond}
 	switch r.IntN(6) {
 	case 0:
-		f.LoseAnswer = true
+		f.LoseResponse = true
 	case 1:
 		f.ApplyAfter = time.Duration(r.IntN(3000)) * time.Millisecond
 	case 2:
@@ -225,7 +225,7 @@
 		defer mu.Unlock()
 		return randomFault(r)
 	})
-	s := table.NewBatcher(m, table.BatcherConfig{Lanes: 2})
+	s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: 2})
 	var wg sync.WaitGroup
 	for w := range writers {
 		wg.Go(func() {
@@ -256,7 +256,7 @@
 	}
 	txn := guarded(k.Row, string(rows[0].Value)+id+" ", rows[0].Version)
 	last := func(r table.Row) bool { return strings.HasSuffix(string(r.Value), id+" ") }
-	_, err = table.CommitSettled(ctx, s, txn, last)
+	_, err = table.CommitAndResolve(ctx, s, txn, last)
 	return err
 }
 
--- a/table/table.go
+++ b/table/table.go
@@ -81,19 +81,19 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// EpochError is an answer, or a condition, of an epoch of the store that is over.
-type EpochError struct {
-	// Of is the epoch that it belongs to, and Now the newest that is known.
-	Of, Now uint64
+// StaleEpochError is an answer, or a condition, of an epoch of the store that is over.
+type StaleEpochError struct {
+	// Epoch is the epoch that it belongs to, and Newest the newest that is known.
+	Epoch, Newest uint64
 }
 
 // Error implements error.
-func (e *EpochError) Error() string {
-	return fmt.Sprintf("the store has come back from a copy: epoch %d is over, %d is the newest", e.Of, e.Now)
+func (e *StaleEpochError) Error() string {
+	return fmt.Sprintf("the store has come back from a copy: epoch %d is over, %d is the newest", e.Epoch, e.Newest)
 }
 
 // Reason implements failure.Coded.
-func (e *EpochError) Reason() failure.Reason { return failure.TableEpochOver }
+func (e *StaleEpochError) Reason() failure.Reason { return failure.TableEpochOver }
 
 // UnknownError is a write that may or may not have taken effect.
 type UnknownError struct{ Cause error }
--- a/table/version.go
+++ b/table/version.go
@@ -23,9 +23,9 @@
 // Absent is the version of a row that does not exist.
 const Absent Version = 0
 
-// At returns the version of a number in an epoch. The error is *InvalidError for one that is too
+// NewVersion returns the version of a number in an epoch. The error is *InvalidError for one that is too
 // high to be held.
-func At(epoch, number uint64) (Version, error) {
+func NewVersion(epoch, number uint64) (Version, error) {
 	if epoch > maxEpoch || number > numberMask {
 		return Absent, &InvalidError{Problem: "version " + strconv.FormatUint(number, 10) + " of epoch " + strconv.FormatUint(epoch, 10) + " is out of range"}
 	}
--- a/table/version_test.go
+++ b/table/version_test.go
@@ -7,7 +7,7 @@
 
 func at(t *testing.T, epoch, number uint64) Version {
 	t.Helper()
-	v, err := At(epoch, number)
+	v, err := NewVersion(epoch, number)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	}
 	var invalid *InvalidError
 	for _, pair := range [][2]uint64{{1 << 16, 1}, {1, 1 << 48}} {
-		if _, err := At(pair[0], pair[1]); !errors.As(err, &invalid) {
+		if _, err := NewVersion(pair[0], pair[1]); !errors.As(err, &invalid) {
 			t.Errorf("%v: %v", pair, err)
 		}
 	}
--- a/table/wire.go
+++ b/table/wire.go
@@ -7,12 +7,12 @@
 	CommitPath = "/table/commit"
 )
 
-// GetRequest is the body of a request to GetPath; a RowsAnswer comes back.
+// GetRequest is the body of a request to GetPath; a RowsResponse comes back.
 type GetRequest struct {
 	Keys []Key `json:"keys"`
 }
 
-// ScanRequest is the body of a request to ScanPath; a RowsAnswer comes back.
+// ScanRequest is the body of a request to ScanPath; a RowsResponse comes back.
 type ScanRequest struct {
 	Table  string `json:"table"`
 	Prefix string `json:"prefix"`
@@ -20,20 +20,20 @@
 	Limit  int    `json:"limit"`
 }
 
-// RowsAnswer answers a read.
-type RowsAnswer struct {
+// RowsResponse answers a read.
+type RowsResponse struct {
 	Rows []Row `json:"rows"`
 }
 
-// CommitAnswer answers a request to CommitPath, whose body is a Txn.
-type CommitAnswer struct {
+// CommitResponse answers a request to CommitPath, whose body is a Txn.
+type CommitResponse struct {
 	Versions []Version `json:"versions"`
 }
 
-// Refusal is the body of every answer but 200. The service sends one only for
+// ErrorResponse is the body of every answer but 200. The service sends one only for
 // a request that had no effect: 400 with Problem, 409 with Conflict, and 503
 // when it is down.
-type Refusal struct {
+type ErrorResponse struct {
 	Problem  string         `json:"problem,omitempty"`
 	Conflict *ConflictError `json:"conflict,omitempty"`
 }
--- a/withhold/churn_test.go
+++ b/withhold/churn_test.go
@@ -105,7 +105,7 @@
 	case 6:
 		c.Rows.SetDown(c.rng.IntN(3) == 0)
 	case 7:
-		c.Rows.SetFault(memtable.Fault{Slow: time.Duration(c.rng.IntN(1000)) * time.Millisecond})
+		c.Rows.SetFault(memtable.Fault{Delay: time.Duration(c.rng.IntN(1000)) * time.Millisecond})
 	}
 }
 
--- a/withhold/controller_test.go
+++ b/withhold/controller_test.go
@@ -170,8 +170,8 @@
 		}
 		lose := true
 		b.rows.SetHook(func(c memtable.Call) memtable.Fault {
-			fault := memtable.Fault{LoseAnswer: lose && c.Op == memtable.OpCommit}
-			lose = !lose && fault.LoseAnswer
+			fault := memtable.Fault{LoseResponse: lose && c.Op == memtable.OpCommit}
+			lose = !lose && fault.LoseResponse
 			return fault
 		})
 		successor := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{}, func() string { return "s" })
