--- a/loads/budget_test.go
+++ b/loads/budget_test.go
@@ -86,7 +86,7 @@
 		rows := memtable.New()
 		b := newTestBudget(rows, "p1", "a")
 		v := readBudget(t, b, 0)
-		rows.SetFault(memtable.Fault{LoseAnswer: applied, Fail: !applied})
+		rows.SetFault(memtable.Fault{LoseResponse: applied, Fail: !applied})
 		if err := b.Claim(context.Background(), v.Slots[0], "w", testLoad("e", "x", 1)); err == nil {
 			t.Fatal("the fault was not injected")
 		}
