--- a/admission/admission.go
+++ b/admission/admission.go
@@ -42,15 +42,15 @@
 	OutputCost float64
 	// ClassWeights are the shares of the priority classes.
 	ClassWeights [3]float64
-	// Patience is how much longer a request may be overtaken by shorter ones of
+	// DelayPerCost is how much longer a request may be overtaken by shorter ones of
 	// its own flow for each unit of its cost.
-	Patience time.Duration
+	DelayPerCost time.Duration
 	// Margin is the part of the predicted wait added for errors.
 	Margin float64
 	// InitialRate is the cost a second assumed to drain before it is measured.
 	InitialRate float64
-	// RateMemory is the time over which the drain rate is averaged.
-	RateMemory time.Duration
+	// RateTimeConstant is the time over which the drain rate is averaged.
+	RateTimeConstant time.Duration
 	// MinRetryAfter bounds Retry-After from below.
 	MinRetryAfter time.Duration
 }
@@ -63,10 +63,10 @@
 		MaxWait:            10 * time.Second,
 		OutputCost:         4,
 		ClassWeights:       [3]float64{16, 4, 1},
-		Patience:           time.Millisecond,
+		DelayPerCost:       time.Millisecond,
 		Margin:             0.2,
 		InitialRate:        20_000,
-		RateMemory:         5 * time.Second,
+		RateTimeConstant:   5 * time.Second,
 		MinRetryAfter:      time.Second,
 	}
 }
@@ -76,16 +76,16 @@
 // reports; up to four seconds goodput is much the same, so the least is taken.
 const ReadyWait = time.Second
 
-// Outlook is what the engines could do for a request now.
-type Outlook struct {
+// Prediction is what the engines could do for a request now.
+type Prediction struct {
 	// Ready tells whether it may be sent now: some engine would start it soon.
 	Ready bool
 	// Queueable tells whether it may be sent although it would have to wait at
 	// the engine, whose own queue honours priorities.
 	Queueable bool
-	// Service is the time from sending to the whole answer, any wait at the
+	// ServiceTime is the time from sending to the whole answer, any wait at the
 	// engine included.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Plan is handed to Commit when the request is sent, and to its caller.
 	Plan any
 }
@@ -93,7 +93,7 @@
 // Predictor predicts the outlook of a request from the newest snapshot. An
 // error refuses the request; it must be Coded. It may be called under the
 // controller's lock, so it must not block nor call the controller.
-type Predictor func(now time.Duration, w *Work) (Outlook, error)
+type Predictor func(now time.Duration, w *Work) (Prediction, error)
 
 // Commit records that a request is being sent as planned, before the next one is
 // predicted, so that requests sent together do not all see the same idle engine.
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -103,7 +103,7 @@
 		q = NewQueue(c.cfg, c.limits)
 		c.queues[w.Model] = q
 	}
-	it, displaced, err := q.Offer(now, w, outlook.Service)
+	it, displaced, err := q.Offer(now, w, outlook.ServiceTime)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 
 // pump sends and gives up what it is time for.
 func (c *Controller) pump(now time.Duration, q *Queue) {
-	q.Pump(now, c.predict, func(it *Item, outlook Outlook, err error) {
+	q.Pump(now, c.predict, func(it *Item, outlook Prediction, err error) {
 		if err == nil {
 			c.commit(now, &it.Work, outlook.Plan)
 		}
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -26,10 +26,10 @@
 	return seconds(w.cost(&cfg) / p.rate)
 }
 
-func (p *plant) predict(_ time.Duration, w *Work) (Outlook, error) {
+func (p *plant) predict(_ time.Duration, w *Work) (Prediction, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Outlook{Ready: p.busy < p.slots, Service: p.service(w), Plan: p.busy}, p.err
+	return Prediction{Ready: p.busy < p.slots, ServiceTime: p.service(w), Plan: p.busy}, p.err
 }
 
 func (p *plant) commit(time.Duration, *Work, any) { p.add(1) }
--- a/admission/pump.go
+++ b/admission/pump.go
@@ -11,7 +11,7 @@
 
 // Fate is told what became of a request that has left its queue: sent on an
 // outlook, or given up with an error. It must not call the queue.
-type Fate func(it *Item, outlook Outlook, err error)
+type Fate func(it *Item, outlook Prediction, err error)
 
 // Pump sends all that may be sent now and gives up what can no longer be in
 // time. A first request that is not ready is passed over by those of the next
@@ -29,7 +29,7 @@
 func (q *Queue) pumpOne(now time.Duration, predict Predictor, fate Fate) bool {
 	for _, it := range q.heads(maxHeads) {
 		outlook, err := predict(now, &it.Work)
-		if err == nil && it.Work.Deadline != 0 && now+outlook.Service > it.Work.Deadline {
+		if err == nil && it.Work.Deadline != 0 && now+outlook.ServiceTime > it.Work.Deadline {
 			err = q.lateError()
 		}
 		overdue := now >= it.overdueAt()
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -81,7 +81,7 @@
 func (q *Queue) newItem(now time.Duration, w Work, service time.Duration) *Item {
 	q.orders++
 	it := &Item{Work: w, Arrived: now, cost: w.cost(&q.cfg), order: q.orders, index: -1}
-	it.key = now + time.Duration(it.cost*float64(q.cfg.Patience))
+	it.key = now + time.Duration(it.cost*float64(q.cfg.DelayPerCost))
 	it.LatestStart = now + q.cfg.MaxWait
 	if w.Deadline != 0 {
 		it.LatestStart = w.Deadline - service
@@ -253,7 +253,7 @@
 }
 
 func newDrain(cfg *Config) drain {
-	memory := cfg.RateMemory.Seconds()
+	memory := cfg.RateTimeConstant.Seconds()
 	return drain{memory: memory, cost: cfg.InitialRate * memory, busy: memory}
 }
 
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -190,18 +190,18 @@
 	tests := []struct {
 		name    string
 		now     time.Duration
-		letter  Outlook
+		letter  Prediction
 		err     error
 		want    []string
 		waiting int
 	}{
-		{"passed over", 0, Outlook{}, nil, []string{"b queued", "b queued"}, 1},
-		{"passed over, could queue", 0, Outlook{Queueable: true}, nil, []string{"b queued", "b queued"}, 1},
-		{"ready", 0, Outlook{Ready: true}, nil, []string{"a queued", "b queued", "b queued"}, 0},
-		{"overdue, could queue", 2 * time.Second, Outlook{Queueable: true}, nil, []string{"a queued", "b queued", "b queued"}, 0},
-		{"overdue, holds up", 2 * time.Second, Outlook{}, nil, nil, 3},
-		{"too late by now", 2 * time.Second, Outlook{Ready: true, Service: 3 * time.Second}, nil, []string{"a deadline-unreachable", "b queued", "b queued"}, 0},
-		{"no endpoint", 0, Outlook{}, refuse(failure.NoEndpoint, 0, ""), []string{"a no-endpoint", "b queued", "b queued"}, 0},
+		{"passed over", 0, Prediction{}, nil, []string{"b queued", "b queued"}, 1},
+		{"passed over, could queue", 0, Prediction{Queueable: true}, nil, []string{"b queued", "b queued"}, 1},
+		{"ready", 0, Prediction{Ready: true}, nil, []string{"a queued", "b queued", "b queued"}, 0},
+		{"overdue, could queue", 2 * time.Second, Prediction{Queueable: true}, nil, []string{"a queued", "b queued", "b queued"}, 0},
+		{"overdue, holds up", 2 * time.Second, Prediction{}, nil, nil, 3},
+		{"too late by now", 2 * time.Second, Prediction{Ready: true, ServiceTime: 3 * time.Second}, nil, []string{"a deadline-unreachable", "b queued", "b queued"}, 0},
+		{"no endpoint", 0, Prediction{}, refuse(failure.NoEndpoint, 0, ""), []string{"a no-endpoint", "b queued", "b queued"}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -211,14 +211,14 @@
 					t.Fatal(err)
 				}
 			}
-			predict := func(_ time.Duration, w *Work) (Outlook, error) {
+			predict := func(_ time.Duration, w *Work) (Prediction, error) {
 				if w.Organisation == "a" {
 					return test.letter, test.err
 				}
-				return Outlook{Ready: true}, nil
+				return Prediction{Ready: true}, nil
 			}
 			var got []string
-			q.Pump(test.now, predict, func(it *Item, _ Outlook, err error) {
+			q.Pump(test.now, predict, func(it *Item, _ Prediction, err error) {
 				got = append(got, it.Work.Organisation+" "+outcome(err))
 			})
 			equal(t, "", test.want, got)
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -67,16 +67,16 @@
 // engine waits here, where fairness and priority decide who is next. None is ever
 // queueable: letting those that can spare no more time into the engines' queues
 // makes all of them late at an overload (docs/POLICY.md, round 9).
-func (a *admitter) predict(now time.Duration, work *admission.Work) (admission.Outlook, error) {
+func (a *admitter) predict(now time.Duration, work *admission.Work) (admission.Prediction, error) {
 	w := work.Context.(*forward.Work)
 	decision, err := a.d.decide(now, w, forward.Attempt{Emitted: w.ResumeFrom})
 	if err != nil {
-		return admission.Outlook{}, err
+		return admission.Prediction{}, err
 	}
-	return admission.Outlook{
-		Ready:   decision.Zone != "" || w.Service != "" || decision.Queue <= admission.ReadyWait,
-		Service: decision.Completion,
-		Plan:    decision,
+	return admission.Prediction{
+		Ready:       decision.Zone != "" || w.Service != "" || decision.Queue <= admission.ReadyWait,
+		ServiceTime: decision.Completion,
+		Plan:        decision,
 	}, nil
 }
 
@@ -84,7 +84,7 @@
 // expected to go, until the attempt itself reserves it.
 func (a *admitter) commit(now time.Duration, work *admission.Work, plan any) {
 	decision := plan.(routing.Decision)
-	if decision.Serve == nil {
+	if decision.Endpoint == nil {
 		return
 	}
 	a.d.provisional.make(a.d.common, now, work.Context.(*forward.Work), decision)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -67,8 +67,8 @@
 // FirstToken implements forward.Observer. It tells that the prompt is computed.
 func (a *attempt) FirstToken(time.Duration) {
 	serve := &a.acquired[len(a.acquired)-1]
-	a.d.health.tracker.Alive(serve.ticket)
-	a.d.store.Prefilled(a.d.now(), serve.endpoint, a.id)
+	a.d.health.tracker.RecordActivity(serve.ticket)
+	a.d.store.MarkPrefilled(a.d.now(), serve.endpoint, a.id)
 }
 
 // Finished implements forward.Observer. A prefill engine that was taken and in
@@ -122,7 +122,7 @@
 	case r.Err == nil:
 		return health.Succeeded
 	case r.Err.Code == failure.EndpointStalled:
-		return health.Silent
+		return health.Unresponsive
 	default:
 		return health.Failed
 	}
--- a/entry/demand_test.go
+++ b/entry/demand_test.go
@@ -16,7 +16,7 @@
 	now := time.Duration(0)
 	pools := map[string]string{"chat": "language", "permits": "letters"}
 	x := newExpectations(func() time.Duration { return now }, func(model string) string { return pools[model] })
-	snapshot := fleet.NewStore("a", fleet.NewInFlight(), prefix.NewViews(1)).Snapshot()
+	snapshot := fleet.NewStore("a", fleet.NewInFlightLedger(), prefix.NewViews(1)).Snapshot()
 	ask := func(model string, prompt, answer int) {
 		w := &forward.Work{Model: model, PromptTokens: prompt, MaxTokens: 1000}
 		x.arrived(w, weightstore.Artifact{Model: model}, snapshot)
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -86,23 +86,23 @@
 // decide asks the router.
 func (d *dispatcher) decide(now time.Duration, w *forward.Work, a forward.Attempt) (routing.Decision, error) {
 	r := &routing.Request{
-		Artifact:     artifactOf(w, a),
-		Service:      w.Service,
-		PromptTokens: w.PromptTokens + a.Emitted,
-		OutputTokens: max(1, d.expected.output(w)-a.Emitted),
-		PrefixHashes: w.PrefixHashes,
-		Priority:     w.Priority,
-		Now:          now,
-		Tried:        a.Tried,
-		Hopped:       w.Hopped,
-		NoTrial:      mayBeLost(w),
-		Prefilled:    a.Prefilled,
+		Artifact:      artifactOf(w, a),
+		Service:       w.Service,
+		PromptTokens:  w.PromptTokens + a.Emitted,
+		OutputTokens:  max(1, d.expected.output(w)-a.Emitted),
+		PrefixHashes:  w.PrefixHashes,
+		Priority:      w.Priority,
+		Now:           now,
+		Tried:         a.Tried,
+		FromOtherZone: w.Hopped,
+		NoTrial:       mayBeLost(w),
+		Prefilled:     a.Prefilled,
 	}
 	if !w.Deadline.IsZero() {
 		r.Deadline = w.Deadline.Sub(d.start)
 	}
 	decision, err := d.router.Decide(d.store.Snapshot(), r, globalRand{})
-	routing.Count(decision, err)
+	routing.CountDecision(decision, err)
 	if err != nil {
 		return decision, noEndpoint(err)
 	}
@@ -123,19 +123,19 @@
 // that could not be taken, or an error when this VM may take no work at all.
 func (d *dispatcher) take(w *forward.Work, a forward.Attempt, decision routing.Decision) (plan forward.Plan, busy string, err error) {
 	att := &attempt{d: d, id: a.ID, work: w}
-	if decision.Prefill != nil {
-		if busy, err = att.acquire(decision.Prefill, prefillShare(w, decision)); busy != "" || err != nil {
+	if decision.PrefillEndpoint != nil {
+		if busy, err = att.acquire(decision.PrefillEndpoint, prefillShare(w, decision)); busy != "" || err != nil {
 			att.abandon()
 			return forward.Plan{}, busy, err
 		}
 	}
-	if busy, err = att.acquire(decision.Serve, d.serveShare(w, a.Emitted, decision)); busy != "" || err != nil {
+	if busy, err = att.acquire(decision.Endpoint, d.serveShare(w, a.Emitted, decision)); busy != "" || err != nil {
 		att.abandon()
 		return forward.Plan{}, busy, err
 	}
-	plan = forward.Plan{Serve: d.target(decision.Serve), Version: versionOn(decision.Serve, artifactOf(w, a)), Observer: att, Recheck: att.recheck}
-	if decision.Prefill != nil {
-		target := d.target(decision.Prefill)
+	plan = forward.Plan{Serve: d.target(decision.Endpoint), Version: versionOn(decision.Endpoint, artifactOf(w, a)), Observer: att, Recheck: att.recheck}
+	if decision.PrefillEndpoint != nil {
+		target := d.target(decision.PrefillEndpoint)
 		plan.Prefill = &target
 		plan.PrefillObserver = prefillObserver{att}
 	}
@@ -166,7 +166,7 @@
 func (d *common) serveShare(w *forward.Work, emitted int, decision routing.Decision) fleet.Work {
 	left := max(0, d.expected.output(w)-emitted)
 	share := fleet.Work{Requests: 1, ContextTokens: w.PromptTokens + emitted + left/2}
-	if decision.Prefill == nil {
+	if decision.PrefillEndpoint == nil {
 		share.PromptTokens = max(0, w.PromptTokens+emitted-decision.CachedTokens)
 	}
 	return share
@@ -200,7 +200,7 @@
 		return forward.Plan{}, noEndpoint(nil)
 	}
 	// Decisions see in the snapshot what is left of the room.
-	d.store.Spilled(decision.Zone, w.PromptTokens)
+	d.store.RecordSpill(decision.Zone, w.PromptTokens)
 	return forward.Plan{Serve: forward.Target{
 		Name: peer.name, Pool: "zone " + decision.Zone, Zone: decision.Zone, Peer: peer.target,
 	}}, nil
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -20,7 +20,7 @@
 func TestFirstTokenEndsThePromptsWait(t *testing.T) {
 	store := fleet.NewStore("a", fleet.NewMatchedLedger(fleet.DefaultExpiry), prefix.NewViews(prefix.DefaultPairs))
 	store.SetSpecs([]fleet.Spec{{Name: "e", Kind: fleet.Engine, Zone: "a"}})
-	store.Apply(0, fleet.Report{Endpoint: "e", State: engine.State{Incarnation: "i", Role: engine.Mixed}})
+	store.ApplyReports(0, fleet.Report{Endpoint: "e", State: engine.State{Incarnation: "i", Role: engine.Mixed}})
 	work := fleet.Work{Requests: 1, PromptTokens: 70, ContextTokens: 80}
 	store.Reserve(0, fleet.Reservation{Endpoint: "e", Attempt: "x", Work: work})
 	feed := newHealthFeed(store, health.DefaultConfig())
@@ -31,7 +31,7 @@
 	f.FirstToken(time.Second)
 
 	work.PromptTokens = 0
-	if diff := cmp.Diff(work, store.Snapshot().Endpoints()[0].Own.Open); diff != "" {
+	if diff := cmp.Diff(work, store.Snapshot().Endpoints()[0].LocalWork.InFlight); diff != "" {
 		t.Errorf("own work after the first token (-want +got):\n%s", diff)
 	}
 }
@@ -44,7 +44,7 @@
 	c := &common{expected: x}
 	w := &forward.Work{Model: "chat", PromptTokens: 1000, MaxTokens: 100}
 	x.learn(w, 60)
-	pair := routing.Decision{Prefill: &fleet.Endpoint{}, CachedTokens: 400}
+	pair := routing.Decision{PrefillEndpoint: &fleet.Endpoint{}, CachedTokens: 400}
 	got := []fleet.Work{
 		prefillShare(w, pair),
 		c.serveShare(w, 0, pair),
--- a/entry/golden_test.go
+++ b/entry/golden_test.go
@@ -102,7 +102,7 @@
 	s.listenFor(mux, o.listenAt(9, 7200))
 	s.await("zone b has room", func() bool {
 		zones := s.entry.common.zones.list()
-		return len(zones) > 0 && zones[0].Reachable && zones[0].Room > 0
+		return len(zones) > 0 && zones[0].Reachable && zones[0].PromptBudget > 0
 	})
 }
 
--- a/entry/leak_test.go
+++ b/entry/leak_test.go
@@ -144,8 +144,8 @@
 		if n := d.gate.Streams(e.Name); n != 0 {
 			s.tb.Errorf("%s: the gate counts %d attempts", e.Name, n)
 		}
-		if e.Own != (fleet.Own{}) {
-			s.tb.Errorf("%s: own work %+v is still reserved", e.Name, e.Own)
+		if e.LocalWork != (fleet.LocalWork{}) {
+			s.tb.Errorf("%s: own work %+v is still reserved", e.Name, e.LocalWork)
 		}
 	}
 	d.provisional.byRequest.Range(func(id, name any) bool {
--- a/entry/missed_test.go
+++ b/entry/missed_test.go
@@ -41,7 +41,7 @@
 						Load:   engine.Load{Sequence: uint64(n + 1)},
 					}
 					report := fleet.Report{Endpoint: engineName(0), State: state, MeasuredAt: entries[0].common.now()}
-					entries[0].common.store.Apply(entries[0].common.now(), report)
+					entries[0].common.store.ApplyReports(entries[0].common.now(), report)
 					poller.heard(report)
 					time.Sleep(leaving.EndpointPollInterval)
 				}
--- a/entry/provisional.go
+++ b/entry/provisional.go
@@ -16,7 +16,7 @@
 
 // make reserves w's work under its request id where the decision puts it.
 func (p *provisional) make(d *common, now time.Duration, w *forward.Work, decision routing.Decision) {
-	name := decision.Serve.Name
+	name := decision.Endpoint.Name
 	p.byRequest.Store(w.ID, name)
 	d.store.Reserve(now, fleet.Reservation{
 		Endpoint: name, Attempt: w.ID, Work: d.serveShare(w, w.ResumeFrom, decision),
--- a/entry/ready.go
+++ b/entry/ready.go
@@ -39,7 +39,7 @@
 
 func allKnown(s *fleet.Snapshot) bool {
 	for _, e := range s.Endpoints() {
-		if e.Kind == fleet.Engine && !e.Known {
+		if e.Kind == fleet.Engine && !e.Reported {
 			return false
 		}
 	}
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -33,10 +33,10 @@
 	}
 	var got [][]bool
 	got = append(got, ask(0))
-	store.Apply(0, report("e1"))
+	store.ApplyReports(0, report("e1"))
 	got = append(got, ask(warmLimit-1))
 	got = append(got, []bool{true, silent.warm(warmLimit, store.Snapshot())})
-	store.Apply(warmLimit, report("e2"))
+	store.ApplyReports(warmLimit, report("e2"))
 	got = append(got, []bool{reported.warm(warmLimit-1, store.Snapshot()), true})
 	store.SetSpecs([]fleet.Spec{spec("e1"), spec("e2"), spec("e3")})
 	got = append(got, ask(2*warmLimit))
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -87,19 +87,19 @@
 // mine tells what this entry asks an engine now. In a larger zone it asks the
 // others only when it has to, and never for their caches: a snapshot of one is
 // some hundreds of kilobytes.
-func (r *reports) mine(e *fleet.Endpoint) fleet.Question {
+func (r *reports) mine(e *fleet.Endpoint) fleet.PollScope {
 	if r.d.store.Snapshot().Len() <= directZone {
-		return fleet.StateAndCache
+		return fleet.PollStateAndCache
 	}
 	if share.Polls(r.d.member.Roster(), r.d.member.Name(), e.Name, e.Age(r.d.now())) {
-		return fleet.StateAndCache
+		return fleet.PollStateAndCache
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.unlike[e.Name] && clock.Since(r.own[e.Name].at) >= askAgain {
-		return fleet.StateOnly
+		return fleet.PollState
 	}
-	return fleet.Nothing
+	return fleet.PollNothing
 }
 
 // heard takes in what an engine said when this entry asked it.
@@ -180,7 +180,7 @@
 		s, found := shared[share.Hash(e.Name)]
 		switch {
 		case !found:
-		case e.Known && s.Identity == share.Identity(e.Incarnation, e.Loaded):
+		case e.Reported && s.Identity == share.Identity(e.Incarnation, e.Loaded):
 			if s.Load.Sequence > e.Load.Sequence {
 				news = append(news, merged(e, s, now))
 			}
@@ -191,13 +191,13 @@
 	r.mu.Lock()
 	r.unlike = unlike
 	r.mu.Unlock()
-	r.d.store.Apply(now, news...)
+	r.d.store.ApplyReports(now, news...)
 }
 
 // measuredAfter tells whether a shared report was measured after what is known
 // of e. Sequences say nothing across incarnations, so the ages decide.
 func measuredAfter(e *fleet.Endpoint, s share.Report, now time.Duration) bool {
-	return !e.Known || now-time.Duration(s.Load.AgeMillis)*time.Millisecond > e.MeasuredAt
+	return !e.Reported || now-time.Duration(s.Load.AgeMillis)*time.Millisecond > e.MeasuredAt
 }
 
 // merged is a shared report of e, with what is not shared as it was last read.
--- a/entry/reports_test.go
+++ b/entry/reports_test.go
@@ -25,7 +25,7 @@
 	for i := range engines {
 		specs = append(specs, fleet.Spec{Name: fmt.Sprintf("e%d", i), Kind: fleet.Engine, Zone: "a"})
 	}
-	store := fleet.NewStore("a", fleet.NewInFlight(), prefix.NewViews(1000))
+	store := fleet.NewStore("a", fleet.NewInFlightLedger(), prefix.NewViews(1000))
 	store.SetSpecs(specs)
 	member := contact.NewMember("a", "vm1", func(contact.Roster) {})
 	roster = roster.Join("a", "vm2", "10.0.0.2:7100")
@@ -56,18 +56,18 @@
 		// readAgo is how long ago it read that; zero is long ago.
 		readAgo time.Duration
 		shared  engine.State
-		want    fleet.Question
+		want    fleet.PollScope
 		// running is what the entry then believes.
 		running int
 	}{
-		{"newer load", state(stateWith(5, 0, "chat")), 0, stateWith(6, 0, "chat"), fleet.Nothing, 6},
-		{"older load", state(stateWith(5, 0, "chat")), 0, stateWith(4, 0, "chat"), fleet.Nothing, 5},
-		{"never read", nil, 0, stateWith(6, 0, "chat"), fleet.StateOnly, 0},
-		{"another model", state(stateWith(5, 0, "chat")), 0, stateWith(6, 0, "chat", "code"), fleet.StateOnly, 5},
-		{"restarted", state(stateWith(5, 0, "chat")), 0, restarted, fleet.StateOnly, 5},
-		{"another model, but before what was read", state(stateWith(5, 0, "chat")), 0, stateWith(4, 2*time.Second, "code"), fleet.Nothing, 5},
-		{"other weights in another order", state(stateWith(5, 0, "chat", "code")), 0, stateWith(6, 0, "code", "chat"), fleet.Nothing, 6},
-		{"still another model", state(stateWith(5, 0, "chat")), askAgain / 2, stateWith(6, 0, "code"), fleet.Nothing, 5},
+		{"newer load", state(stateWith(5, 0, "chat")), 0, stateWith(6, 0, "chat"), fleet.PollNothing, 6},
+		{"older load", state(stateWith(5, 0, "chat")), 0, stateWith(4, 0, "chat"), fleet.PollNothing, 5},
+		{"never read", nil, 0, stateWith(6, 0, "chat"), fleet.PollState, 0},
+		{"another model", state(stateWith(5, 0, "chat")), 0, stateWith(6, 0, "chat", "code"), fleet.PollState, 5},
+		{"restarted", state(stateWith(5, 0, "chat")), 0, restarted, fleet.PollState, 5},
+		{"another model, but before what was read", state(stateWith(5, 0, "chat")), 0, stateWith(4, 2*time.Second, "code"), fleet.PollNothing, 5},
+		{"other weights in another order", state(stateWith(5, 0, "chat", "code")), 0, stateWith(6, 0, "code", "chat"), fleet.PollNothing, 6},
+		{"still another model", state(stateWith(5, 0, "chat")), askAgain / 2, stateWith(6, 0, "code"), fleet.PollNothing, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -77,20 +77,20 @@
 					r.own["e0"] = ownReport{state: *c.known, at: time.Now().Add(-c.readAgo)}
 				}
 				if c.known != nil {
-					r.d.store.Apply(r.d.now(), fleet.Report{Endpoint: "e0", State: *c.known, MeasuredAt: r.d.now()})
+					r.d.store.ApplyReports(r.d.now(), fleet.Report{Endpoint: "e0", State: *c.known, MeasuredAt: r.d.now()})
 				}
 				time.Sleep(time.Second)
 				poller.Publish([]share.Report{sharedForm("e0", ownReport{state: c.shared}, 0)})
 				r.book.Merge(roster, poller.Newer(roster, nil))
 				r.takeShared()
-				asked := map[string]fleet.Question{}
+				asked := map[string]fleet.PollScope{}
 				for _, e := range r.d.store.Snapshot().Endpoints() {
-					if q := r.mine(e); q != fleet.Nothing {
+					if q := r.mine(e); q != fleet.PollNothing {
 						asked[e.Name] = q
 					}
 				}
-				want := map[string]fleet.Question{}
-				if c.want != fleet.Nothing {
+				want := map[string]fleet.PollScope{}
+				if c.want != fleet.PollNothing {
 					want["e0"] = c.want
 				}
 				if diff := cmp.Diff(want, asked); diff != "" {
--- a/entry/room_test.go
+++ b/entry/room_test.go
@@ -29,7 +29,7 @@
 	if s.down {
 		return nil, twirp.NewError(twirp.Unavailable, "down")
 	}
-	resp := roomResponse(fleet.ZoneSummary{Room: 1000, Models: s.models}, req.Held)
+	resp := roomResponse(fleet.ZoneSummary{PromptBudget: 1000, Models: s.models}, req.Held)
 	if len(resp.Models) > 0 {
 		s.listed++
 	}
--- a/entry/upkeep_test.go
+++ b/entry/upkeep_test.go
@@ -40,7 +40,7 @@
 		tb.Fatal(err)
 	}
 	for i := range engines {
-		e.common.store.Apply(0, fleet.Report{Endpoint: engineName(i), State: engine.State{
+		e.common.store.ApplyReports(0, fleet.Report{Endpoint: engineName(i), State: engine.State{
 			Incarnation: "first", Role: engine.Mixed, Loaded: []weightstore.Artifact{{Model: "chat", Version: "1"}},
 		}})
 	}
--- a/entry/upstreams_test.go
+++ b/entry/upstreams_test.go
@@ -108,7 +108,7 @@
 // those that its requests' times are predicted from.
 func TestSpeedsOfThePoolGovernRouting(t *testing.T) {
 	e := idleEntry(t, 1)
-	e.common.store.Apply(0, fleet.Report{Endpoint: engineName(0), State: engine.State{
+	e.common.store.ApplyReports(0, fleet.Report{Endpoint: engineName(0), State: engine.State{
 		Incarnation: "first", Role: engine.Mixed, Loaded: []weightstore.Artifact{{Model: "chat", Version: "1"}},
 	}})
 	predicted := func() time.Duration {
--- a/entry/view_test.go
+++ b/entry/view_test.go
@@ -123,7 +123,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			e := idleEntry(t, len(tt.backlog))
 			for i, tokens := range tt.backlog {
-				e.common.store.Apply(0, fleet.Report{Endpoint: engineName(i), State: engine.State{
+				e.common.store.ApplyReports(0, fleet.Report{Endpoint: engineName(i), State: engine.State{
 					Incarnation: "first", Role: engine.Mixed, Loaded: chat,
 					Load: engine.Load{Sequence: 1, WaitingTokens: tokens},
 				}})
@@ -132,7 +132,7 @@
 				work := fleet.Work{Requests: 1, PromptTokens: tt.unseen}
 				e.common.store.Reserve(0, fleet.Reservation{Endpoint: engineName(0), Attempt: "a", Work: work})
 			}
-			if got := roomOf(e.common.store.Snapshot(), 0, tt.waiting, tt.senders).Room; got != tt.want {
+			if got := roomOf(e.common.store.Snapshot(), 0, tt.waiting, tt.senders).PromptBudget; got != tt.want {
 				t.Errorf("room is %d tokens, want %d", got, tt.want)
 			}
 		})
--- a/entry/viewserver.go
+++ b/entry/viewserver.go
@@ -68,7 +68,7 @@
 		Leaving:       e.Leaving || e.SelfLeaving,
 		Withheld:      s.e.gate.Withheld(e.Name),
 		Ejected:       e.Health.Phase != health.Healthy,
-		Known:         e.Known || e.Kind == fleet.Service,
+		Known:         e.Reported || e.Kind == fleet.Service,
 		AgeMs:         e.Age(now).Milliseconds(),
 		Loaded:        loadedArtifacts(e.Loaded),
 		Waiting:       int32(e.Load.Waiting),
@@ -112,7 +112,7 @@
 // digest held.
 func roomResponse(r fleet.ZoneSummary, held uint64) *viewpb.RoomResponse {
 	resp := &viewpb.RoomResponse{
-		Tokens:     int64(r.Room),
+		Tokens:     int64(r.PromptBudget),
 		TtftUs:     r.TTFT.Microseconds(),
 		PerTokenUs: r.PerToken.Microseconds(),
 		Digest:     modelsDigest(r.Models),
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -168,7 +168,7 @@
 	asked := z.now()
 	held, digest := z.models(zone)
 	resp, err := peer.ViewAt(from.address, z.transport).Room(ctx, &viewpb.RoomRequest{Held: digest})
-	room := &zoneRoom{summary: fleet.ZoneSummary{Zone: zone, At: asked}, from: from}
+	room := &zoneRoom{summary: fleet.ZoneSummary{Zone: zone, CreatedAt: asked}, from: from}
 	if err != nil {
 		klog.V(1).Infof("entry: zone %s gives no room: %v", zone, err)
 	} else {
@@ -196,10 +196,10 @@
 
 func summaryFrom(zone string, asked, rtt time.Duration, r *viewpb.RoomResponse) fleet.ZoneSummary {
 	sum := fleet.ZoneSummary{
-		Zone: zone, At: asked, Reachable: true, RTT: rtt,
-		Room:     int(r.Tokens),
-		TTFT:     time.Duration(r.TtftUs) * time.Microsecond,
-		PerToken: time.Duration(r.PerTokenUs) * time.Microsecond,
+		Zone: zone, CreatedAt: asked, Reachable: true, RTT: rtt,
+		PromptBudget: int(r.Tokens),
+		TTFT:         time.Duration(r.TtftUs) * time.Microsecond,
+		PerToken:     time.Duration(r.PerTokenUs) * time.Microsecond,
 	}
 	for _, a := range r.Models {
 		sum.Models = append(sum.Models, weightstore.Artifact{Model: a.Model, Adapter: a.Adapter, Version: a.Version})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -45,25 +45,25 @@
 	ContextTokens int
 }
 
-// Plus returns the sum.
-func (w Work) Plus(o Work) Work {
+// Add returns the sum.
+func (w Work) Add(o Work) Work {
 	return Work{w.Requests + o.Requests, w.PromptTokens + o.PromptTokens, w.ContextTokens + o.ContextTokens}
 }
 
-func (w Work) minus(o Work) Work {
+func (w Work) sub(o Work) Work {
 	return Work{w.Requests - o.Requests, w.PromptTokens - o.PromptTokens, w.ContextTokens - o.ContextTokens}
 }
 
-// Times returns the work f times over, rounded down.
-func (w Work) Times(f float64) Work {
+// Scale returns the work f times over, rounded down.
+func (w Work) Scale(f float64) Work {
 	return Work{int(f * float64(w.Requests)), int(f * float64(w.PromptTokens)), int(f * float64(w.ContextTokens))}
 }
 
-// Own is this process's own work at an endpoint.
-type Own struct {
-	// Open is all of it; Unseen is the part that the last load report is
-	// thought not to include (what counts as unseen is the Ledger's choice).
-	Open, Unseen Work
+// LocalWork is this process's own work at an endpoint.
+type LocalWork struct {
+	// InFlight is all of it; Unreported is the part that the last load report is
+	// thought not to include (what counts as unreported is the Ledger's choice).
+	InFlight, Unreported Work
 }
 
 // Endpoint is one endpoint as this process sees it. It is immutable.
@@ -72,9 +72,9 @@
 	Slot prefix.Slot
 	// Withheld is set while this process may send nothing there.
 	Withheld bool
-	// Known is set once the endpoint has reported; the next fields are then
+	// Reported is set once the endpoint has reported; the next fields are then
 	// what it said, and are never assumed from orders.
-	Known       bool
+	Reported    bool
 	Incarnation string
 	Role        engine.Role
 	Loaded      []weightstore.Artifact
@@ -84,13 +84,13 @@
 	// MeasuredAt is when the load was measured, by this process's clock.
 	MeasuredAt time.Duration
 	Health     health.Status
-	Own        Own
+	LocalWork  LocalWork
 }
 
 // Available tells whether new work may be sent, health apart. Any one signal
 // that the endpoint leaves is enough.
 func (e *Endpoint) Available() bool {
-	return !e.Leaving && !e.SelfLeaving && !e.Withheld && (e.Known || e.Kind == Service)
+	return !e.Leaving && !e.SelfLeaving && !e.Withheld && (e.Reported || e.Kind == Service)
 }
 
 // Age is how old the load figures are at now.
@@ -109,22 +109,22 @@
 // ZoneSummary is what another zone's entries say of their room.
 type ZoneSummary struct {
 	Zone string
-	// At is when the summary was made, by this process's clock.
-	At time.Duration
+	// CreatedAt is when the summary was made, by this process's clock.
+	CreatedAt time.Duration
 	// Reachable is false once the zone's entries no longer answer.
 	Reachable bool
 	// RTT is the time there and back.
 	RTT time.Duration
-	// Room is the number of prompt tokens that this process may send there until
+	// PromptBudget is the number of prompt tokens that this process may send there until
 	// the next summary; the zone has divided what it has among the senders.
-	Room int
+	PromptBudget int
 	// TTFT is the predicted time to the first token there, without its prefill.
 	TTFT time.Duration
 	// PerToken is the predicted time between tokens there.
 	PerToken time.Duration
 	// Models that the zone can serve.
 	Models []weightstore.Artifact
-	// Sent is the prompt tokens that this process sent there since it got the
-	// summary (see Store.Spilled).
-	Sent int
+	// PromptTokensSent is the prompt tokens that this process sent there since it got the
+	// summary (see Store.RecordSpill).
+	PromptTokensSent int
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -77,11 +77,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			together := newStore(NewInFlight(), "e")
-			together.Apply(10, test.reports...)
-			apart := newStore(NewInFlight(), "e")
+			together := newStore(NewInFlightLedger(), "e")
+			together.ApplyReports(10, test.reports...)
+			apart := newStore(NewInFlightLedger(), "e")
 			for _, r := range test.reports {
-				apart.Apply(10, r)
+				apart.ApplyReports(10, r)
 			}
 			for _, s := range []*Store{together, apart} {
 				e := s.Snapshot().named("e")
@@ -94,18 +94,18 @@
 // TestGroupsFollowSignals checks that any one signal takes an endpoint out, and
 // that an old snapshot does not change.
 func TestGroupsFollowSignals(t *testing.T) {
-	s := newStore(NewInFlight(), "e1", "e2", "e3", "e4")
+	s := newStore(NewInFlightLedger(), "e1", "e2", "e3", "e4")
 	if got := group(s.Snapshot()); got != nil {
 		t.Errorf("before any report: %v", got)
 	}
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
-		s.Apply(1, report(name, "i", 1, 1))
+		s.ApplyReports(1, report(name, "i", 1, 1))
 	}
 	old := s.Snapshot()
 	s.SetWithheld("e1", true)
 	leaving := report("e2", "i", 2, 2)
 	leaving.State.Leaving = true
-	s.Apply(2, leaving)
+	s.ApplyReports(2, leaving)
 	list := specs("e1", "e2", "e3", "e4")
 	list[2].Leaving = true
 	s.SetSpecs(list)
@@ -119,11 +119,11 @@
 // TestSlotIsCleanForItsNextOwner checks that nothing of a dropped endpoint
 // shows in the endpoint that takes its slot.
 func TestSlotIsCleanForItsNextOwner(t *testing.T) {
-	s := newStore(NewInFlight(), "e1", "e2")
-	s.Apply(1, report("e1", "i", 1, 1))
+	s := newStore(NewInFlightLedger(), "e1", "e2")
+	s.ApplyReports(1, report("e1", "i", 1, 1))
 	s.Reserve(1, Reservation{Endpoint: "e1", Attempt: "a", Work: Work{Requests: 1}})
 	s.SetHealth("e1", health.Status{Phase: health.Ejected, Until: 100})
-	s.Events("e1", 0, engine.CacheEvents{Incarnation: "i", Snapshot: []uint64{7}, Next: 1})
+	s.ApplyEvents("e1", 0, engine.CacheEvents{Incarnation: "i", Snapshot: []uint64{7}, Next: 1})
 	s.PublishPrefixes()
 	s.SetSpecs(specs("e2", "e3"))
 	s.Release(2, "e1", "a")
@@ -148,37 +148,37 @@
 	steps := []struct {
 		name string
 		do   func(*Store)
-		want map[string]Own
+		want map[string]LocalWork
 	}{
 		{"two sent", func(s *Store) {
 			s.Reserve(0, Reservation{Endpoint: "e", Attempt: "a", Work: one})
 			s.Reserve(0, Reservation{Endpoint: "e", Attempt: "a", Work: one})
 			s.Reserve(time.Second, Reservation{Endpoint: "e", Attempt: "b", Work: one})
-		}, map[string]Own{"none": {Open: two}, "in flight": {two, two}, "matched": {two, two}}},
-		{"one reported", func(s *Store) { s.Apply(time.Second, seen) },
-			map[string]Own{"none": {Open: two}, "in flight": {two, two}, "matched": {two, one}}},
+		}, map[string]LocalWork{"none": {InFlight: two}, "in flight": {two, two}, "matched": {two, two}}},
+		{"one reported", func(s *Store) { s.ApplyReports(time.Second, seen) },
+			map[string]LocalWork{"none": {InFlight: two}, "in flight": {two, two}, "matched": {two, one}}},
 		{"the reported one prefilled, twice", func(s *Store) {
-			s.Prefilled(time.Second, "e", "a")
-			s.Prefilled(time.Second, "e", "a")
-			s.Prefilled(time.Second, "e", "nobody's")
-			s.Prefilled(time.Second, "nowhere", "a")
-		}, map[string]Own{"none": {Open: rest}, "in flight": {rest, rest}, "matched": {rest, one}}},
-		{"the other prefilled before its report", func(s *Store) { s.Prefilled(time.Second, "e", "b") },
-			map[string]Own{"none": {Open: decoding}, "in flight": {decoding, decoding}, "matched": {decoding, last}}},
-		{"the other expired", func(s *Store) { s.Apply(4*time.Second, report("e", "i", 2, 2)) },
-			map[string]Own{"none": {Open: decoding}, "in flight": {decoding, decoding}, "matched": {Open: decoding}}},
+			s.MarkPrefilled(time.Second, "e", "a")
+			s.MarkPrefilled(time.Second, "e", "a")
+			s.MarkPrefilled(time.Second, "e", "nobody's")
+			s.MarkPrefilled(time.Second, "nowhere", "a")
+		}, map[string]LocalWork{"none": {InFlight: rest}, "in flight": {rest, rest}, "matched": {rest, one}}},
+		{"the other prefilled before its report", func(s *Store) { s.MarkPrefilled(time.Second, "e", "b") },
+			map[string]LocalWork{"none": {InFlight: decoding}, "in flight": {decoding, decoding}, "matched": {decoding, last}}},
+		{"the other expired", func(s *Store) { s.ApplyReports(4*time.Second, report("e", "i", 2, 2)) },
+			map[string]LocalWork{"none": {InFlight: decoding}, "in flight": {decoding, decoding}, "matched": {InFlight: decoding}}},
 		{"one ended, twice", func(s *Store) { s.Release(4*time.Second, "e", "a"); s.Release(4*time.Second, "e", "a") },
-			map[string]Own{"none": {Open: last}, "in flight": {last, last}, "matched": {Open: last}}},
-		{"engine restarted", func(s *Store) { s.Apply(5*time.Second, report("e", "j", 1, 5*time.Second)) },
-			map[string]Own{"none": {}, "in flight": {}, "matched": {}}},
+			map[string]LocalWork{"none": {InFlight: last}, "in flight": {last, last}, "matched": {InFlight: last}}},
+		{"engine restarted", func(s *Store) { s.ApplyReports(5*time.Second, report("e", "j", 1, 5*time.Second)) },
+			map[string]LocalWork{"none": {}, "in flight": {}, "matched": {}}},
 	}
-	ledgers := map[string]Ledger{"none": NewReportedOnly(), "in flight": NewInFlight(), "matched": NewMatchedLedger(3 * time.Second)}
+	ledgers := map[string]Ledger{"none": NewReportedOnlyLedger(), "in flight": NewInFlightLedger(), "matched": NewMatchedLedger(3 * time.Second)}
 	for name, l := range ledgers {
 		s := newStore(l, "e")
-		s.Apply(0, report("e", "i", 0, 0))
+		s.ApplyReports(0, report("e", "i", 0, 0))
 		for _, step := range steps {
 			step.do(s)
-			equal(t, fmt.Sprintf("%s, %s", name, step.name), step.want[name], s.Snapshot().named("e").Own)
+			equal(t, fmt.Sprintf("%s, %s", name, step.name), step.want[name], s.Snapshot().named("e").LocalWork)
 		}
 	}
 }
@@ -187,15 +187,15 @@
 // checks that no reservation is lost.
 func TestStoreUnderConcurrentUse(t *testing.T) {
 	names := []string{"e1", "e2", "e3"}
-	s := newStore(NewInFlight(), names...)
+	s := newStore(NewInFlightLedger(), names...)
 	var group sync.WaitGroup
 	for worker := range 6 {
 		group.Go(func() {
 			for i := range 50 {
 				name := names[i%3]
 				s.Reserve(1, Reservation{Endpoint: name, Attempt: fmt.Sprint(worker, " ", i), Work: Work{Requests: 1}})
-				s.Apply(1, report(name, "i", uint64(i+1), 1))
-				s.Events(name, 0, engine.CacheEvents{Incarnation: "i", Snapshot: []uint64{uint64(i)}, Next: uint64(i + 1)})
+				s.ApplyReports(1, report(name, "i", uint64(i+1), 1))
+				s.ApplyEvents(name, 0, engine.CacheEvents{Incarnation: "i", Snapshot: []uint64{uint64(i)}, Next: uint64(i + 1)})
 				s.PublishPrefixes()
 			}
 		})
@@ -203,7 +203,7 @@
 	group.Wait()
 	open := 0
 	for _, e := range s.Snapshot().Endpoints() {
-		open += e.Own.Open.Requests
+		open += e.LocalWork.InFlight.Requests
 	}
 	if open != 300 {
 		t.Errorf("open is %d, want 300", open)
@@ -223,7 +223,7 @@
 		runtime.ReadMemStats(&before)
 		s := newStore(NewMatchedLedger(DefaultExpiry), names...)
 		for _, name := range names {
-			s.Apply(1, report(name, "i", 1, 1))
+			s.ApplyReports(1, report(name, "i", 1, 1))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -232,7 +232,7 @@
 			b.ReportAllocs()
 			for i := uint64(2); b.Loop(); i++ {
 				name := names[i%uint64(n)]
-				s.Apply(1, report(name, "i", i, 1))
+				s.ApplyReports(1, report(name, "i", i, 1))
 				s.Reserve(1, Reservation{Endpoint: name, Attempt: "a", Work: Work{Requests: 1}})
 				s.Release(1, name, "a")
 			}
--- a/fleet/ledger.go
+++ b/fleet/ledger.go
@@ -23,17 +23,17 @@
 type Ledger interface {
 	// Reserve records work that is about to be sent.
 	Reserve(now time.Duration, r Reservation)
-	// Prefilled tells that an attempt's prompt is computed: its prompt tokens
+	// MarkPrefilled tells that an attempt's prompt is computed: its prompt tokens
 	// no longer wait. Unknown attempts are ignored.
-	Prefilled(endpoint, attempt string)
+	MarkPrefilled(endpoint, attempt string)
 	// Release ends it, whatever became of it. Unknown attempts are ignored.
 	Release(endpoint, attempt string)
 	// Observe takes in a load report of an endpoint.
 	Observe(now time.Duration, endpoint string, load engine.Load)
 	// Forget drops all work at an endpoint that lost it (a new incarnation).
 	Forget(endpoint string)
-	// Own returns the work at an endpoint.
-	Own(now time.Duration, endpoint string) Own
+	// LocalWork returns the work at an endpoint.
+	LocalWork(now time.Duration, endpoint string) LocalWork
 }
 
 // entry is one reservation in a book.
@@ -43,10 +43,10 @@
 	seen bool
 }
 
-// book is the reservations at one endpoint. Invariant: own.Open is the sum of
-// all entries, own.Unseen the sum of those not seen.
+// book is the reservations at one endpoint. Invariant: own.InFlight is the sum of
+// all entries, own.Unreported the sum of those not seen.
 type book struct {
-	own     Own
+	own     LocalWork
 	entries map[string]entry
 }
 
@@ -64,12 +64,12 @@
 		return
 	}
 	at.entries[r.Attempt] = entry{work: r.Work, at: now}
-	at.own.Open = at.own.Open.Plus(r.Work)
-	at.own.Unseen = at.own.Unseen.Plus(r.Work)
+	at.own.InFlight = at.own.InFlight.Add(r.Work)
+	at.own.Unreported = at.own.Unreported.Add(r.Work)
 }
 
-// Prefilled implements Ledger. Telling it twice is idempotent.
-func (b books) Prefilled(endpoint, attempt string) {
+// MarkPrefilled implements Ledger. Telling it twice is idempotent.
+func (b books) MarkPrefilled(endpoint, attempt string) {
 	at := b[endpoint]
 	if at == nil {
 		return
@@ -79,11 +79,11 @@
 		return
 	}
 	computed := Work{PromptTokens: e.work.PromptTokens}
-	e.work = e.work.minus(computed)
+	e.work = e.work.sub(computed)
 	at.entries[attempt] = e
-	at.own.Open = at.own.Open.minus(computed)
+	at.own.InFlight = at.own.InFlight.sub(computed)
 	if !e.seen {
-		at.own.Unseen = at.own.Unseen.minus(computed)
+		at.own.Unreported = at.own.Unreported.sub(computed)
 	}
 }
 
@@ -98,7 +98,7 @@
 	if !ok {
 		return
 	}
-	at.own.Open = at.own.Open.minus(e.work)
+	at.own.InFlight = at.own.InFlight.sub(e.work)
 	delete(at.entries, attempt)
 	if len(at.entries) == 0 {
 		delete(b, endpoint)
@@ -115,41 +115,41 @@
 	}
 	e.seen = true
 	b.entries[attempt] = e
-	b.own.Unseen = b.own.Unseen.minus(e.work)
+	b.own.Unreported = b.own.Unreported.sub(e.work)
 }
 
-// ReportedOnly trusts reports alone: nothing is ever unseen.
-type ReportedOnly struct{ books }
+// ReportedOnlyLedger trusts reports alone: nothing is ever unseen.
+type ReportedOnlyLedger struct{ books }
 
-// NewReportedOnly returns an empty ledger.
-func NewReportedOnly() *ReportedOnly { return &ReportedOnly{make(books)} }
+// NewReportedOnlyLedger returns an empty ledger.
+func NewReportedOnlyLedger() *ReportedOnlyLedger { return &ReportedOnlyLedger{make(books)} }
 
 // Observe implements Ledger.
-func (*ReportedOnly) Observe(time.Duration, string, engine.Load) {}
+func (*ReportedOnlyLedger) Observe(time.Duration, string, engine.Load) {}
 
-// Own implements Ledger.
-func (l *ReportedOnly) Own(_ time.Duration, endpoint string) Own {
+// LocalWork implements Ledger.
+func (l *ReportedOnlyLedger) LocalWork(_ time.Duration, endpoint string) LocalWork {
 	if at := l.books[endpoint]; at != nil {
-		return Own{Open: at.own.Open}
+		return LocalWork{InFlight: at.own.InFlight}
 	}
-	return Own{}
+	return LocalWork{}
 }
 
-// InFlight adds all own work in flight to the report, seen by it or not.
-type InFlight struct{ books }
+// InFlightLedger adds all own work in flight to the report, seen by it or not.
+type InFlightLedger struct{ books }
 
-// NewInFlight returns an empty ledger.
-func NewInFlight() *InFlight { return &InFlight{make(books)} }
+// NewInFlightLedger returns an empty ledger.
+func NewInFlightLedger() *InFlightLedger { return &InFlightLedger{make(books)} }
 
 // Observe implements Ledger.
-func (*InFlight) Observe(time.Duration, string, engine.Load) {}
+func (*InFlightLedger) Observe(time.Duration, string, engine.Load) {}
 
-// Own implements Ledger.
-func (l *InFlight) Own(_ time.Duration, endpoint string) Own {
+// LocalWork implements Ledger.
+func (l *InFlightLedger) LocalWork(_ time.Duration, endpoint string) LocalWork {
 	if at := l.books[endpoint]; at != nil {
 		return at.own
 	}
-	return Own{}
+	return LocalWork{}
 }
 
 // MatchedLedger counts work as unseen until a report names its attempt, or
@@ -179,11 +179,11 @@
 	}
 }
 
-// Own implements Ledger. It expires what is too old first.
-func (l *MatchedLedger) Own(now time.Duration, endpoint string) Own {
+// LocalWork implements Ledger. It expires what is too old first.
+func (l *MatchedLedger) LocalWork(now time.Duration, endpoint string) LocalWork {
 	at := l.books[endpoint]
 	if at == nil {
-		return Own{}
+		return LocalWork{}
 	}
 	for attempt, e := range at.entries {
 		if !e.seen && now-e.at >= l.expiry {
--- a/fleet/poller.go
+++ b/fleet/poller.go
@@ -22,17 +22,17 @@
 	Events(ctx context.Context, since uint64) (engine.CacheEvents, error)
 }
 
-// Question is what a node asks an engine in a round.
-type Question uint8
+// PollScope is what a node asks an engine in a round.
+type PollScope uint8
 
 // The questions.
 const (
-	// Nothing leaves the engine alone.
-	Nothing Question = iota
-	// StateOnly asks for the state and the load report.
-	StateOnly
-	// StateAndCache asks for the cache events as well.
-	StateAndCache
+	// PollNothing leaves the engine alone.
+	PollNothing PollScope = iota
+	// PollState asks for the state and the load report.
+	PollState
+	// PollStateAndCache asks for the cache events as well.
+	PollStateAndCache
 )
 
 // PollerConfig holds the choices of a Poller.
@@ -62,7 +62,7 @@
 	// open returns the source of an endpoint.
 	open func(e *Endpoint) Source
 	// mine tells what this node asks an endpoint (see package peer/share).
-	mine func(e *Endpoint) Question
+	mine func(e *Endpoint) PollScope
 	// heard gets each report, to be shared with peers. It may be nil.
 	heard func(Report)
 
@@ -71,7 +71,7 @@
 }
 
 // NewPoller returns a poller that reads into store.
-func NewPoller(cfg PollerConfig, store *Store, now func() time.Duration, open func(*Endpoint) Source, mine func(*Endpoint) Question, heard func(Report)) *Poller {
+func NewPoller(cfg PollerConfig, store *Store, now func() time.Duration, open func(*Endpoint) Source, mine func(*Endpoint) PollScope, heard func(Report)) *Poller {
 	if heard == nil {
 		heard = func(Report) {}
 	}
@@ -128,7 +128,7 @@
 // poll is one endpoint to be asked.
 type poll struct {
 	endpoint *Endpoint
-	question Question
+	question PollScope
 }
 
 func (p *Poller) due() []poll {
@@ -137,7 +137,7 @@
 		if e.Kind != Engine {
 			continue
 		}
-		if q := p.mine(e); q != Nothing {
+		if q := p.mine(e); q != PollNothing {
 			due = append(due, poll{endpoint: e, question: q})
 		}
 	}
@@ -173,7 +173,7 @@
 	pollsDone.Inc()
 }
 
-func (p *Poller) read(ctx context.Context, e *Endpoint, q Question) error {
+func (p *Poller) read(ctx context.Context, e *Endpoint, q PollScope) error {
 	source := p.open(e)
 	// The state is taken as measured when the question left, so that a slow
 	// answer never looks fresher than it is.
@@ -187,9 +187,9 @@
 		State:      state,
 		MeasuredAt: asked - time.Duration(state.Load.AgeMillis)*time.Millisecond,
 	}
-	p.store.Apply(p.now(), r)
+	p.store.ApplyReports(p.now(), r)
 	p.heard(r)
-	if q == StateOnly {
+	if q == PollState {
 		return nil
 	}
 	since := p.store.EventsSince(e.Name)
@@ -197,6 +197,6 @@
 	if err != nil {
 		return err
 	}
-	p.store.Events(e.Name, since, batch)
+	p.store.ApplyEvents(e.Name, since, batch)
 	return nil
 }
--- a/fleet/poller_test.go
+++ b/fleet/poller_test.go
@@ -49,15 +49,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		now := func() time.Duration { return time.Since(start) }
-		s := NewStore("a", NewInFlight(), prefix.NewViews(1000))
+		s := NewStore("a", NewInFlightLedger(), prefix.NewViews(1000))
 		s.SetSpecs(specs("e1", "e2", "frozen", "other"))
 		sources := map[string]*script{"e1": {}, "e2": {}, "frozen": {frozen: true}, "other": {}}
-		questions := map[string]Question{"e1": StateAndCache, "e2": StateOnly, "frozen": StateAndCache}
+		questions := map[string]PollScope{"e1": PollStateAndCache, "e2": PollState, "frozen": PollStateAndCache}
 		var shared atomic.Int64
 		cfg := PollerConfig{Interval: time.Second, Timeout: 3300 * time.Millisecond, Workers: 2}
 		p := NewPoller(cfg, s, now,
 			func(e *Endpoint) Source { return sources[e.Name] },
-			func(e *Endpoint) Question { return questions[e.Name] },
+			func(e *Endpoint) PollScope { return questions[e.Name] },
 			func(Report) { shared.Add(1) })
 		ctx, cancel := context.WithTimeout(t.Context(), 9900*time.Millisecond)
 		defer cancel()
@@ -77,10 +77,10 @@
 			t.Errorf("e2 was polled %d times and asked for its cache %d times, want 10 and 0", e2.polls, len(e2.asked))
 		}
 		snapshot := s.Snapshot()
-		if e := snapshot.named("e1"); !e.Known || now()-e.MeasuredAt < 600*time.Millisecond {
-			t.Errorf("e1 known %v, measured %v ago", e.Known, now()-e.MeasuredAt)
+		if e := snapshot.named("e1"); !e.Reported || now()-e.MeasuredAt < 600*time.Millisecond {
+			t.Errorf("e1 known %v, measured %v ago", e.Reported, now()-e.MeasuredAt)
 		}
-		if snapshot.named("frozen").Known {
+		if snapshot.named("frozen").Reported {
 			t.Error("the frozen engine is known")
 		}
 		hit := snapshot.Prefix.Chain([]uint64{1, 2}).Depth(snapshot.named("e1").Slot)
--- a/fleet/reserve.go
+++ b/fleet/reserve.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Spilled counts prompt tokens sent to another zone against its room.
-func (s *Store) Spilled(zone string, promptTokens int) {
+// RecordSpill counts prompt tokens sent to another zone against its room.
+func (s *Store) RecordSpill(zone string, promptTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := *s.Snapshot()
 	next.Zones = slices.Clone(next.Zones)
 	for i := range next.Zones {
 		if next.Zones[i].Zone == zone {
-			next.Zones[i].Sent += promptTokens
+			next.Zones[i].PromptTokensSent += promptTokens
 		}
 	}
 	s.snapshot.Store(&next)
@@ -31,13 +31,13 @@
 	s.refresh(now, r.Endpoint)
 }
 
-// Prefilled records that an attempt's prompt is computed (its first token came),
+// MarkPrefilled records that an attempt's prompt is computed (its first token came),
 // so that it no longer counts as waiting for prefill. While reports are stale
 // nothing else tells so before the whole answer is done.
-func (s *Store) Prefilled(now time.Duration, endpoint, attempt string) {
+func (s *Store) MarkPrefilled(now time.Duration, endpoint, attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Prefilled(endpoint, attempt)
+	s.ledger.MarkPrefilled(endpoint, attempt)
 	s.refresh(now, endpoint)
 }
 
@@ -51,7 +51,7 @@
 
 func (s *Store) refresh(now time.Duration, endpoint string) {
 	if e := s.copyOf(endpoint); e != nil {
-		e.Own = s.ledger.Own(now, endpoint)
+		e.LocalWork = s.ledger.LocalWork(now, endpoint)
 		s.publish(e)
 	}
 }
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -19,8 +19,8 @@
 type Snapshot struct {
 	// Zone is the zone whose endpoints it holds.
 	Zone string
-	// Entries is the number of live entry VMs in the zone, at least one.
-	Entries int
+	// EntryVMs is the number of live entry VMs in the zone, at least one.
+	EntryVMs int
 	// Prefix is the view of the engines' prefix caches, never nil.
 	Prefix *prefix.Index
 	// Zones are the summaries of the other zones.
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -38,7 +38,7 @@
 // NewStore returns an empty store for zone.
 func NewStore(zone string, ledger Ledger, views *prefix.Views) *Store {
 	s := &Store{slots: make(map[string]prefix.Slot), ledger: ledger, views: views}
-	s.snapshot.Store(&Snapshot{Zone: zone, Entries: 1, Prefix: views.Publish(), groups: make(map[GroupKey][]prefix.Slot)})
+	s.snapshot.Store(&Snapshot{Zone: zone, EntryVMs: 1, Prefix: views.Publish(), groups: make(map[GroupKey][]prefix.Slot)})
 	return s
 }
 
@@ -121,9 +121,9 @@
 	s.snapshot.Store(&next)
 }
 
-// Apply takes in reports that arrived at now. A report older than the one held
+// ApplyReports takes in reports that arrived at now. A report older than the one held
 // of the same incarnation is ignored.
-func (s *Store) Apply(now time.Duration, reports ...Report) {
+func (s *Store) ApplyReports(now time.Duration, reports ...Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := make([]*Endpoint, 0, len(reports))
@@ -148,19 +148,19 @@
 	if e == nil || stale(e, r) {
 		return nil
 	}
-	if e.Known && e.Incarnation != r.State.Incarnation {
+	if e.Reported && e.Incarnation != r.State.Incarnation {
 		s.ledger.Forget(e.Name)
 		e.Health = health.Status{}
 	}
 	s.ledger.Observe(now, e.Name, r.State.Load)
-	e.Known = true
+	e.Reported = true
 	e.Incarnation = r.State.Incarnation
 	e.Role = r.State.Role
 	e.Loaded = r.State.Loaded
 	e.SelfLeaving = r.State.Leaving
 	e.Load = r.State.Load
 	e.MeasuredAt = r.MeasuredAt
-	e.Own = s.ledger.Own(now, e.Name)
+	e.LocalWork = s.ledger.LocalWork(now, e.Name)
 	return e
 }
 
@@ -168,7 +168,7 @@
 // sequence decides; between two, the time of measurement does, so that a late
 // report of a dead incarnation does not bring it back.
 func stale(e *Endpoint, r Report) bool {
-	if !e.Known {
+	if !e.Reported {
 		return false
 	}
 	if e.Incarnation != r.State.Incarnation {
@@ -177,9 +177,9 @@
 	return r.State.Load.Sequence < e.Load.Sequence
 }
 
-// Events takes in an engine's answer to a question for cache events from
+// ApplyEvents takes in an engine's answer to a question for cache events from
 // sequence since. They show in the next snapshot that PublishPrefixes makes.
-func (s *Store) Events(endpoint string, since uint64, batch engine.CacheEvents) {
+func (s *Store) ApplyEvents(endpoint string, since uint64, batch engine.CacheEvents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slot, ok := s.slots[endpoint]; ok {
@@ -232,7 +232,7 @@
 }
 
 // SetZones sets the newest summaries of the other zones and the number of live
-// entry VMs in this one. A summary as old as the one held keeps its Sent.
+// entry VMs in this one. A summary as old as the one held keeps its PromptTokensSent.
 func (s *Store) SetZones(zones []ZoneSummary, entries int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,15 +242,15 @@
 	for i := range next.Zones {
 		next.Zones[i].keepSent(old)
 	}
-	next.Entries = max(1, entries)
+	next.EntryVMs = max(1, entries)
 	s.snapshot.Store(&next)
 }
 
 // keepSent takes over what was counted against the same summary before.
 func (z *ZoneSummary) keepSent(old []ZoneSummary) {
 	for _, o := range old {
-		if o.Zone == z.Zone && o.At == z.At {
-			z.Sent = max(z.Sent, o.Sent)
+		if o.Zone == z.Zone && o.CreatedAt == z.CreatedAt {
+			z.PromptTokensSent = max(z.PromptTokensSent, o.PromptTokensSent)
 		}
 	}
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -57,12 +57,12 @@
 			send(k, 0, "e0", 4, Failed)
 			send(k, 0, "e0", 9, Abandoned)
 		}, Status{}},
-		{"frozen", func(k *Tracker) { send(k, 0, "e0", 2, Silent) }, Status{Ejected, 2 * second}},
+		{"frozen", func(k *Tracker) { send(k, 0, "e0", 2, Unresponsive) }, Status{Ejected, 2 * second}},
 		{"slow but alive", func(k *Tracker) {
 			for range 4 {
-				send(k, 0, "e0", 1, Silent)
+				send(k, 0, "e0", 1, Unresponsive)
 				ticket, _ := k.Begin(0, "e0")
-				k.Alive(ticket)
+				k.RecordActivity(ticket)
 			}
 		}, Status{}},
 		{"rate above its peers", func(k *Tracker) {
--- a/health/tracker.go
+++ b/health/tracker.go
@@ -16,8 +16,8 @@
 	// Failed means that the endpoint broke, refused without cause or gave a
 	// wrong answer.
 	Failed
-	// Silent means that nothing came for so long that the attempt was given up.
-	Silent
+	// Unresponsive means that nothing came for so long that the attempt was given up.
+	Unresponsive
 	// Abandoned tells nothing of the endpoint: the caller went away.
 	Abandoned
 )
@@ -203,9 +203,9 @@
 	return ticket, true
 }
 
-// Holds tells whether the endpoint of a ticket may still be sent to: it has neither started
+// StillValid tells whether the endpoint of a ticket may still be sent to: it has neither started
 // again nor been ejected since, and a trial still is the ticket's own.
-func (t *Tracker) Holds(now time.Duration, ticket Ticket) bool {
+func (t *Tracker) StillValid(now time.Duration, ticket Ticket) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.members[ticket.endpoint]
@@ -220,9 +220,9 @@
 	return m.status.Usable(now)
 }
 
-// Alive is called when a token or answer comes from an endpoint: it is slow
+// RecordActivity is called when a token or answer comes from an endpoint: it is slow
 // perhaps, but not frozen.
-func (t *Tracker) Alive(ticket Ticket) {
+func (t *Tracker) RecordActivity(ticket Ticket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.about(ticket); m != nil {
@@ -275,7 +275,7 @@
 		m.failures, m.silent = 0, 0
 		m.recent.add(now, t.cfg.Window, 1, 0)
 		return
-	case Silent:
+	case Unresponsive:
 		m.silent++
 	}
 	m.failures++
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -60,7 +60,7 @@
 	switch {
 	case w.p.changesRole(h):
 		return relay.EndpointChangingRole
-	case !w.p.health.Holds(w.p.now().Sub(w.p.start), h.ticket):
+	case !w.p.health.StillValid(w.p.now().Sub(w.p.start), h.ticket):
 		return relay.EndpointEjected
 	}
 	return causeOf(h.permit.Recheck().Reason)
@@ -94,7 +94,7 @@
 func (w *watch) FirstEvent() {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
-	w.p.health.Alive(w.serve.ticket)
+	w.p.health.RecordActivity(w.serve.ticket)
 	observePrediction(w.expect, w.p.now().Sub(w.placed))
 	if w.serve.work.prefill.tokens > 0 {
 		w.p.prefilled(w.serve, nil)
@@ -162,7 +162,7 @@
 	case h.zone == p.zone || result == health.Abandoned && failed == nil:
 	case failed == nil, failed.Ran == failure.NotRun && failed.Code != failure.EndpointUnreachable:
 		p.zones.reached(h.zone)
-	case failed.Code == failure.EndpointUnreachable, result == health.Silent:
+	case failed.Code == failure.EndpointUnreachable, result == health.Unresponsive:
 		if p.zones.missed(p.now(), h.zone, h.book.id, p.directory.Snapshot().UsableInZone(h.zone)) {
 			klog.InfoS("placement: zone seems cut off", "zone", h.zone, "endpoint", h.book.id, "reason", failed.Code, "for", cutFor)
 		}
@@ -180,7 +180,7 @@
 	case failed.Code == failure.EndpointRefused:
 		return health.Abandoned
 	case failed.Code == failure.EndpointStalled:
-		return health.Silent
+		return health.Unresponsive
 	}
 	return health.Failed
 }
--- a/routing/candidates.go
+++ b/routing/candidates.go
@@ -39,11 +39,11 @@
 	return false
 }
 
-// sample calls f for Choices random members that pass the filters. When the
+// sample calls f for RandomCandidates random members that pass the filters. When the
 // draws find none, it walks the whole group from a random place, so that a
 // usable member is found if there is one.
 func (d *decider) sample(members []prefix.Slot, f func(*fleet.Endpoint)) {
-	if len(members) <= d.cfg.Choices {
+	if len(members) <= d.cfg.RandomCandidates {
 		for _, slot := range members {
 			d.offer(slot, f)
 		}
@@ -60,8 +60,8 @@
 	var buf [4 * maxHits]int
 	drawn := buf[:0]
 	usable := 0
-	draws := min(len(members), cap(buf), 3*d.cfg.Choices)
-	for i := len(members) - draws; i < len(members) && usable < d.cfg.Choices; i++ {
+	draws := min(len(members), cap(buf), 3*d.cfg.RandomCandidates)
+	for i := len(members) - draws; i < len(members) && usable < d.cfg.RandomCandidates; i++ {
 		at := d.rng.IntN(i + 1)
 		if slices.Contains(drawn, at) {
 			at = i
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -13,19 +13,19 @@
 // Costs are the assumed speeds of an engine, and how far reports are trusted.
 type Costs struct {
 	costs.Engine
-	// Others is how much unseen work each other entry of the zone, up to
+	// PeerWorkFactor is how much unseen work each other entry of the zone, up to
 	// maxOthers of them, is assumed to have at an engine, as a part of the own.
-	Others float64
-	// Stale is the age from which a load report is no longer believed.
-	Stale time.Duration
+	PeerWorkFactor float64
+	// MaxReportAge is the age from which a load report is no longer believed.
+	MaxReportAge time.Duration
 }
 
 // DefaultCosts returns the defaults.
 func DefaultCosts() Costs {
 	return Costs{
-		Engine: costs.Defaults(),
-		Others: 0.25,
-		Stale:  5 * time.Second,
+		Engine:         costs.Defaults(),
+		PeerWorkFactor: 0.25,
+		MaxReportAge:   5 * time.Second,
 	}
 }
 
--- a/routing/load.go
+++ b/routing/load.go
@@ -26,15 +26,15 @@
 // believed at all; the entries' work in flight is then the better guess.
 func (d *decider) load(e *fleet.Endpoint) Assumed {
 	c := &d.cfg.Costs
-	if e.Age(d.r.Now) > c.Stale {
+	if e.Age(d.r.Now) > c.MaxReportAge {
 		return guess(e, d.others(e.Role))
 	}
-	return c.reported(e, d.s.Entries)
+	return c.reported(e, d.s.EntryVMs)
 }
 
 // reported adds to the report what it cannot include.
 func (c *Costs) reported(e *fleet.Endpoint, entries int) Assumed {
-	unseen := e.Own.Unseen.Times(1 + c.Others*float64(min(entries-1, maxOthers)))
+	unseen := e.LocalWork.Unreported.Scale(1 + c.PeerWorkFactor*float64(min(entries-1, maxOthers)))
 	return Assumed{
 		Requests:      e.Load.Waiting + e.Load.Running + unseen.Requests,
 		PromptTokens:  e.Load.WaitingTokens + unseen.PromptTokens,
@@ -47,7 +47,7 @@
 // guess is the load of an engine without a report: the own work and that of the
 // other entries. Of the prompts not yet computed half is taken as done.
 func guess(e *fleet.Endpoint, others fleet.Work) Assumed {
-	all := e.Own.Open.Plus(others)
+	all := e.LocalWork.InFlight.Add(others)
 	return Assumed{
 		Requests:      all.Requests,
 		PromptTokens:  all.PromptTokens / 2,
@@ -73,7 +73,7 @@
 			return known.work
 		}
 	}
-	work := d.mean(role, float64(d.s.Entries-1))
+	work := d.mean(role, float64(d.s.EntryVMs-1))
 	d.elsewhere[d.nelsewhere] = roleWork{role, work}
 	d.nelsewhere++
 	return work
@@ -89,7 +89,7 @@
 	}
 	var sum fleet.Work
 	for i := range n {
-		sum = sum.Plus(d.s.At(members[(from+i)%len(members)]).Own.Open)
+		sum = sum.Add(d.s.At(members[(from+i)%len(members)]).LocalWork.InFlight)
 	}
-	return sum.Times(factor / float64(max(1, n)))
+	return sum.Scale(factor / float64(max(1, n)))
 }
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -33,7 +33,7 @@
 		return got
 	}
 	work := fleet.Work{Requests: 4, PromptTokens: 100, ContextTokens: 200}
-	stale := DefaultCosts().Stale + 1
+	stale := DefaultCosts().MaxReportAge + 1
 	equal(t, "stale", []Assumed{{8, 100, 400, 400, 5000}, {4, 50, 200, 200, 5000}}, load(stale, work, "e1", "e2"))
 	equal(t, "stale, one engine", []Assumed{{12, 150, 600, 600, 5000}}, load(stale, work, "e1"))
 	equal(t, "not yet stale", []Assumed{{15, 1050, 300, 300, 5000}, {9, 900, 0, 0, 5000}}, load(stale-1, work, "e1", "e2"))
--- a/routing/metrics.go
+++ b/routing/metrics.go
@@ -14,9 +14,9 @@
 	decidedTrial = metrics.NewCounter(`springweir_routing_decided_total{kind="trial"}`)
 )
 
-// Count counts a decision's result: refusals by what left the endpoints out,
+// CountDecision counts a decision's result: refusals by what left the endpoints out,
 // spills by zone, pairs and trials. Decide itself stays free of side effects.
-func Count(d Decision, err error) {
+func CountDecision(d Decision, err error) {
 	var none *NoEndpointError
 	switch {
 	case errors.As(err, &none):
@@ -25,7 +25,7 @@
 		count("springweir_routing_refused_total", "cause", "other")
 	case d.Zone != "":
 		count("springweir_routing_spilled_total", "zone", d.Zone)
-	case d.Prefill != nil:
+	case d.PrefillEndpoint != nil:
 		decidedPair.Inc()
 	default:
 		decidedWhole.Inc()
--- a/routing/metrics_test.go
+++ b/routing/metrics_test.go
@@ -18,7 +18,7 @@
 		want     []string
 	}{
 		{"whole", Decision{}, nil, []string{`decided_total{kind="whole"}`}},
-		{"pair", Decision{Prefill: &fleet.Endpoint{}}, nil, []string{`decided_total{kind="pair"}`}},
+		{"pair", Decision{PrefillEndpoint: &fleet.Endpoint{}}, nil, []string{`decided_total{kind="pair"}`}},
 		{"trial", Decision{Trial: true}, nil, []string{`decided_total{kind="whole"}`, `decided_total{kind="trial"}`}},
 		{"spilled", Decision{Zone: "b"}, nil, []string{`spilled_total{zone="b"}`}},
 		{"unserved", Decision{}, &NoEndpointError{Unserved: true}, []string{`refused_total{cause="unserved"}`}},
@@ -27,7 +27,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			before := counted(all)
-			Count(tc.decision, tc.err)
+			CountDecision(tc.decision, tc.err)
 			var got []string
 			for i, n := range counted(all) {
 				if n == before[i]+1 {
--- a/routing/plugins_test.go
+++ b/routing/plugins_test.go
@@ -72,12 +72,12 @@
 }
 
 func TestAssumedLoad(t *testing.T) {
-	costs := Costs{Others: 0.5}
+	costs := Costs{PeerWorkFactor: 0.5}
 	open := fleet.Work{Requests: 4, PromptTokens: 100, ContextTokens: 200}
 	unseen := fleet.Work{Requests: 2, PromptTokens: 50, ContextTokens: 100}
 	e := fleet.Endpoint{
-		Load: engine.Load{Waiting: 1, Running: 2, WaitingTokens: 10, DecodeTokens: 20, KVUsed: 30, KVTotal: 400},
-		Own:  fleet.Own{Open: open, Unseen: unseen},
+		Load:      engine.Load{Waiting: 1, Running: 2, WaitingTokens: 10, DecodeTokens: 20, KVUsed: 30, KVTotal: 400},
+		LocalWork: fleet.LocalWork{InFlight: open, Unreported: unseen},
 	}
 	tests := []struct {
 		name    string
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -34,9 +34,9 @@
 	Now, Deadline time.Duration
 	// Tried are the names of endpoints not to use again.
 	Tried []string
-	// Hopped is set on a request that came from another zone: it may not leave
+	// FromOtherZone is set on a request that came from another zone: it may not leave
 	// this one again.
-	Hopped bool
+	FromOtherZone bool
 	// NoTrial keeps the request off half-open endpoints: it is set on calls that
 	// may not be repeated elsewhere when the trial fails.
 	NoTrial bool
@@ -47,11 +47,11 @@
 
 // Decision is where to send a request.
 type Decision struct {
-	// Serve answers the request. It is nil when Zone is set.
-	Serve *fleet.Endpoint
-	// Prefill computes the prompt and hands its KV cache to Serve; nil when
-	// Serve does both.
-	Prefill *fleet.Endpoint
+	// Endpoint answers the request. It is nil when Zone is set.
+	Endpoint *fleet.Endpoint
+	// PrefillEndpoint computes the prompt and hands its KV cache to Endpoint; nil when
+	// Endpoint does both.
+	PrefillEndpoint *fleet.Endpoint
 	// Zone is the other zone whose entries should take the request, if any.
 	Zone string
 	// CachedTokens is the part of the prompt thought to be cached where it is prefilled.
@@ -65,33 +65,33 @@
 	Cost float64
 	// Considered is the number of candidates scored.
 	Considered int
-	// Trial is set when Serve or Prefill is half-open (see package health).
+	// Trial is set when Endpoint or PrefillEndpoint is half-open (see package health).
 	Trial bool
 }
 
 // Config holds the choices of a Router.
 type Config struct {
-	// Choices is the number of random candidates of each kind (power of k choices).
-	Choices int
+	// RandomCandidates is the number of random candidates of each kind (power of k choices).
+	RandomCandidates int
 	// PrefixCandidates is the number of candidates taken for their cached prefix.
 	PrefixCandidates int
-	// Pairs allows prefill and decode on different engines.
-	Pairs bool
-	// WholeOnDecode allows decode engines to prefill short prompts themselves.
-	WholeOnDecode bool
-	Costs         Costs
-	Filters       []Filter
-	Scorers       []Weighted
-	Spill         SpillConfig
+	// Disaggregate allows prefill and decode on different engines.
+	Disaggregate bool
+	// ColocateOnDecode allows decode engines to prefill short prompts themselves.
+	ColocateOnDecode bool
+	Costs            Costs
+	Filters          []Filter
+	Scorers          []Weighted
+	Spill            SpillConfig
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Choices:          4,
+		RandomCandidates: 4,
 		PrefixCandidates: 4,
-		Pairs:            true,
-		WholeOnDecode:    true,
+		Disaggregate:     true,
+		ColocateOnDecode: true,
 		Costs:            DefaultCosts(),
 		Filters:          DefaultFilters(),
 		Scorers:          DefaultScorers(),
@@ -172,10 +172,10 @@
 // whole returns the best engine, or pair of them, for a prompt that nobody has prefilled.
 func (d *decider) whole() Estimate {
 	best := d.best(Whole, engine.Mixed)
-	if d.cfg.WholeOnDecode {
+	if d.cfg.ColocateOnDecode {
 		best = cheaper(best, d.best(Whole, engine.Decode))
 	}
-	if d.cfg.Pairs {
+	if d.cfg.Disaggregate {
 		best = cheaper(best, d.pair())
 	}
 	return best
@@ -203,7 +203,7 @@
 
 func (d *decider) decision(e Estimate) Decision {
 	out := Decision{
-		Serve:        e.Endpoint,
+		Endpoint:     e.Endpoint,
 		CachedTokens: e.Cached,
 		Queue:        e.Queue,
 		TTFT:         e.TTFT(),
@@ -214,7 +214,7 @@
 		Trial:        e.Endpoint.Health.HalfOpen(d.r.Now),
 	}
 	if e.First != nil {
-		out.Prefill = e.First
+		out.PrefillEndpoint = e.First
 		out.Trial = out.Trial || e.First.Health.HalfOpen(d.r.Now)
 	}
 	return out
@@ -225,12 +225,12 @@
 	var best *fleet.Endpoint
 	members := d.s.Group(fleet.GroupKey{Kind: fleet.Service, Service: d.r.Service})
 	d.sample(members, func(e *fleet.Endpoint) {
-		if best == nil || e.Own.Open.Requests < best.Own.Open.Requests {
+		if best == nil || e.LocalWork.InFlight.Requests < best.LocalWork.InFlight.Requests {
 			best = e
 		}
 	})
 	if best == nil {
 		return Decision{}, d.refusal()
 	}
-	return Decision{Serve: best, Considered: d.seen, Trial: best.Health.HalfOpen(d.r.Now)}, nil
+	return Decision{Endpoint: best, Considered: d.seen, Trial: best.Health.HalfOpen(d.r.Now)}, nil
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -59,13 +59,13 @@
 		reports = append(reports, fleet.Report{Endpoint: m.name, State: state, MeasuredAt: now - m.age})
 	}
 	s.SetSpecs(specs)
-	s.Apply(now, reports...)
+	s.ApplyReports(now, reports...)
 	for _, m := range members {
 		s.SetWithheld(m.name, m.withheld)
 		s.SetHealth(m.name, m.health)
-		s.Events(m.name, 0, engine.CacheEvents{Incarnation: "i", Snapshot: m.cached, Next: 1})
+		s.ApplyEvents(m.name, 0, engine.CacheEvents{Incarnation: "i", Snapshot: m.cached, Next: 1})
 		if m.gap {
-			s.Events(m.name, 1, engine.CacheEvents{Incarnation: "i", Next: 9})
+			s.ApplyEvents(m.name, 1, engine.CacheEvents{Incarnation: "i", Next: 9})
 		}
 	}
 	s.PublishPrefixes()
@@ -94,10 +94,10 @@
 		return none.Error()
 	case d.Zone != "":
 		return "zone:" + d.Zone
-	case d.Prefill != nil:
-		return d.Prefill.Name + ">" + d.Serve.Name
+	case d.PrefillEndpoint != nil:
+		return d.PrefillEndpoint.Name + ">" + d.Endpoint.Name
 	}
-	return d.Serve.Name
+	return d.Endpoint.Name
 }
 
 func TestDecide(t *testing.T) {
--- a/routing/spill.go
+++ b/routing/spill.go
@@ -34,7 +34,7 @@
 // make its deadline (or has no endpoint at all), and another has room and time.
 // A request that has hopped once stays, so nothing goes back and forth.
 func (ro *Router) spill(s *fleet.Snapshot, r *Request, local Decision, served bool, rng Rand) (Decision, bool) {
-	if !ro.cfg.Spill.Enabled || r.Hopped || r.Service != "" {
+	if !ro.cfg.Spill.Enabled || r.FromOtherZone || r.Service != "" {
 		return Decision{}, false
 	}
 	if served && (r.Deadline == 0 || r.Now+local.Completion <= r.Deadline) {
@@ -57,7 +57,7 @@
 
 // elsewhere predicts the answer of another zone, if it can make the deadline.
 func (ro *Router) elsewhere(z *fleet.ZoneSummary, r *Request) (Decision, bool) {
-	if !z.Reachable || r.Now-z.At > ro.cfg.Spill.MaxAge || z.Room-z.Sent < r.PromptTokens {
+	if !z.Reachable || r.Now-z.CreatedAt > ro.cfg.Spill.MaxAge || z.PromptBudget-z.PromptTokensSent < r.PromptTokens {
 		return Decision{}, false
 	}
 	if !offers(z.Models, r.Artifact) {
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -11,7 +11,7 @@
 
 func TestSpill(t *testing.T) {
 	idle := fleet.ZoneSummary{
-		Zone: "b", At: now, Reachable: true, RTT: 3 * time.Millisecond, Room: 100_000,
+		Zone: "b", CreatedAt: now, Reachable: true, RTT: 3 * time.Millisecond, PromptBudget: 100_000,
 		TTFT: 50 * time.Millisecond, PerToken: 20 * time.Millisecond, Models: []weightstore.Artifact{model},
 	}
 	zone := func(change func(*fleet.ZoneSummary)) fleet.ZoneSummary {
@@ -42,12 +42,12 @@
 		{"own zone has none", gone, []fleet.ZoneSummary{idle}, request(nil), "zone:b"},
 		{"no deadline, none here", gone, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Deadline = 0 }), "zone:b"},
 		{"no deadline, slow here", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Deadline = 0 }), "e1"},
-		{"hopped already", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Hopped = true }), "e1"},
-		{"hopped already, none here", gone, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Hopped = true }), "no available endpoint serves m"},
+		{"hopped already", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.FromOtherZone = true }), "e1"},
+		{"hopped already, none here", gone, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.FromOtherZone = true }), "no available endpoint serves m"},
 		{"cut off", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Reachable = false })}, request(nil), "e1"},
-		{"summary too old", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.At = now - 4*time.Second })}, request(nil), "e1"},
-		{"no room", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Room = 3000 })}, request(nil), "e1"},
-		{"room used up by own sends", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Sent = 97_000 })}, request(nil), "e1"},
+		{"summary too old", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.CreatedAt = now - 4*time.Second })}, request(nil), "e1"},
+		{"no room", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.PromptBudget = 3000 })}, request(nil), "e1"},
+		{"room used up by own sends", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.PromptTokensSent = 97_000 })}, request(nil), "e1"},
 		{"too late there as well", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.TTFT = 5 * time.Second })}, request(nil), "e1"},
 		{"model not there", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Models = nil })}, request(nil), "e1"},
 		{"the faster of two", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.TTFT = time.Second }), zone(func(z *fleet.ZoneSummary) { z.Zone = "c" })}, request(nil), "zone:c"},
@@ -71,7 +71,7 @@
 	other := build(t, member{name: "f1", role: engine.Mixed}, member{name: "f2", role: engine.Prefill},
 		member{name: "f3", role: engine.Mixed, age: time.Minute}, member{name: "f4", role: engine.Mixed, leaving: true})
 	summary := ro.Summary(other.Snapshot(), now, 2)
-	want := fleet.ZoneSummary{Zone: "a", At: now, Reachable: true, Room: 4000, PerToken: 18150 * time.Microsecond, Models: []weightstore.Artifact{model}}
+	want := fleet.ZoneSummary{Zone: "a", CreatedAt: now, Reachable: true, PromptBudget: 4000, PerToken: 18150 * time.Microsecond, Models: []weightstore.Artifact{model}}
 	equal(t, "", want, summary)
 	summary.Zone = "b"
 	s := build(t)
@@ -81,9 +81,9 @@
 		s.SetZones([]fleet.ZoneSummary{summary}, 1)
 		d, err := ro.Decide(s.Snapshot(), r, rng(1))
 		got = append(got, route(d, err))
-		s.Spilled(d.Zone, r.PromptTokens)
+		s.RecordSpill(d.Zone, r.PromptTokens)
 	}
-	summary.At++
+	summary.CreatedAt++
 	s.SetZones([]fleet.ZoneSummary{summary}, 1)
 	got = append(got, route(ro.Decide(s.Snapshot(), r, rng(1))))
 	equal(t, "", []string{"zone:b", "zone:b", "no available endpoint serves m", "zone:b"}, got)
@@ -98,7 +98,7 @@
 		{Name: "s2", Kind: fleet.Service, Service: "slots"},
 		{Name: "s3", Kind: fleet.Service, Service: "sync"},
 	})
-	s.SetZones([]fleet.ZoneSummary{{Zone: "b", At: now, Reachable: true, Room: 1 << 20}}, 1)
+	s.SetZones([]fleet.ZoneSummary{{Zone: "b", CreatedAt: now, Reachable: true, PromptBudget: 1 << 20}}, 1)
 	s.Reserve(now, fleet.Reservation{Endpoint: "s1", Attempt: "a", Work: fleet.Work{Requests: 1}})
 	call := &Request{Service: "slots", Now: now}
 	if got := route(New(DefaultConfig()).Decide(s.Snapshot(), call, rng(1))); got != "s2" {
--- a/routing/summary.go
+++ b/routing/summary.go
@@ -15,15 +15,15 @@
 // them together cannot fill the zone before its next summary. A zone whose
 // reports are stale offers nothing.
 func (ro *Router) Summary(s *fleet.Snapshot, now time.Duration, senders int) fleet.ZoneSummary {
-	out := fleet.ZoneSummary{Zone: s.Zone, At: now, Reachable: true}
+	out := fleet.ZoneSummary{Zone: s.Zone, CreatedAt: now, Reachable: true}
 	var waits, steps []time.Duration
 	room := 0
 	for _, e := range s.Endpoints() {
-		if e.Kind != fleet.Engine || !e.Available() || !e.Health.Usable(now) || e.Age(now) > ro.cfg.Costs.Stale {
+		if e.Kind != fleet.Engine || !e.Available() || !e.Health.Usable(now) || e.Age(now) > ro.cfg.Costs.MaxReportAge {
 			continue
 		}
 		out.Models = withArtifacts(out.Models, e.Loaded)
-		load := ro.cfg.Costs.reported(e, s.Entries)
+		load := ro.cfg.Costs.reported(e, s.EntryVMs)
 		step := ro.cfg.Costs.step(load.Requests, load.ContextTokens)
 		if e.Role != engine.Decode {
 			waits = append(waits, ro.cfg.Costs.prefill(load.PromptTokens, e.Role, step))
@@ -33,10 +33,10 @@
 			steps = append(steps, ro.cfg.Costs.step(load.Requests+1, load.ContextTokens))
 		}
 	}
-	out.Room = room / 2 / max(1, senders)
+	out.PromptBudget = room / 2 / max(1, senders)
 	out.TTFT, out.PerToken = median(waits), median(steps)
 	if len(steps) == 0 {
-		out.Room = 0
+		out.PromptBudget = 0
 	}
 	return out
 }
--- a/simulate/admit.go
+++ b/simulate/admit.go
@@ -53,15 +53,15 @@
 		p.refresh(s, r.zone)
 	}
 	return p.router.Decide(vm.store.Snapshot(), &routing.Request{
-		Artifact:     weightstore.Artifact{Model: model.Model},
-		PromptTokens: r.Prompt + r.emitted,
-		OutputTokens: max(1, p.expected(vm, r)-r.emitted),
-		PrefixHashes: r.Hashes,
-		Priority:     r.Priority,
-		Now:          s.now,
-		Deadline:     r.At + r.Deadline,
-		Tried:        r.tried,
-		Hopped:       r.hopped,
+		Artifact:      weightstore.Artifact{Model: model.Model},
+		PromptTokens:  r.Prompt + r.emitted,
+		OutputTokens:  max(1, p.expected(vm, r)-r.emitted),
+		PrefixHashes:  r.Hashes,
+		Priority:      r.Priority,
+		Now:           s.now,
+		Deadline:      r.At + r.Deadline,
+		Tried:         r.tried,
+		FromOtherZone: r.hopped,
 	}, vm.rng)
 }
 
@@ -70,9 +70,9 @@
 	if d.Zone != "" {
 		return choice{hops: true, hop: int(d.Zone[0] - 'a')}
 	}
-	c := choice{serve: s.named(d.Serve.Name)}
-	if d.Prefill != nil {
-		c.prefill = s.named(d.Prefill.Name)
+	c := choice{serve: s.named(d.Endpoint.Name)}
+	if d.PrefillEndpoint != nil {
+		c.prefill = s.named(d.PrefillEndpoint.Name)
 	}
 	return c
 }
@@ -123,9 +123,9 @@
 
 // pump sends what may be sent now, by the queue's own rule.
 func (p *springweir) pump(s *sim, vm *entryVM) {
-	vm.gate.queue.Pump(s.now, func(_ time.Duration, w *admission.Work) (admission.Outlook, error) {
+	vm.gate.queue.Pump(s.now, func(_ time.Duration, w *admission.Work) (admission.Prediction, error) {
 		return p.outlook(s, w.Context.(*running))
-	}, func(it *admission.Item, o admission.Outlook, err error) {
+	}, func(it *admission.Item, o admission.Prediction, err error) {
 		p.settle(s, vm, it, o, err)
 	})
 	if vm.gate.queue.Len() > 0 {
@@ -134,22 +134,22 @@
 }
 
 // outlook is what the engines could do for r, as package entry tells it.
-func (p *springweir) outlook(s *sim, r *running) (admission.Outlook, error) {
+func (p *springweir) outlook(s *sim, r *running) (admission.Prediction, error) {
 	d, err := p.decide(s, r)
 	if err != nil {
-		return admission.Outlook{}, err
+		return admission.Prediction{}, err
 	}
-	return admission.Outlook{
-		Ready:   d.Zone != "" || d.Queue <= admission.ReadyWait,
-		Service: d.Completion,
-		Plan:    d,
+	return admission.Prediction{
+		Ready:       d.Zone != "" || d.Queue <= admission.ReadyWait,
+		ServiceTime: d.Completion,
+		Plan:        d,
 	}, nil
 }
 
 // settle does with a request what the queue decided. One for an engine of the
 // zone counts as sent before it is launched, so that it is not queued again,
 // which the queue does not allow here, when the engine refuses it.
-func (p *springweir) settle(s *sim, vm *entryVM, it *admission.Item, o admission.Outlook, err error) {
+func (p *springweir) settle(s *sim, vm *entryVM, it *admission.Item, o admission.Prediction, err error) {
 	if err != nil {
 		p.drop(s, vm, it)
 		return
--- a/simulate/planner.go
+++ b/simulate/planner.go
@@ -28,7 +28,7 @@
 			Name:        e.Name,
 			Role:        e.Role,
 			Unavailable: e.Withheld,
-			Unusable:    !e.Known || e.SelfLeaving || e.Leaving || !e.Health.Usable(s.now),
+			Unusable:    !e.Reported || e.SelfLeaving || e.Leaving || !e.Health.Usable(s.now),
 			ReportAge:   e.Age(s.now),
 			Load:        e.Load,
 		})
--- a/simulate/reservations.go
+++ b/simulate/reservations.go
@@ -18,8 +18,8 @@
 	name string
 	make func() fleet.Ledger
 }{
-	{"none", func() fleet.Ledger { return fleet.NewReportedOnly() }},
-	{"in-flight", func() fleet.Ledger { return fleet.NewInFlight() }},
+	{"none", func() fleet.Ledger { return fleet.NewReportedOnlyLedger() }},
+	{"in-flight", func() fleet.Ledger { return fleet.NewInFlightLedger() }},
 	{"matched", matched},
 }
 
--- a/simulate/springweir.go
+++ b/simulate/springweir.go
@@ -178,7 +178,7 @@
 
 // started takes the job's prompt out of what waits for prefill.
 func (p *springweir) started(s *sim, j *job) {
-	p.entry(j.run).store.Prefilled(s.now, j.node.name, attemptName(j.id))
+	p.entry(j.run).store.MarkPrefilled(s.now, j.node.name, attemptName(j.id))
 }
 
 func (p *springweir) ended(s *sim, j *job, how ending) {
@@ -221,10 +221,10 @@
 // events to the view that they share.
 func (p *springweir) report(s *sim, n *node, rep report) {
 	z := p.zones[n.zone]
-	z.entries[0].store.Events(n.name, rep.since, rep.events)
+	z.entries[0].store.ApplyEvents(n.name, rep.since, rep.events)
 	for _, vm := range z.entries {
 		vm.tracker.Set(n.name, rep.state.Incarnation, []string{string(rep.state.Role)})
-		vm.store.Apply(s.now, fleet.Report{Endpoint: n.name, State: rep.state, MeasuredAt: rep.at})
+		vm.store.ApplyReports(s.now, fleet.Report{Endpoint: n.name, State: rep.state, MeasuredAt: rep.at})
 	}
 }
 
