--- a/rolechange/balance.go
+++ b/rolechange/balance.go
@@ -16,45 +16,45 @@
 
 // BalanceSettings configure a Balancer. Shares are fractions of the engines of a service.
 type BalanceSettings struct {
-	// InitialPrefillShare is the share of prefill engines before there is any work.
-	// SufficientPrefill is the number of prefill engines above which neither this share nor
-	// MinPrefillShare orders more: in an underused fleet, each order takes an engine out of service
+	// Share is the share of prefill engines before there is any work.
+	// Enough is the number of prefill engines above which neither this share nor
+	// MinShare orders more: in an underused fleet, each order takes an engine out of service
 	// for seconds without any benefit.
-	InitialPrefillShare float64
-	SufficientPrefill   int
-	// AveragingTime is the time constant of the exponential average of the pressure.
-	AveragingTime time.Duration
-	// BusyPrefillWait is the prefill wait above which one more prefill engine is wanted.
-	BusyPrefillWait time.Duration
-	// MaxOccupancyAfterMove is the greatest fraction of the remaining decode slots in use at which
-	// a decode engine may be moved to prefill. HighOccupancy is the fraction above which a prefill
+	Share  float64
+	Enough int
+	// Memory is the time constant of the exponential average of the pressure.
+	Memory time.Duration
+	// Busy is the prefill wait above which one more prefill engine is wanted.
+	Busy time.Duration
+	// Room is the greatest fraction of the remaining decode slots in use at which
+	// a decode engine may be moved to prefill. Full is the fraction above which a prefill
 	// engine is moved to decode.
-	MaxOccupancyAfterMove, HighOccupancy float64
-	// MaxDrift is how far the share of prefill engines may deviate from the chosen one after
+	Room, Full float64
+	// Drift is how far the share of prefill engines may deviate from the chosen one after
 	// engines were added or removed, before the chosen share is restored. The platform assigns the
 	// initial role of added engines.
-	MaxDrift float64
-	// MinPrefillShare and MaxPrefillShare bound the share of prefill engines. The mix of requests
+	Drift float64
+	// MinShare and MaxShare bound the share of prefill engines. The mix of requests
 	// changes within seconds, a role change takes as long, and the VM that orders it may fail
 	// before the next one.
-	MinPrefillShare, MaxPrefillShare float64
-	// MinMoveInterval is the least time between two moves.
-	MinMoveInterval time.Duration
+	MinShare, MaxShare float64
+	// Pause is the least time between two moves.
+	Pause time.Duration
 }
 
 // DefaultBalance returns the default settings.
 func DefaultBalance() BalanceSettings {
 	return BalanceSettings{
-		InitialPrefillShare:   0.6,
-		SufficientPrefill:     sufficientPrefill,
-		AveragingTime:         8 * time.Second,
-		BusyPrefillWait:       60 * time.Millisecond,
-		MaxOccupancyAfterMove: 0.35,
-		HighOccupancy:         0.8,
-		MaxDrift:              0.08,
-		MinPrefillShare:       0.4,
-		MaxPrefillShare:       0.67,
-		MinMoveInterval:       4 * time.Second,
+		Share:    0.6,
+		Enough:   sufficientPrefill,
+		Memory:   8 * time.Second,
+		Busy:     60 * time.Millisecond,
+		Room:     0.35,
+		Full:     0.8,
+		Drift:    0.08,
+		MinShare: 0.4,
+		MaxShare: 0.67,
+		Pause:    4 * time.Second,
 	}
 }
 
@@ -91,10 +91,10 @@
 func (b *Balancer) Target(now time.Time, counts RoleCounts, p Pressure) int {
 	b.observe(now, p)
 	if !b.sawWork {
-		return b.setShare(b.clamp(b.prefillFor(b.settings.InitialPrefillShare, counts), counts), counts)
+		return b.setShare(b.clamp(b.prefillFor(b.settings.Share, counts), counts), counts)
 	}
 	want := b.clamp(b.restored(counts), counts)
-	if want != counts.Prefill || now.Sub(b.movedAt) < b.settings.MinMoveInterval {
+	if want != counts.Prefill || now.Sub(b.movedAt) < b.settings.Pause {
 		return want
 	}
 	want = b.clamp(counts.Prefill+b.step(counts, p), counts)
@@ -119,19 +119,19 @@
 		return b.setShare(counts.Prefill, counts)
 	}
 	drift := math.Abs(float64(counts.Prefill) - b.share*float64(counts.total()))
-	if counts.total() == b.size || drift <= max(minDriftEngines, b.settings.MaxDrift*float64(counts.total())) {
+	if counts.total() == b.size || drift <= max(minDriftEngines, b.settings.Drift*float64(counts.total())) {
 		b.size = counts.total()
 		return counts.Prefill
 	}
 	return b.prefillFor(b.share, counts)
 }
 
-// prefillFor returns the number of prefill engines for a share. Above SufficientPrefill it orders
+// prefillFor returns the number of prefill engines for a share. Above Enough it orders
 // no more engines than already prefill.
 func (b *Balancer) prefillFor(share float64, counts RoleCounts) int {
 	want := int(math.Round(share * float64(counts.total())))
-	if want > b.settings.SufficientPrefill {
-		return max(counts.Prefill, b.settings.SufficientPrefill)
+	if want > b.settings.Enough {
+		return max(counts.Prefill, b.settings.Enough)
 	}
 	return want
 }
@@ -139,11 +139,11 @@
 // step returns the change of the number of prefill engines: 1, 0 or -1.
 func (b *Balancer) step(counts RoleCounts, p Pressure) int {
 	slots := float64(max(1, p.Slots))
-	busy := b.wait > float64(b.settings.BusyPrefillWait)
+	busy := b.wait > float64(b.settings.Busy)
 	switch {
-	case busy && b.running <= b.settings.MaxOccupancyAfterMove*slots*float64(counts.Decode-1):
+	case busy && b.running <= b.settings.Room*slots*float64(counts.Decode-1):
 		return 1
-	case !busy && b.running > b.settings.HighOccupancy*slots*float64(counts.Decode):
+	case !busy && b.running > b.settings.Full*slots*float64(counts.Decode):
 		return -1
 	}
 	return 0
@@ -154,7 +154,7 @@
 	b.sawWork = b.sawWork || p.Running > 0 || p.PrefillWait > 0
 	weight := 1.0
 	if !b.observedAt.IsZero() {
-		weight = 1 - math.Exp(-now.Sub(b.observedAt).Seconds()/b.settings.AveragingTime.Seconds())
+		weight = 1 - math.Exp(-now.Sub(b.observedAt).Seconds()/b.settings.Memory.Seconds())
 	}
 	b.observedAt = now
 	b.running += weight * (float64(p.Running) - b.running)
@@ -175,8 +175,8 @@
 // engines.
 func (b *Balancer) clamp(prefill int, counts RoleCounts) int {
 	n := float64(counts.total())
-	lower := min(int(math.Floor(b.settings.MinPrefillShare*n)), b.settings.SufficientPrefill)
-	upper := min(int(math.Ceil(b.settings.MaxPrefillShare*n)), counts.total()-minDecode(counts.total()))
+	lower := min(int(math.Floor(b.settings.MinShare*n)), b.settings.Enough)
+	upper := min(int(math.Ceil(b.settings.MaxShare*n)), counts.total()-minDecode(counts.total()))
 	return max(0, min(max(prefill, lower), upper))
 }
 
--- a/rolechange/balance_test.go
+++ b/rolechange/balance_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A burst shorter than AveragingTime moves no engine, and consecutive moves are MinMoveInterval
+// A burst shorter than Memory moves no engine, and consecutive moves are Pause
 // apart.
 func TestBalancerAveragesAndLimitsMoves(t *testing.T) {
 	settings := DefaultBalance()
@@ -69,7 +69,7 @@
 		now = now.Add(300 * time.Millisecond)
 	}
 	for i := 1; i < len(moves); i++ {
-		if interval := moves[i].Sub(moves[i-1]); interval < settings.MinMoveInterval {
+		if interval := moves[i].Sub(moves[i-1]); interval < settings.Pause {
 			t.Errorf("moves %v apart", interval)
 		}
 	}
