--- a/placement/backup.go
+++ b/placement/backup.go
@@ -8,50 +8,51 @@
 	"github.com/springweir/springweir/routes"
 )
 
-// imports tells whether the request's cache is made already.
-func (d *decision) imports() bool { return d.try.Handle != nil || d.try.Resume != nil }
+// importsCache reports whether an earlier attempt already produced the request's KV cache.
+func (d *decision) importsCache() bool { return d.prior.Handle != nil || d.prior.Resume != nil }
 
-// resumed is the engine that holds a copy of the run, if it takes work.
-func (d *decision) resumed() option {
-	want := d.try.Resume
+// resume returns the option of continuing the run on the engine that holds its backup, or the zero
+// option if that engine is not usable.
+func (d *decision) resume() option {
+	target := d.prior.Resume
 	for _, e := range d.endpoints {
-		if e.ID == want.ID && e.Incarnation() == want.Incarnation() && e.Role != engine.Prefill {
-			return option{serve: e, first: d.linkWait() + d.sendTime() + d.wayTo(e)}
+		if e.ID == target.ID && e.Incarnation() == target.Incarnation() && e.Role != engine.Prefill {
+			return option{serve: e, firstEvent: d.linkWait() + d.sendTime() + d.roundTripTo(e)}
 		}
 	}
 	return option{}
 }
 
-// backup chooses an engine to hold a copy of a run on another one, or nil. Only a stream that must
-// not be run again needs one, and only on an engine that may be taken away at any time: a copy takes
-// memory that other requests then lack, which costs more than the few streams that crashes cut.
-// The revocable engines of a zone go together, and all of what they run then goes on at once: copies
-// are spread over all others, so that each gets a few more runs.
+// backup chooses an engine that keeps a copy of the state of a run on serve, or returns nil. Only
+// streams that must not be repeated get one, and only on revocable engines: a copy occupies cache
+// memory that other requests then lack, which costs more than the few streams that crashes
+// interrupt. The revocable engines of a zone are usually revoked together and all their runs resume
+// at once, so the copies are spread over all other engines.
 func (d *decision) backup(serve *directory.Endpoint, tokens int) *directory.Endpoint {
-	route := d.r.Route
+	route := d.req.Route
 	if !d.service.Engine.Backups || !serve.Revocable || route.Kind != routes.Stream || route.Repeatable() {
 		return nil
 	}
 	var engines []*directory.Endpoint
-	for _, e := range d.role(engine.Decode) {
-		together := e.Revocable && e.Zone == serve.Zone
-		if e.ID != serve.ID && !together && !slices.Contains(d.limited, e) {
+	for _, e := range d.enginesWithRole(engine.Decode) {
+		revokedTogether := e.Revocable && e.Zone == serve.Zone
+		if e.ID != serve.ID && !revokedTogether && !slices.Contains(d.rateLimited, e) {
 			engines = append(engines, e)
 		}
 	}
-	return d.emptiest(engines, tokens)
+	return d.leastLoaded(engines, tokens)
 }
 
-// emptiest is the one that runs least of a few drawn at random, or nil if none has room for the
-// tokens.
-func (d *decision) emptiest(engines []*directory.Endpoint, tokens int) *directory.Endpoint {
-	room := int(d.p.tuning.MaxKV*float64(d.service.Engine.KVTokens)) - tokens
+// leastLoaded samples the engines and returns the one with the fewest running requests, or nil if
+// none has enough free cache memory for the tokens.
+func (d *decision) leastLoaded(engines []*directory.Endpoint, tokens int) *directory.Endpoint {
+	freeTokens := int(d.p.tuning.MaxKVFraction*float64(d.service.Engine.KVTokens)) - tokens
 	var best *directory.Endpoint
-	least := 0
-	for _, e := range d.drawn(engines) {
-		open := d.p.books.open(d.p.books.of(e))
-		if open.kvTokens <= room && (best == nil || open.runs < least) {
-			best, least = e, open.runs
+	fewest := 0
+	for _, e := range d.sample(engines) {
+		inFlight := d.p.loads.inFlight(d.p.loads.get(e))
+		if inFlight.kvTokens <= freeTokens && (best == nil || inFlight.running < fewest) {
+			best, fewest = e, inFlight.running
 		}
 	}
 	return best
--- a/placement/backup_test.go
+++ b/placement/backup_test.go
@@ -8,8 +8,8 @@
 	"github.com/springweir/springweir/routes"
 )
 
-// A copy of a run is held by an engine that does not go when the first one does.
-func TestChoiceOfTheBackup(t *testing.T) {
+// The backup of a run must be on an engine that is not revoked together with the serving one.
+func TestBackupChoice(t *testing.T) {
 	decoder := func(id, zone string, revocable bool) directory.Registration {
 		return directory.Registration{ID: id, Service: "llm", Zone: zone, Role: engine.Decode, Slots: 4, Revocable: revocable}
 	}
@@ -20,22 +20,22 @@
 	}{
 		{"alone", []directory.Registration{decoder("serve", "a", true)}, ""},
 		{"a revocable one of another zone", []directory.Registration{decoder("serve", "a", true), decoder("r", "a", true), decoder("s", "b", true)}, "s"},
-		{"one of the zone that stays", []directory.Registration{decoder("serve", "a", true), decoder("r", "a", true), decoder("s", "a", false)}, "s"},
+		{"a permanent one of the same zone", []directory.Registration{decoder("serve", "a", true), decoder("r", "a", true), decoder("s", "a", false)}, "s"},
 		{"revocable ones of the same zone only", []directory.Registration{decoder("serve", "a", true), decoder("r", "a", true)}, ""},
-		{"none for one that stays", []directory.Registration{decoder("serve", "a", false), decoder("r", "a", true), decoder("s", "a", false)}, ""},
-		{"one that prefills holds no copies", []directory.Registration{decoder("serve", "a", true), {ID: "p", Service: "llm", Zone: "a", Role: engine.Prefill, Slots: 4}}, ""},
+		{"serving engine is not revocable", []directory.Registration{decoder("serve", "a", false), decoder("r", "a", true), decoder("s", "a", false)}, ""},
+		{"prefill engines hold no backups", []directory.Registration{decoder("serve", "a", true), {ID: "p", Service: "llm", Zone: "a", Role: engine.Prefill, Slots: 4}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBed(t)
-			b.dir.Put(tc.engines...)
-			r := b.chat()
+			f := newFixture(t)
+			f.dir.Put(tc.engines...)
+			r := f.shortReq()
 			r.Route = &routes.Route{Kind: routes.Stream}
 			d := &decision{
-				p: b.planner, r: r, now: b.planner.now(),
+				p: f.planner, req: r, now: f.planner.now(),
 				service: &routes.Service{Name: "llm", Engine: &routes.Engine{Slots: 4, KVTokens: 100_000, Backups: true}},
 			}
 			d.endpoints = d.usable(nil)
-			serve := b.dir.Snapshot().Endpoint("serve")
+			serve := f.dir.Snapshot().Endpoint("serve")
 			for range 20 {
 				got := ""
 				if e := d.backup(serve, 100); e != nil {
@@ -47,7 +47,7 @@
 			}
 			r.Route = &routes.Route{Kind: routes.Stream, Resumable: true}
 			if e := d.backup(serve, 100); e != nil {
-				t.Errorf("a stream that may be run again is backed up by %s", e.ID)
+				t.Errorf("a repeatable stream is backed up by %s", e.ID)
 			}
 		})
 	}
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -12,61 +12,62 @@
 	"github.com/springweir/springweir/signals"
 )
 
-// isBlocked tells whether an endpoint has said that it takes nothing from this VM now.
+// isBlocked reports whether the endpoint's own signals (rate limit or backoff) forbid sending it
+// this request now. It records blocked and rate-limited endpoints in d.
 func (d *decision) isBlocked(e *directory.Endpoint) bool {
-	block, limited := d.p.signals.Check(e, d.r.Priority(), d.p.random.Float64)
+	block, limited := d.p.signals.Check(e, d.req.Priority(), d.p.random.Float64)
 	if block.Reason == "" {
 		if limited {
-			d.limited = append(d.limited, e)
+			d.rateLimited = append(d.rateLimited, e)
 		}
 		return false
 	}
-	if d.blocked == 0 || block.For < d.blockedFor {
-		d.blockedFor = block.For
+	if d.numBlocked == 0 || block.For < d.unblockedAfter {
+		d.unblockedAfter = block.For
 	}
-	d.blocked++
+	d.numBlocked++
 	return true
 }
 
-// withLimited adds to a choice of endpoints the limited ones among the others: few VMs may use what a
-// limit leaves, and a draw among many endpoints would miss them.
-func (d *decision) withLimited(chosen, others []*directory.Endpoint) []*directory.Endpoint {
-	if len(d.limited) == 0 {
+// withRateLimited adds to the chosen endpoints the rate-limited ones among the others. Few VMs may
+// use what remains of a limit, and a sample of many endpoints would rarely include them.
+func (d *decision) withRateLimited(chosen, others []*directory.Endpoint) []*directory.Endpoint {
+	if len(d.rateLimited) == 0 {
 		return chosen
 	}
 	list := slices.Clone(chosen)
 	for _, e := range others {
-		if slices.Contains(d.limited, e) && !slices.Contains(list, e) {
+		if slices.Contains(d.rateLimited, e) && !slices.Contains(list, e) {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// unavailable refuses a request that no endpoint takes now.
+// unavailable returns the refusal of a request for which no endpoint is usable.
 func (d *decision) unavailable(message string) *failure.Request {
-	if d.blocked == 0 {
+	if d.numBlocked == 0 {
 		return noEndpoint(message, d.p.tuning.RetryAfter)
 	}
-	after := d.returnAfter()
-	klog.InfoS("placement: refused, the endpoints take nothing now by their own signals", "request", d.r.ID, "service", d.r.Service, "try", d.try.Number,
-		"blocked", d.blocked, "freeInMS", d.blockedFor.Milliseconds(), "retryAfterMS", after.Milliseconds())
-	return &failure.Request{Code: failure.EndpointsLimited, Ran: failure.NotRun, RetryAfter: after, Message: message + ": they have named limits or asked for a backoff"}
+	retryAfter := d.retryAfter()
+	klog.InfoS("placement: refused, endpoints are rate-limited or backing off", "request", d.req.ID, "service", d.req.Service, "try", d.prior.Number,
+		"blocked", d.numBlocked, "freeInMS", d.unblockedAfter.Milliseconds(), "retryAfterMS", retryAfter.Milliseconds())
+	return &failure.Request{Code: failure.EndpointsLimited, Ran: failure.NotRun, RetryAfter: retryAfter, Message: message + ": they are rate-limited or requested a backoff"}
 }
 
-// maxReturn bounds the time after which a refused caller may come back: another VM may have
-// something left sooner.
-const maxReturn = 2 * time.Second
+// maxRetryAfter bounds the retry-after time of a refusal that is due to endpoint signals: another
+// VM may have part of the limit left sooner.
+const maxRetryAfter = 2 * time.Second
 
-// returnAfter is when a caller should come back: once the first endpoint takes something again, spread
-// so that callers do not return together.
-func (d *decision) returnAfter() time.Duration {
-	first := max(d.p.tuning.RetryAfter, min(d.blockedFor, maxReturn))
-	return first + time.Duration(d.p.random.Int64N(int64(first)))
+// retryAfter returns when a caller should retry: after the first endpoint is unblocked, with jitter
+// so that callers do not return at the same time.
+func (d *decision) retryAfter() time.Duration {
+	earliest := max(d.p.tuning.RetryAfter, min(d.unblockedAfter, maxRetryAfter))
+	return earliest + time.Duration(d.p.random.Int64N(int64(earliest)))
 }
 
-// causeOf is a signal's reason as a cause for another plan.
-func causeOf(reason signals.Reason) relay.Cause {
+// planCause converts the reason of a signal to the cause of a changed plan.
+func planCause(reason signals.Reason) relay.Cause {
 	switch reason {
 	case signals.RateLimited:
 		return relay.EndpointRateLimited
--- a/placement/candidates.go
+++ b/placement/candidates.go
@@ -8,11 +8,13 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// key names what requests with the same shared parts have in common.
-func (d *decision) key(chunks []chunk) uint32 {
+// rendezvousKey returns a hash that requests with the same shared parts have in common: that of the
+// second to last part, because the last part is usually unique to the request. A prompt of one part
+// has the hash of that part, and a request without parts has the hash of its ID.
+func (d *decision) rendezvousKey(chunks []chunk) uint32 {
 	switch n := len(chunks); n {
 	case 0:
-		return loadshare.Hash(d.r.ID)
+		return loadshare.Hash(d.req.ID)
 	case 1:
 		return chunks[0].id
 	default:
@@ -20,28 +22,26 @@
 	}
 }
 
-// role returns the engines of a role, as a slice of its own. Those that refused just
-// now and those of a zone that seems cut off are left out, unless there are no
-// others: a choice among a few must not find none but these.
-func (d *decision) role(role engine.Role) []*directory.Endpoint {
-	var all, good []*directory.Endpoint
+// enginesWithRole returns the engines of a role in a new slice. It omits engines that refused
+// recently and those in an unreachable zone, unless no others are left.
+func (d *decision) enginesWithRole(role engine.Role) []*directory.Endpoint {
+	var all, preferred []*directory.Endpoint
 	for _, e := range d.endpoints {
 		if (e.Role == engine.Prefill) != (role == engine.Prefill) {
 			continue
 		}
 		all = append(all, e)
-		if d.pause(d.p.books.of(e)) == 0 && (e.Zone == d.p.zone || !d.p.zones.cut(d.now, e.Zone)) {
-			good = append(good, e)
+		if d.pauseLeft(d.p.loads.get(e)) == 0 && (e.Zone == d.p.zone || !d.p.zones.unreachable(d.now, e.Zone)) {
+			preferred = append(preferred, e)
 		}
 	}
-	if len(good) == 0 {
+	if len(preferred) == 0 {
 		return all
 	}
-	return good
+	return preferred
 }
 
-// inZone returns those of the engines that are in an availability zone, as a slice of
-// its own.
+// inZone returns the engines of an availability zone in a new slice.
 func inZone(engines []*directory.Endpoint, zone string) []*directory.Endpoint {
 	var list []*directory.Endpoint
 	for _, e := range engines {
@@ -52,37 +52,37 @@
 	return list
 }
 
-// newsPerChoice is the age of news for which one engine more than the first is looked at.
-// An engine that prefills gets a prompt each 20 ms in a burst: what is older says little of
-// it, and the VMs that compare engines by it all choose the same ones. In the load of
-// TestReplayOfABurstWithLateNews one choice instead of three served 0.90 and 0.98 of the
-// burst's halves in time, not 0.73 and 0.88; with news of 10 ms three serve 0.02 more.
-const newsPerChoice = 30 * time.Millisecond
+// reportIntervalPerChoice is the interval of peer reports that costs one candidate. In a burst a
+// prefill engine gets a prompt every 20 ms: older reports say little about its load, and VMs that
+// compare engines by them all choose the same ones. In TestReplayBurstWithDelayedReports, one
+// candidate served 0.90 and 0.98 of the two halves of the burst in time, three candidates 0.73 and
+// 0.88. With reports every 10 ms, three candidates served 0.02 more than one.
+const reportIntervalPerChoice = 30 * time.Millisecond
 
-// choices is the number of engines that are compared: as many as the news of other VMs
-// is fresh enough to tell apart.
-func (d *decision) choices() int {
-	most := d.p.tuning.Choices
-	gap := d.p.books.newsGap
-	if gap <= 0 {
-		return most
+// numChoices returns the number of engines to compare: Tuning.Choices if peer reports are frequent,
+// fewer as the interval between them grows, at least one.
+func (d *decision) numChoices() int {
+	limit := d.p.tuning.Choices
+	interval := d.p.loads.reportInterval
+	if interval <= 0 {
+		return limit
 	}
-	return min(most, 1+int(newsPerChoice/gap))
+	return min(limit, 1+int(reportIntervalPerChoice/interval))
 }
 
-// drawn returns a few of the engines at random: when every VM looks for the
-// least loaded of all, those that look at the same moment find the same one.
-func (d *decision) drawn(engines []*directory.Endpoint) []*directory.Endpoint {
-	n := min(len(engines), d.choices())
+// sample returns a random subset of the engines, and shuffles the slice. If every VM searched for
+// the least loaded engine of all, VMs that decide at the same time would choose the same one.
+func (d *decision) sample(engines []*directory.Endpoint) []*directory.Endpoint {
+	n := min(len(engines), d.numChoices())
 	for i := range n {
 		j := i + d.p.random.IntN(len(engines)-i)
 		engines[i], engines[j] = engines[j], engines[i]
 	}
-	return d.withLimited(engines[:n], engines[n:])
+	return d.withRateLimited(engines[:n], engines[n:])
 }
 
-// linkWait is how long the VM's link is busy with requests placed before.
+// linkWait returns how long the VM's uplink is busy with requests that were placed before.
 func (d *decision) linkWait() time.Duration { return d.p.uplink.wait(d.now) }
 
-// pause is how long an endpoint that refused is still to be left alone.
-func (d *decision) pause(k *book) time.Duration { return max(0, k.pausedUntil.Sub(d.now)) }
+// pauseLeft returns how long an endpoint that refused remains paused.
+func (d *decision) pauseLeft(e *endpointLoad) time.Duration { return max(0, e.pausedUntil.Sub(d.now)) }
--- a/placement/commit.go
+++ b/placement/commit.go
@@ -9,79 +9,78 @@
 	"github.com/springweir/springweir/relay"
 )
 
-// tooLate refuses a request whose first event is predicted after the route's
-// objective because of what waits before it: what is refused at once can come back,
-// and the engines stay free for those that are in time. A request that would be late
-// on an idle fleet too gains nothing by coming back, so it is served, late; unless it
-// would outlast the time that its caller waits. With such requests refused, callers got
-// 0.52 instead of 0.63 of what their requests are worth (mean of six days with faults).
-func (d *decision) tooLate(best option) *failure.Request {
-	objective := d.r.Route.Objective
-	if objective == 0 || d.try.Number > 0 {
+// refuseIfLate refuses a request whose first event is predicted after the route's objective because
+// of queueing: a caller that is refused at once can retry, and the engines stay free for requests
+// that are in time. A request that would be late even on an idle fleet gains nothing by a retry, so
+// it is served late, unless it would exceed the caller's deadline. Refusing these requests as well
+// reduced the value of the requests served from 0.63 to 0.52 of the total, with faults.
+func (d *decision) refuseIfLate(best option) *failure.Request {
+	objective := d.req.Route.Objective
+	if objective == 0 || d.prior.Number > 0 {
 		return nil
 	}
-	predicted := d.now.Sub(d.r.Received) + best.first + d.p.tuning.Overhead
-	limit := d.inTime()
-	if predicted-best.wait > limit {
-		limit = time.Duration(d.p.tuning.ObjectiveFraction * float64(d.r.Left(d.r.Received)))
+	predicted := d.now.Sub(d.req.Received) + best.firstEvent + d.p.tuning.Overhead
+	limit := d.latencyBudget()
+	if predicted-best.queueing > limit {
+		limit = time.Duration(d.p.tuning.ObjectiveFraction * float64(d.req.Left(d.req.Received)))
 	}
 	if predicted <= limit || limit == 0 {
 		return nil
 	}
-	klog.InfoS("placement: refused", "request", d.r.ID, "predictedMS", predicted.Milliseconds(), "limitMS", limit.Milliseconds(), "waitMS", best.wait.Milliseconds(),
-		"uncached", best.uncached, "endpoint", best.serve.ID, "peers", len(d.p.books.peers), "newsMS", d.p.books.age(d.now).Milliseconds())
+	klog.InfoS("placement: refused", "request", d.req.ID, "predictedMS", predicted.Milliseconds(), "limitMS", limit.Milliseconds(), "waitMS", best.queueing.Milliseconds(),
+		"uncached", best.uncached, "endpoint", best.serve.ID, "peers", len(d.p.loads.peers), "newsMS", d.p.loads.oldestReportAge(d.now).Milliseconds())
 	return &failure.Request{
-		Code: failure.DeadlineUnreachable, Ran: failure.NotRun, RetryAfter: d.comeBack(predicted - limit),
-		Message: "the engines are too busy to answer in time",
+		Code: failure.DeadlineUnreachable, Ran: failure.NotRun, RetryAfter: d.retryAfterLate(predicted - limit),
+		Message: "the engines are too busy to respond in time",
 	}
 }
 
-// comeBack is when a caller whose request is late by so much should return: once
-// about that much work is done, spread so that callers do not return together.
-func (d *decision) comeBack(late time.Duration) time.Duration {
-	return late/2 + time.Duration(d.p.random.Int64N(int64(late+d.p.tuning.RetryAfter)))
+// retryAfterLate returns when a caller should retry whose request was predicted late by excess:
+// after about that much work is done, with jitter so that callers do not return at the same time.
+func (d *decision) retryAfterLate(excess time.Duration) time.Duration {
+	return excess/2 + time.Duration(d.p.random.Int64N(int64(excess+d.p.tuning.RetryAfter)))
 }
 
-// commit reserves what an option needs.
+// commit reserves the work of an option at its engines and returns the plan.
 func (d *decision) commit(o option, chunks []chunk, tokens int) (relay.Plan, *failure.Request) {
-	busy := noEndpoint("the engine is on trial", d.p.tuning.RetryAfter)
-	w := &watch{p: d.p, chunks: chunks, placed: d.now, expect: o.first}
-	serveWork := work{runs: 1, kvTokens: tokens}
-	if o.prefill == nil && !d.imports() {
-		serveWork.prefill = o.toDo()
+	busy := noEndpoint("the engine has no permit left or awaits the result of a trial request", d.p.tuning.RetryAfter)
+	w := &attemptWatch{p: d.p, chunks: chunks, placedAt: d.now, predicted: o.firstEvent}
+	serveWork := work{running: 1, kvTokens: tokens}
+	if o.prefill == nil && !d.importsCache() {
+		serveWork.prefill = o.uncachedWork()
 	}
 	var ok bool
 	if o.prefill != nil {
-		if w.prefill, ok = d.take(o.prefill, work{prefill: o.toDo(), kvTokens: tokens}); !ok {
+		if w.prefill, ok = d.reserve(o.prefill, work{prefill: o.uncachedWork(), kvTokens: tokens}); !ok {
 			return relay.Plan{}, busy
 		}
-		w.prefill.copied = o.copyFrom != nil
-		d.p.books.place(w.prefill.book, chunks, w.prefill.readyAt())
+		w.prefill.copiesPrefix = o.copyFrom != nil
+		d.p.loads.recordPlaced(w.prefill.load, chunks, w.prefill.readyAt())
 	}
-	if w.serve, ok = d.take(o.serve, serveWork); !ok {
+	if w.serve, ok = d.reserve(o.serve, serveWork); !ok {
 		if w.prefill != nil {
-			d.p.end(w.prefill, nil, true)
+			d.p.finish(w.prefill, nil, true)
 		}
 		return relay.Plan{}, busy
 	}
-	if o.prefill == nil && !d.imports() {
-		w.serve.copied = o.copyFrom != nil
-		d.p.books.place(w.serve.book, chunks, w.serve.readyAt())
+	if o.prefill == nil && !d.importsCache() {
+		w.serve.copiesPrefix = o.copyFrom != nil
+		d.p.loads.recordPlaced(w.serve.load, chunks, w.serve.readyAt())
 	}
-	d.log(o, w)
-	return relay.Plan{Serve: o.serve, Prefill: o.prefill, CopyFrom: o.copyFrom, Backup: d.backup(o.serve, tokens), Expect: o.first, Watch: w}, nil
+	d.logPlan(o, w)
+	return relay.Plan{Serve: o.serve, Prefill: o.prefill, CopyFrom: o.copyFrom, Backup: d.backup(o.serve, tokens), Expect: o.firstEvent, Watch: w}, nil
 }
 
-// log tells of a choice and what decided it.
-func (d *decision) log(o option, w *watch) {
-	prefill, copyFrom, ahead := "", "", w.serve.ahead
+// logPlan logs the choice and the figures behind it.
+func (d *decision) logPlan(o option, w *attemptWatch) {
+	prefill, copyFrom, ahead := "", "", w.serve.queuedAhead
 	if o.copyFrom != nil {
 		copyFrom = o.copyFrom.ID
 	}
 	if w.prefill != nil {
-		prefill, ahead = o.prefill.ID, w.prefill.ahead
+		prefill, ahead = o.prefill.ID, w.prefill.queuedAhead
 	}
-	klog.InfoS("placement: placed", "request", d.r.ID, "try", d.try.Number, "endpoint", o.serve.ID, "version", o.serve.Version.String(), "prefill", prefill, "copyFrom", copyFrom,
-		"predictedMS", o.first.Milliseconds(), "uncached", o.uncached, "aheadTokens", ahead.tokens, "running", w.serve.book.own.runs,
-		"peers", len(d.p.books.peers), "newsMS", d.p.books.age(d.now).Milliseconds(), "tried", d.try.Tried)
+	klog.InfoS("placement: placed", "request", d.req.ID, "try", d.prior.Number, "endpoint", o.serve.ID, "version", o.serve.Version.String(), "prefill", prefill, "copyFrom", copyFrom,
+		"predictedMS", o.firstEvent.Milliseconds(), "uncached", o.uncached, "aheadTokens", ahead.tokens, "running", w.serve.load.local.running,
+		"peers", len(d.p.loads.peers), "newsMS", d.p.loads.oldestReportAge(d.now).Milliseconds(), "tried", d.prior.Tried)
 }
--- a/placement/direct.go
+++ b/placement/direct.go
@@ -6,20 +6,20 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// direct is the best engine that prefills and decodes, of a few drawn at random.
-func (d *decision) direct(chunks []chunk, tokens int) option {
+// bestDirect returns the best engine of a random sample to both prefill and decode.
+func (d *decision) bestDirect(chunks []chunk, tokens int) option {
 	var best option
-	for _, e := range d.drawn(d.role(engine.Decode)) {
-		o := d.prefillOn(e, chunks, tokens)
-		open := d.p.books.open(d.p.books.of(e))
-		if !d.try.Whole && open.prefill.tokens+o.uncached > d.p.tuning.DirectTokens {
+	for _, e := range d.sample(d.enginesWithRole(engine.Decode)) {
+		o := d.predictPrefill(e, chunks, tokens)
+		inFlight := d.p.loads.inFlight(d.p.loads.get(e))
+		if !d.prior.Whole && inFlight.prefill.tokens+o.uncached > d.p.tuning.MaxDirectPrefill {
 			continue
 		}
-		wait := d.decodeWait(e, open, tokens)
-		o.first += wait
-		o.wait += wait
-		o.spread = time.Duration(open.runs) * perRun
-		best = sooner(best, o)
+		wait := d.decodeWait(e, inFlight, tokens)
+		o.firstEvent += wait
+		o.queueing += wait
+		o.balancePenalty = time.Duration(inFlight.running) * perRunPenalty
+		best = earlier(best, o)
 	}
 	return best
 }
--- /dev/null
+++ b/placement/loadtracker.go
@@ -0,0 +1,349 @@
+package placement
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/springweir/springweir/directory"
+	"github.com/springweir/springweir/failure"
+	"github.com/springweir/springweir/loadshare"
+	"github.com/springweir/springweir/loadshare/sharepb"
+)
+
+// work is the total of the requests in flight at one endpoint.
+type work struct {
+	// prefill is the prefill still to be done. kvTokens is the cache memory reserved for the
+	// running requests, in tokens.
+	prefill  prefillWork
+	kvTokens int
+	running  int
+}
+
+func (w *work) add(o work) {
+	w.prefill = w.prefill.plus(o.prefill)
+	w.kvTokens += o.kvTokens
+	w.running += o.running
+}
+
+func (w *work) sub(o work) {
+	w.prefill = w.prefill.minus(o.prefill)
+	w.kvTokens -= o.kvTokens
+	w.running -= o.running
+}
+
+// endpointLoad is this VM's state of one incarnation of an endpoint, beyond its registration.
+type endpointLoad struct {
+	id        string
+	startedAt int64
+	hash      uint32
+	local     work
+	// cache is nil for endpoints that are not engines.
+	cache *cacheModel
+	// pausedUntil is the end of the pause after a refusal, and refusals counts consecutive ones.
+	pausedUntil time.Time
+	refusals    int
+}
+
+const (
+	// minPause is the pause after a first refusal. It doubles with each consecutive one, up to
+	// maxPause: a full endpoint may have capacity soon, one that changes its role refuses for
+	// seconds.
+	minPause = 25 * time.Millisecond
+	maxPause = 800 * time.Millisecond
+	// peerRefusals is the number of refusals assumed for an endpoint that a peer reports as
+	// refusing. The first refusal that this VM receives then starts a longer pause, so that the VMs
+	// do not all retry the endpoint whenever one of them does.
+	peerRefusals = 4
+	// wrongIncarnationPause is the pause of an endpoint whose incarnation differs from its row; a
+	// new row arrives within about one second.
+	wrongIncarnationPause = time.Second
+)
+
+// recordRefusal pauses the endpoint. One that has another incarnation or role than its row shows is
+// paused until the row is likely to be updated.
+func (e *endpointLoad) recordRefusal(now time.Time, code failure.Reason) {
+	pause := min(minPause<<min(e.refusals, 8), maxPause)
+	if code == failure.WrongIncarnation {
+		pause = wrongIncarnationPause
+	}
+	e.pausedUntil = now.Add(pause)
+	e.refusals++
+}
+
+// source identifies what one report covers: a segment of the work of a VM, or of the sum of a zone
+// or the region. A sum has the same source whichever VM collected it.
+type source struct {
+	vm, zone string
+	region   bool
+	segment  uint32
+}
+
+func sourceOf(load *sharepb.Load) source {
+	switch {
+	case load.RegionSum:
+		return source{region: true, segment: load.Segment}
+	case load.ZoneSum:
+		return source{zone: load.Zone, segment: load.Segment}
+	}
+	return source{vm: load.Vm, segment: load.Segment}
+}
+
+// peerLoad is the last report of a source.
+type peerLoad struct {
+	work       []*sharepb.Work
+	refusing   []uint32
+	receivedAt time.Time
+}
+
+// loadTracker holds the load of all endpoints, from this VM and from its peers. It is not safe for
+// concurrent use; the Planner's lock guards it.
+type loadTracker struct {
+	byID   map[string]*endpointLoad
+	byHash map[uint32]*endpointLoad
+	peers  map[source]peerLoad
+	// peerWork is the total work of the other VMs, by the hash of the endpoint's incarnation.
+	peerWork map[uint32]work
+	// changing holds the engines with a role change that another VM has ordered, by hash, and the
+	// time until which the change is assumed without a further report.
+	changing map[uint32]time.Time
+	// reportInterval is the time between two reports of one source, as a moving average over all
+	// sources; zero until a source has reported twice.
+	reportInterval time.Duration
+	// pendingPlaced are the prompts sent to engines since the last report.
+	pendingPlaced []*sharepb.Placed
+}
+
+// maxPendingPlaced bounds the placed prompts kept for the next report; the oldest are dropped.
+const maxPendingPlaced = 256
+
+func newLoadTracker() *loadTracker {
+	return &loadTracker{byID: map[string]*endpointLoad{}, byHash: map[uint32]*endpointLoad{}, peers: map[source]peerLoad{}, peerWork: map[uint32]work{}, changing: map[uint32]time.Time{}}
+}
+
+// inFlight returns the work of all VMs at an endpoint.
+func (t *loadTracker) inFlight(e *endpointLoad) work {
+	w := e.local
+	w.add(t.peerWork[e.hash])
+	return w
+}
+
+// get returns the load of an endpoint. A newer incarnation than the tracked one gets a new, empty
+// entry; requests in flight at the previous incarnation are subtracted from the old entry when they
+// end. An older incarnation gets an entry that is not stored.
+func (t *loadTracker) get(e *directory.Endpoint) *endpointLoad {
+	tracked := t.byID[e.ID]
+	if tracked != nil && tracked.startedAt == e.Born {
+		return tracked
+	}
+	fresh := &endpointLoad{id: e.ID, startedAt: e.Born, hash: loadshare.Hash(e.Incarnation())}
+	if tracked != nil && tracked.startedAt > e.Born {
+		return fresh
+	}
+	if tracked != nil {
+		delete(t.byHash, tracked.hash)
+	}
+	t.byID[e.ID] = fresh
+	t.byHash[fresh.hash] = fresh
+	return fresh
+}
+
+// getEngine returns the load of an engine, with a cache model of kvTokens tokens.
+func (t *loadTracker) getEngine(e *directory.Endpoint, kvTokens int) *endpointLoad {
+	load := t.get(e)
+	if load.cache == nil {
+		load.cache = newCacheModel(kvTokens)
+	}
+	return load
+}
+
+// retain removes endpoints that are not in the snapshot and have no local work.
+func (t *loadTracker) retain(s *directory.Snapshot) {
+	for id, e := range t.byID {
+		if s.Endpoint(id) == nil && e.local == (work{}) {
+			delete(t.byID, id)
+			delete(t.byHash, e.hash)
+		}
+	}
+}
+
+// receive records the work that a peer reported.
+func (t *loadTracker) receive(now time.Time, load *sharepb.Load) {
+	if !load.NoWork {
+		t.replace(now, sourceOf(load), load)
+	}
+}
+
+// replace replaces the previous report of a source, and drops segments that the source no longer
+// uses: their endpoints are now in other segments.
+func (t *loadTracker) replace(now time.Time, from source, load *sharepb.Load) {
+	if last, ok := t.peers[from]; ok {
+		t.reportInterval += (now.Sub(last.receivedAt) - t.reportInterval) / reportIntervalSamples
+	}
+	t.dropOverlapping(from.region)
+	t.subtract(from)
+	t.peers[from] = peerLoad{work: load.Work, refusing: load.Refusing, receivedAt: now}
+	unused := from
+	for unused.segment = load.Segments; unused.segment > 0; unused.segment++ {
+		if _, ok := t.peers[unused]; !ok {
+			break
+		}
+		t.subtract(unused)
+	}
+	for _, hash := range load.Changing {
+		t.changing[hash] = now.Add(roleChangeTTL)
+	}
+	for _, hash := range load.Refusing {
+		if e := t.byHash[hash]; e != nil {
+			e.refusals = max(e.refusals, peerRefusals)
+		}
+	}
+	for _, w := range load.Work {
+		sum := t.peerWork[w.Endpoint]
+		sum.add(workFromProto(w))
+		t.peerWork[w.Endpoint] = sum
+	}
+}
+
+// dropOverlapping drops the sum of the region when a narrower report arrives, and narrower reports
+// when the sum arrives. A VM receives one kind until its collector is replaced; keeping both would
+// count work twice.
+func (t *loadTracker) dropOverlapping(region bool) {
+	for from := range t.peers {
+		if from.region != region {
+			t.subtract(from)
+		}
+	}
+}
+
+// reportIntervalSamples is the number of reports in the moving average of their interval: those of
+// about 50 ms in a large region.
+const reportIntervalSamples = 16
+
+// subtract removes the last report of a source.
+func (t *loadTracker) subtract(from source) {
+	for _, w := range t.peers[from].work {
+		sum := t.peerWork[w.Endpoint]
+		sum.sub(workFromProto(w))
+		if sum == (work{}) {
+			delete(t.peerWork, w.Endpoint)
+		} else {
+			t.peerWork[w.Endpoint] = sum
+		}
+	}
+	delete(t.peers, from)
+}
+
+// roleChangeTTL is how long an engine is assumed to be changing its role after the last report of
+// it: a change takes three seconds and is visible one second later. The VM that ordered it may fail
+// meanwhile, and an engine that refuses looks idle: without this, the other VMs sent it up to 100
+// requests until its row changed, all of which failed.
+const roleChangeTTL = 4 * time.Second
+
+// changesRole reports whether another VM has ordered the engine to change its role.
+func (t *loadTracker) changesRole(now time.Time, e *endpointLoad) bool {
+	return now.Before(t.changing[e.hash])
+}
+
+// refusesPeers reports whether another VM lists the endpoint as refusing.
+func (t *loadTracker) refusesPeers(e *endpointLoad) bool {
+	for _, p := range t.peers {
+		if slices.Contains(p.refusing, e.hash) {
+			return true
+		}
+	}
+	return false
+}
+
+// roleChanged clears the pending role change and the pause of an engine whose role has changed.
+func (t *loadTracker) roleChanged(id string) {
+	if e := t.byID[id]; e != nil {
+		delete(t.changing, e.hash)
+		e.pausedUntil, e.refusals = time.Time{}, 0
+	}
+}
+
+// refusing returns the hashes of the endpoints that are paused after refusing this VM more than
+// once.
+func (t *loadTracker) refusing(now time.Time) []uint32 {
+	var list []uint32
+	for _, e := range t.byID {
+		if e.refusals > 1 && now.Before(e.pausedUntil) {
+			list = append(list, e.hash)
+		}
+	}
+	return list
+}
+
+// expire drops role changes and peer reports whose TTL has passed.
+func (t *loadTracker) expire(now time.Time) {
+	maps.DeleteFunc(t.changing, func(_ uint32, until time.Time) bool { return !now.Before(until) })
+	for from, p := range t.peers {
+		if now.Sub(p.receivedAt) > loadshare.TTL {
+			t.subtract(from)
+		}
+	}
+}
+
+// oldestReportAge returns the age of the oldest report of a peer.
+func (t *loadTracker) oldestReportAge(now time.Time) time.Duration {
+	var oldest time.Duration
+	for _, p := range t.peers {
+		oldest = max(oldest, now.Sub(p.receivedAt))
+	}
+	return oldest
+}
+
+func workToProto(endpoint uint32, w work) *sharepb.Work {
+	return &sharepb.Work{
+		Endpoint:      endpoint,
+		PrefillTokens: uint32(max(0, w.prefill.tokens)), PrefillMegaPairs: uint32(max(0, w.prefill.megaPairs)),
+		Runs: uint32(max(0, w.running)), KvTokens: uint32(max(0, w.kvTokens)),
+	}
+}
+
+func workFromProto(w *sharepb.Work) work {
+	return work{
+		prefill:  prefillWork{tokens: int(w.PrefillTokens), megaPairs: int(w.PrefillMegaPairs)},
+		kvTokens: int(w.KvTokens), running: int(w.Runs),
+	}
+}
+
+func chunksFromProto(p *sharepb.Placed) []chunk {
+	chunks := make([]chunk, len(p.Part))
+	for i, id := range p.Part {
+		chunks[i] = chunk{id: id, tokens: int(p.Tokens[i])}
+	}
+	return chunks
+}
+
+// recordPlaced records that an engine was sent a prompt whose prefill ends at readyAt, and queues
+// it for the next report.
+func (t *loadTracker) recordPlaced(e *endpointLoad, chunks []chunk, readyAt time.Time) {
+	if e.cache == nil || len(chunks) == 0 {
+		return
+	}
+	e.cache.insert(chunks, readyAt)
+	p := &sharepb.Placed{Endpoint: e.hash}
+	for _, c := range chunks {
+		p.Part = append(p.Part, c.id)
+		p.Tokens = append(p.Tokens, uint32(c.tokens))
+	}
+	if len(t.pendingPlaced) >= maxPendingPlaced {
+		t.pendingPlaced = t.pendingPlaced[1:]
+	}
+	t.pendingPlaced = append(t.pendingPlaced, p)
+}
+
+// takeReport returns the local work, and the prompts placed since the previous call.
+func (t *loadTracker) takeReport() ([]*sharepb.Work, []*sharepb.Placed) {
+	var reported []*sharepb.Work
+	for _, e := range t.byID {
+		if e.local != (work{}) {
+			reported = append(reported, workToProto(e.hash, e.local))
+		}
+	}
+	placed := t.pendingPlaced
+	t.pendingPlaced = nil
+	return reported, placed
+}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -1,5 +1,6 @@
-// Package placement decides which endpoint serves a request: scores over what is
-// known of the endpoints now, and the books that keep it known.
+// Package placement decides which endpoint serves a request. It predicts the time to the first
+// event on the candidate endpoints, and tracks the load and cache contents that the predictions
+// need.
 package placement
 
 import (
@@ -23,46 +24,47 @@
 
 // Planner implements relay.Planner. It is safe for concurrent use.
 //
-// Lock order: mu, then the lock of the health tracker or of the signals. Nothing else is
-// called under mu.
+// Lock order: mu, then the lock of the health tracker or of the signals. No other locks are taken
+// under mu.
 type Planner struct {
-	zone      string
-	directory *directory.Directory
-	config    func() *routes.Config
-	ordered   func() []string
-	now       func() time.Time
-	random    *rand.Rand
-	start     time.Time
-	health    *health.Tracker
-	signals   *signals.Board
+	zone        string
+	directory   *directory.Directory
+	config      func() *routes.Config
+	roleChanges func() []string
+	now         func() time.Time
+	random      *rand.Rand
+	start       time.Time
+	health      *health.Tracker
+	signals     *signals.Board
 
 	mu     sync.Mutex
 	tuning Tuning
-	books  *books
-	paces  map[paceKey]*pace
-	zones  *zoneWatch
+	loads  *loadTracker
+	models map[modelKey]*prefillModel
+	zones  *zoneMonitor
 	uplink uplink
 }
 
-// Config is what a Planner works with.
+// Config configures a Planner.
 type Config struct {
 	// Zone is the VM's availability zone.
 	Zone      string
 	Directory *directory.Directory
 	// Routes returns the configuration in force.
 	Routes func() *routes.Config
-	// RoleChanges names the engines that this VM has ordered to change their role.
+	// RoleChanges returns the IDs of the engines whose role change this VM has ordered.
 	RoleChanges func() []string
-	// Signals is what endpoints said of their own state; nil is nothing.
+	// Signals holds the state that endpoints signal: rate limits, backoffs and drains. Nil means
+	// none.
 	Signals *signals.Board
 	Tuning  Tuning
-	// Now and Random are where decisions take the time and their draws from, so that
-	// a load can be replayed on them. Nil is the VM's clock and a seed of its own.
+	// Now and Random supply the time and the random numbers of decisions, so that a load can be
+	// replayed. Nil means the system clock and a random seed.
 	Now    func() time.Time
 	Random *rand.Rand
 }
 
-// New returns a planner that knows nothing yet.
+// New returns a planner without endpoints and without reports.
 func New(c Config) *Planner {
 	c.Now = clock.OrSystem(c.Now)
 	if c.Random == nil {
@@ -73,34 +75,34 @@
 	}
 	return &Planner{
 		signals: c.Signals,
-		zone:    c.Zone, directory: c.Directory, config: c.Routes, ordered: c.RoleChanges,
+		zone:    c.Zone, directory: c.Directory, config: c.Routes, roleChanges: c.RoleChanges,
 		now: c.Now, random: c.Random, tuning: c.Tuning, start: c.Now(),
-		health: health.NewTracker(c.Tuning.Health), books: newBooks(), paces: map[paceKey]*pace{}, zones: newZoneWatch(),
+		health: health.NewTracker(c.Tuning.Health), loads: newLoadTracker(), models: map[modelKey]*prefillModel{}, zones: newZoneMonitor(),
 		uplink: uplink{bitsPerSecond: c.Tuning.LinkBitsPerSecond},
 	}
 }
 
-// SetEndpoints takes in a new picture of the endpoints.
-func (p *Planner) SetEndpoints(old, now *directory.Snapshot) {
+// SetEndpoints applies a new snapshot of the endpoints.
+func (p *Planner) SetEndpoints(old, current *directory.Snapshot) {
 	for _, e := range old.All() {
-		if now.Endpoint(e.ID) == nil {
+		if current.Endpoint(e.ID) == nil {
 			p.health.Remove(e.ID)
 		}
 	}
-	for _, e := range now.All() {
+	for _, e := range current.All() {
 		p.health.Set(e.ID, e.Incarnation(), []string{e.Service + "/" + string(e.Role)})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, e := range now.All() {
-		if before := old.Endpoint(e.ID); before != nil && before.Role != e.Role {
-			p.books.changed(e.ID)
+	for _, e := range current.All() {
+		if previous := old.Endpoint(e.ID); previous != nil && previous.Role != e.Role {
+			p.loads.roleChanged(e.ID)
 		}
 	}
-	p.books.keep(now)
+	p.loads.retain(current)
 }
 
-// SetTuning changes the figures that decisions rest on.
+// SetTuning replaces the parameters of decisions.
 func (p *Planner) SetTuning(t Tuning) {
 	p.health.Configure(t.Health)
 	p.mu.Lock()
@@ -109,39 +111,42 @@
 	p.uplink.bitsPerSecond = t.LinkBitsPerSecond
 }
 
-// ReceiveLoad takes in what another VM told of its work.
+// ReceiveLoad records the work, role changes, refusals and placed prompts that another VM reported.
 func (p *Planner) ReceiveLoad(load *sharepb.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.books.heard(p.now(), load)
-	p.hear(load.Placed)
+	p.loads.receive(p.now(), load)
+	p.receivePlaced(load.Placed)
 }
 
-// readyAt is when an engine will have read what is open there.
-func (p *Planner) readyAt(k *book) time.Time {
+// readyAt predicts when an engine will have finished its open prefills. The caller holds mu.
+func (p *Planner) readyAt(load *endpointLoad) time.Time {
 	now := p.now()
-	e := p.directory.Snapshot().Endpoint(k.id)
+	e := p.directory.Snapshot().Endpoint(load.id)
 	if e == nil {
 		return now
 	}
-	return now.Add(p.paceOf(e.Service, e.Role).time(p.books.open(k).prefill))
+	return now.Add(p.modelOf(e.Service, e.Role).predict(p.loads.inFlight(load).prefill))
 }
 
-// LocalReport is what this VM tells the others.
+// LocalReport returns the report for the other VMs: local work, role changes that this VM has
+// ordered, refusing endpoints, and the prompts placed since the previous call. It also drops
+// expired reports of peers.
 func (p *Planner) LocalReport() loadshare.Report {
-	changing := p.changing()
+	changing := p.changingHashes()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.books.expire(p.now())
-	work, placed := p.books.told()
-	return loadshare.Report{Work: work, Placed: placed, Changing: changing, Refusing: p.books.refusing(p.now())}
+	p.loads.expire(p.now())
+	work, placed := p.loads.takeReport()
+	return loadshare.Report{Work: work, Placed: placed, Changing: changing, Refusing: p.loads.refusing(p.now())}
 }
 
-// changing are the hashes of the engines that this VM has ordered to change.
-func (p *Planner) changing() []uint32 {
+// changingHashes returns the incarnation hashes of the engines whose role change this VM has
+// ordered.
+func (p *Planner) changingHashes() []uint32 {
 	var list []uint32
 	s := p.directory.Snapshot()
-	for _, id := range p.ordered() {
+	for _, id := range p.roleChanges() {
 		if e := s.Endpoint(id); e != nil {
 			list = append(list, loadshare.Hash(e.Incarnation()))
 		}
@@ -149,41 +154,41 @@
 	return list
 }
 
-// InFlight is the number of requests that run at an endpoint, of all VMs.
+// InFlight returns the number of requests of all VMs that run at an endpoint.
 func (p *Planner) InFlight(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k := p.books.byID[id]; k != nil {
-		return p.books.open(k).runs
+	if load := p.loads.byID[id]; load != nil {
+		return p.loads.inFlight(load).running
 	}
 	return 0
 }
 
 // Plan implements relay.Planner.
-func (p *Planner) Plan(r *relay.Request, try relay.Try) (relay.Plan, *failure.Request) {
+func (p *Planner) Plan(r *relay.Request, prior relay.Try) (relay.Plan, *failure.Request) {
 	config := p.config()
 	service := config.Service(r.Service)
-	ordered := p.ordered() // takes the lock of its owner, so not under mu
+	changing := p.roleChanges() // takes a lock of its own, so it is not called under mu
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for tries := 1; ; tries++ {
-		d := &decision{p: p, r: r, try: try, now: p.now(), service: service}
-		plan, failed := d.plan(append(ordered, try.Tried...))
-		if failed == nil || !d.outrun || tries == maxOutrun {
+	for attempt := 1; ; attempt++ {
+		d := &decision{p: p, req: r, prior: prior, now: p.now(), service: service}
+		plan, failed := d.plan(append(changing, prior.Tried...))
+		if failed == nil || !d.permitLost || attempt == maxPlanAttempts {
 			return plan, failed
 		}
 	}
 }
 
-// maxOutrun is how often a decision is made whose permits went to a request that was rechecked
-// meanwhile.
-const maxOutrun = 3
+// maxPlanAttempts bounds the decisions for one plan. A decision is repeated when a concurrent
+// request acquired the permit that it relied on.
+const maxPlanAttempts = 3
 
 // plan decides among the endpoints that are not excluded.
 func (d *decision) plan(excluded []string) (relay.Plan, *failure.Request) {
 	d.endpoints = d.usable(excluded)
 	if len(d.endpoints) == 0 {
-		return relay.Plan{}, d.unavailable("no endpoint of the service takes work now")
+		return relay.Plan{}, d.unavailable("no endpoint of the service accepts requests now")
 	}
 	if d.service == nil || d.service.Engine == nil {
 		return d.planService()
@@ -191,101 +196,103 @@
 	return d.planEngine()
 }
 
-// usable returns the endpoints of the service that may be sent a request now: all
-// but those excluded, ejected, changing their role or blocked by their own signals, and those that
-// refuse other VMs only if there are none else.
+// usable returns the endpoints of the service that may be sent a request now. It omits endpoints
+// that are excluded, ejected, changing their role or blocked by their own signals. Endpoints that
+// refuse other VMs are returned only if there are no others.
 func (d *decision) usable(excluded []string) []*directory.Endpoint {
 	p := d.p
-	var list, refusing []*directory.Endpoint
-	for _, e := range p.directory.Snapshot().Service(d.r.Service) {
-		if slices.Contains(excluded, e.ID) || !p.health.Status(e.ID).Usable(d.now.Sub(p.start)) || p.books.isChanging(d.now, p.books.of(e)) || d.isBlocked(e) {
+	var candidates, refusing []*directory.Endpoint
+	for _, e := range p.directory.Snapshot().Service(d.req.Service) {
+		if slices.Contains(excluded, e.ID) || !p.health.Status(e.ID).Usable(d.now.Sub(p.start)) || p.loads.changesRole(d.now, p.loads.get(e)) || d.isBlocked(e) {
 			continue
 		}
-		if p.books.refusesOthers(p.books.of(e)) {
+		if p.loads.refusesPeers(p.loads.get(e)) {
 			refusing = append(refusing, e)
 			continue
 		}
-		list = append(list, e)
+		candidates = append(candidates, e)
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return refusing
 	}
-	return list
+	return candidates
 }
 
-func noEndpoint(message string, after time.Duration) *failure.Request {
-	return &failure.Request{Code: failure.NoEndpoint, Ran: failure.NotRun, RetryAfter: after, Message: message}
+func noEndpoint(message string, retryAfter time.Duration) *failure.Request {
+	return &failure.Request{Code: failure.NoEndpoint, Ran: failure.NotRun, RetryAfter: retryAfter, Message: message}
 }
 
-// decision is one choice. It is made under the planner's lock.
+// decision is the state of one placement decision. It is used under the planner's lock.
 type decision struct {
 	p         *Planner
-	r         *relay.Request
-	try       relay.Try
+	req       *relay.Request
+	prior     relay.Try
 	now       time.Time
 	service   *routes.Service
 	endpoints []*directory.Endpoint
-	// holders are found when first asked for.
+	// holders is computed on first use.
 	holders *holders
-	// limited are the endpoints with a rate limit that has something left for this VM, and blocked
-	// how many have said that they take nothing now, the first of them until blockedFor from now.
-	limited    []*directory.Endpoint
-	blocked    int
-	blockedFor time.Duration
-	// outrun is set when a permit was gone by the time that it was to be taken.
-	outrun bool
+	// rateLimited are the endpoints with a rate limit of which this VM may use a part. numBlocked
+	// is the number of endpoints that are blocked by their own signals, and unblockedAfter the time
+	// from now until the first of them is unblocked.
+	rateLimited    []*directory.Endpoint
+	numBlocked     int
+	unblockedAfter time.Duration
+	// permitLost is set when the permit for an endpoint could no longer be acquired.
+	permitLost bool
 }
 
-// wayTo is the time there and back to an endpoint. One of a zone that seems cut off
-// counts as too far, but is used if there is no other.
-func (d *decision) wayTo(e *directory.Endpoint) time.Duration {
+// roundTripTo returns the network round trip time to an endpoint. It is penalised in a zone that is
+// considered unreachable, so that such an endpoint is used only as a last resort.
+func (d *decision) roundTripTo(e *directory.Endpoint) time.Duration {
 	switch {
 	case e.Zone == d.p.zone:
-		return d.p.tuning.NearTrip
-	case d.p.zones.cut(d.now, e.Zone):
-		return cutTrip
+		return d.p.tuning.SameZoneRoundTrip
+	case d.p.zones.unreachable(d.now, e.Zone):
+		return unreachableRoundTrip
 	}
-	return d.p.tuning.FarTrip
+	return d.p.tuning.CrossZoneRoundTrip
 }
 
-// cutTrip is the time there and back that is assumed to a zone that seems cut off.
-const cutTrip = time.Second
+// unreachableRoundTrip is the assumed round trip time to a zone that is considered unreachable.
+const unreachableRoundTrip = time.Second
 
-// planService chooses the endpoint of a plain service that would start the
-// request first. Another zone's has the longer way.
+// planService chooses the endpoint of a plain service that is predicted to start the request first,
+// including the longer round trip to other zones.
 func (d *decision) planService() (relay.Plan, *failure.Request) {
 	var best *directory.Endpoint
-	var least time.Duration
+	var lowest time.Duration
 	for _, e := range d.endpoints {
-		k := d.p.books.of(e)
-		open := d.p.books.open(k).runs
-		cost := d.wayTo(e) + time.Duration(float64(open)/float64(max(1, e.Slots))*float64(d.p.tuning.ServiceTime)) + d.pause(k)
-		if best == nil || cost < least {
-			best, least = e, cost
+		load := d.p.loads.get(e)
+		running := d.p.loads.inFlight(load).running
+		cost := d.roundTripTo(e) + time.Duration(float64(running)/float64(max(1, e.Slots))*float64(d.p.tuning.ServiceTime)) + d.pauseLeft(load)
+		if best == nil || cost < lowest {
+			best, lowest = e, cost
 		}
 	}
-	hold, ok := d.take(best, work{runs: 1})
+	reserved, ok := d.reserve(best, work{running: 1})
 	if !ok {
-		return relay.Plan{}, noEndpoint("the endpoint is on trial", d.p.tuning.RetryAfter)
+		return relay.Plan{}, noEndpoint("the endpoint has no permit left or awaits the result of a trial request", d.p.tuning.RetryAfter)
 	}
-	klog.InfoS("placement: placed", "request", d.r.ID, "try", d.try.Number, "endpoint", best.ID, "version", best.Version.String(), "zone", best.Zone,
-		"costMS", least.Milliseconds(), "running", hold.book.own.runs, "choices", len(d.endpoints), "tried", d.try.Tried)
-	return relay.Plan{Serve: best, Watch: &watch{p: d.p, serve: hold}}, nil
+	klog.InfoS("placement: placed", "request", d.req.ID, "try", d.prior.Number, "endpoint", best.ID, "version", best.Version.String(), "zone", best.Zone,
+		"costMS", lowest.Milliseconds(), "running", reserved.load.local.running, "choices", len(d.endpoints), "tried", d.prior.Tried)
+	return relay.Plan{Serve: best, Watch: &attemptWatch{p: d.p, serve: reserved}}, nil
 }
 
-// headBytes is the usual size of a request's head, which is sent with its body.
-const headBytes = 600
+// requestHeadBytes is the usual size of a request's head, which is sent before its body.
+const requestHeadBytes = 600
 
-// sendTime is how long the VM's link takes to send the request once.
+// sendTime returns how long the VM's uplink takes to send the request once.
 func (d *decision) sendTime() time.Duration {
-	return d.p.uplink.time(headBytes + len(d.r.Body))
+	return d.p.uplink.transmitTime(requestHeadBytes + len(d.req.Body))
 }
 
-// take reserves work at an endpoint, and the VM's link for the way there.
-func (d *decision) take(e *directory.Endpoint, w work) (*hold, bool) {
+// reserve reserves work at an endpoint, and the VM's uplink for sending the request. It returns
+// false if no permit is left or the endpoint's health does not allow an attempt.
+func (d *decision) reserve(e *directory.Endpoint, w work) (*reservation, bool) {
 	permit, block := d.p.signals.Take(e)
 	if block.Reason != "" {
-		d.outrun = true
+		d.permitLost = true
 		return nil, false
 	}
 	ticket, ok := d.p.health.Begin(d.now.Sub(d.p.start), e.ID)
@@ -293,12 +300,12 @@
 		permit.Release()
 		return nil, false
 	}
-	d.p.uplink.send(d.now, headBytes+len(d.r.Body))
-	k := d.p.books.of(e)
-	h := &hold{book: k, zone: e.Zone, ticket: ticket, permit: permit, work: w, ahead: d.p.books.open(k).prefill, since: d.now.Add(d.linkWait()), trip: d.wayTo(e)}
-	if k.cache != nil {
-		h.pace = d.p.paceOf(e.Service, e.Role)
+	d.p.uplink.reserve(d.now, requestHeadBytes+len(d.req.Body))
+	load := d.p.loads.get(e)
+	r := &reservation{load: load, zone: e.Zone, ticket: ticket, permit: permit, work: w, queuedAhead: d.p.loads.inFlight(load).prefill, sentAt: d.now.Add(d.linkWait()), roundTrip: d.roundTripTo(e)}
+	if load.cache != nil {
+		r.model = d.p.modelOf(e.Service, e.Role)
 	}
-	k.own.add(w)
-	return h, true
+	load.local.add(w)
+	return r, true
 }
--- a/placement/pressure.go
+++ b/placement/pressure.go
@@ -8,7 +8,7 @@
 	"github.com/springweir/springweir/routes"
 )
 
-// Pressure tells what the engines of a service have to do now, for all VMs.
+// Pressure returns the current load of the engines of a service, from all VMs.
 func (p *Planner) Pressure(s *routes.Service) rolechange.Pressure {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -16,14 +16,14 @@
 	var wait time.Duration
 	prefill := 0
 	for _, e := range p.directory.Snapshot().Service(s.Name) {
-		k := p.books.of(e)
-		open := p.books.open(k)
+		load := p.loads.get(e)
+		inFlight := p.loads.inFlight(load)
 		if e.Role != engine.Prefill {
-			out.Running += open.runs
+			out.Running += inFlight.running
 			continue
 		}
 		prefill++
-		wait += p.paceOf(s.Name, e.Role).time(open.prefill)
+		wait += p.modelOf(s.Name, e.Role).predict(inFlight.prefill)
 	}
 	if prefill > 0 {
 		out.PrefillWait = wait / time.Duration(prefill)
--- a/placement/rendezvous.go
+++ b/placement/rendezvous.go
@@ -8,28 +8,27 @@
 	"github.com/springweir/springweir/loadshare"
 )
 
-// firstFor returns the n engines that come first for a key by rendezvous hashing: the
-// order differs from key to key, all VMs find the same, and an engine that comes or
-// goes moves only its own keys.
-func firstFor(key uint32, engines []*directory.Endpoint, n int) []*directory.Endpoint {
+// rendezvousTop returns the first n engines for a key by rendezvous hashing: the order differs from
+// key to key and is the same on all VMs, and adding or removing an engine moves only its own keys.
+func rendezvousTop(key uint32, engines []*directory.Endpoint, n int) []*directory.Endpoint {
 	type candidate struct {
 		engine *directory.Endpoint
 		weight uint64
 	}
-	first := make([]candidate, 0, n+1)
+	top := make([]candidate, 0, n+1)
 	for _, e := range engines {
 		c := candidate{e, splitmix.Mix(uint64(loadshare.Hash(e.ID))<<32 | uint64(key))}
-		at := len(first)
-		for at > 0 && first[at-1].weight < c.weight {
-			at--
+		pos := len(top)
+		for pos > 0 && top[pos-1].weight < c.weight {
+			pos--
 		}
-		if at < n {
-			first = slices.Insert(first, at, c)
-			first = first[:min(len(first), n)]
+		if pos < n {
+			top = slices.Insert(top, pos, c)
+			top = top[:min(len(top), n)]
 		}
 	}
-	list := make([]*directory.Endpoint, len(first))
-	for i, c := range first {
+	list := make([]*directory.Endpoint, len(top))
+	for i, c := range top {
 		list[i] = c.engine
 	}
 	return list
--- a/placement/rendezvous_test.go
+++ b/placement/rendezvous_test.go
@@ -8,9 +8,9 @@
 	"github.com/springweir/springweir/directory"
 )
 
-// An engine that goes moves only the keys for which it came first, and the keys spread
-// over all engines.
-func TestFirstFor(t *testing.T) {
+// Removing an engine moves only the keys for which it was first, and the keys are spread over all
+// engines.
+func TestRendezvousTop(t *testing.T) {
 	var engines []*directory.Endpoint
 	for i := range 10 {
 		engines = append(engines, &directory.Endpoint{Registration: directory.Registration{ID: fmt.Sprint("e", i)}})
@@ -18,28 +18,28 @@
 	const keys = 2000
 	count := map[string]int{}
 	for key := range uint32(keys) {
-		three := firstFor(key, engines, 3)
-		if len(three) != 3 || three[0] == three[1] || three[1] == three[2] || three[0] == three[2] {
-			t.Fatalf("key %d: %d engines", key, len(three))
+		top := rendezvousTop(key, engines, 3)
+		if len(top) != 3 || top[0] == top[1] || top[1] == top[2] || top[0] == top[2] {
+			t.Fatalf("key %d: %d engines", key, len(top))
 		}
-		count[three[0].ID]++
-		// The order does not hang on that in which the engines are listed.
+		count[top[0].ID]++
+		// The result does not depend on the order of the input.
 		reversed := slices.Clone(engines)
 		slices.Reverse(reversed)
-		if !slices.Equal(three, firstFor(key, reversed, 3)) {
-			t.Fatalf("key %d: another order", key)
+		if !slices.Equal(top, rendezvousTop(key, reversed, 3)) {
+			t.Fatalf("key %d: the result depends on the input order", key)
 		}
-		without := slices.DeleteFunc(slices.Clone(engines), func(e *directory.Endpoint) bool { return e == three[0] })
-		if next := firstFor(key, without, 3); next[0] != three[1] || next[1] != three[2] {
-			t.Fatalf("key %d moved further than to the next", key)
+		without := slices.DeleteFunc(slices.Clone(engines), func(e *directory.Endpoint) bool { return e == top[0] })
+		if next := rendezvousTop(key, without, 3); next[0] != top[1] || next[1] != top[2] {
+			t.Fatalf("key %d did not move to its next engine", key)
 		}
 	}
 	for _, e := range engines {
 		if n := count[e.ID]; n < keys/20 || n > keys/5 {
-			t.Errorf("%s comes first for %d of %d keys", e.ID, n, keys)
+			t.Errorf("%s is first for %d of %d keys", e.ID, n, keys)
 		}
 	}
-	if got := firstFor(1, engines[:2], 3); len(got) != 2 {
-		t.Errorf("%d of two engines", len(got))
+	if got := rendezvousTop(1, engines[:2], 3); len(got) != 2 {
+		t.Errorf("got %d engines of two", len(got))
 	}
 }
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -22,24 +22,24 @@
 	"github.com/springweir/springweir/routes"
 )
 
-// A replay plays a load on the planners of several VMs in time of its own: requests come
-// to a VM, engines read prompts one after the other at a pace that the planners do not
-// know, caches fill, and the VMs hear of each other's work late. It leaves out decoding
-// at length, memory that runs out, links and lost datagrams.
+// replay simulates a load on the planners of several VMs in virtual time: requests arrive at a VM,
+// engines prefill prompts in sequence at a speed that the planners must learn, caches fill, and VMs
+// receive each other's reports with a delay. It does not simulate the decoding of whole responses,
+// cache eviction, network links or lost datagrams.
 type replay struct {
-	now     time.Time
-	events  events
-	random  *rand.Rand
-	planned int
-	config  *routes.Config
-	vms     []*replayVM
-	engines map[string]*replayEngine
-	served  []outcome
-	// readTokens are those that engines had to read.
-	readTokens int
-	// every and delay are how often VMs tell of their work, and how late the others
-	// hear of it.
-	every, delay time.Duration
+	now       time.Time
+	events    events
+	random    *rand.Rand
+	scheduled int
+	config    *routes.Config
+	vms       []*replayVM
+	engines   map[string]*replayEngine
+	outcomes  []outcome
+	// prefilledTokens is the number of tokens that engines had to prefill.
+	prefilledTokens int
+	// reportInterval is the time between two reports of a VM, and reportDelay the delay of their
+	// delivery.
+	reportInterval, reportDelay time.Duration
 }
 
 type replayVM struct {
@@ -47,60 +47,60 @@
 	planner *Planner
 }
 
-// replayEngine reads prompts in the order in which they come.
+// replayEngine prefills prompts in order of arrival.
 type replayEngine struct {
-	role engine.Role
-	pace truth
-	free time.Time
-	// held tells since when a part is in the cache.
-	held map[string]time.Time
-	// refuses tells that the engine takes no work.
+	role   engine.Role
+	speed  engineSpeed
+	freeAt time.Time
+	// cachedSince is the time from which each part is cached.
+	cachedSince map[string]time.Time
+	// refuses is set while the engine refuses all requests.
 	refuses bool
 }
 
-// outcome is how a request went.
+// outcome is the result of one request.
 type outcome struct {
-	at               time.Time
-	first, predicted time.Duration
-	objective        time.Duration
-	refused, lost    bool
+	arrivedAt             time.Time
+	firstEvent, predicted time.Duration
+	objective             time.Duration
+	refused, lost         bool
 }
 
-func (o outcome) inTime() bool { return !o.refused && !o.lost && o.first <= o.objective }
+func (o outcome) inTime() bool { return !o.refused && !o.lost && o.firstEvent <= o.objective }
 
 const (
-	// newsEvery and newsDelay are the usual figures of a small region.
-	newsEvery = 10 * time.Millisecond
-	newsDelay = 2 * time.Millisecond
-	// importTime is how long an import and the first step take.
+	// defaultReportInterval and defaultReportDelay are usual values in a small region.
+	defaultReportInterval = 10 * time.Millisecond
+	defaultReportDelay    = 2 * time.Millisecond
+	// importTime is the duration of an import and the first decode step.
 	importTime = 10 * time.Millisecond
 )
 
-func newReplay(t *testing.T, seed uint64, vms, prefill, decode int, slowPrefill, slowDecode truth) *replay {
+func newReplay(t *testing.T, seed uint64, vms, prefill, decode int, prefillSpeed, decodeSpeed engineSpeed) *replay {
 	t.Helper()
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
-	r := &replay{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*replayEngine{}, every: newsEvery, delay: newsDelay}
+	r := &replay{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*replayEngine{}, reportInterval: defaultReportInterval, reportDelay: defaultReportDelay}
 	r.config = &routes.Config{Services: []routes.Service{
 		{Name: "llm", Engine: &routes.Engine{Slots: 64, KVTokens: 400_000, KVTokenBytes: 100_000, LinkBitsPerSecond: 1e12}},
 	}}
 	r.config.Index()
 	for i := range prefill {
-		r.engines[fmt.Sprint("p", i)] = &replayEngine{role: engine.Prefill, pace: slowPrefill, held: map[string]time.Time{}}
+		r.engines[fmt.Sprint("p", i)] = &replayEngine{role: engine.Prefill, speed: prefillSpeed, cachedSince: map[string]time.Time{}}
 	}
 	for i := range decode {
-		r.engines[fmt.Sprint("d", i)] = &replayEngine{role: engine.Decode, pace: slowDecode, held: map[string]time.Time{}}
+		r.engines[fmt.Sprint("d", i)] = &replayEngine{role: engine.Decode, speed: decodeSpeed, cachedSince: map[string]time.Time{}}
 	}
 	for range vms {
 		r.vms = append(r.vms, nil)
 	}
-	r.start()
-	r.after(r.every, r.tellAll)
+	r.startVMs()
+	r.after(r.reportInterval, r.broadcastReports)
 	return r
 }
 
-// start gives every VM a planner that knows the endpoints and nothing else.
-func (r *replay) start() {
+// startVMs gives every VM a new planner that has the endpoints and no other state.
+func (r *replay) startVMs() {
 	for i := range r.vms {
 		vm := &replayVM{}
 		vm.dir = directory.New(func(old, now *directory.Snapshot) { vm.planner.SetEndpoints(old, now) })
@@ -109,7 +109,7 @@
 			Tuning: DefaultTuning(), Now: func() time.Time { return r.now }, Random: rand.New(rand.NewPCG(r.random.Uint64(), 2)),
 		})
 		var list []directory.Registration
-		for _, id := range r.names() {
+		for _, id := range r.engineIDs() {
 			list = append(list, directory.Registration{ID: id, Service: "llm", Zone: "a", Slots: 64, Role: r.engines[id].role})
 		}
 		vm.dir.Replace(list, false)
@@ -117,113 +117,113 @@
 	}
 }
 
-// names are those of the engines, in an order that is always the same.
-func (r *replay) names() []string { return slices.Sorted(maps.Keys(r.engines)) }
+// engineIDs returns the IDs of the engines in a deterministic order.
+func (r *replay) engineIDs() []string { return slices.Sorted(maps.Keys(r.engines)) }
 
-// tellAll has each VM tell the others of its work.
-func (r *replay) tellAll() {
+// broadcastReports delivers the report of each VM to all others, and schedules the next round.
+func (r *replay) broadcastReports() {
 	for i, vm := range r.vms {
-		own := vm.planner.LocalReport()
-		load := &sharepb.Load{Vm: fmt.Sprint("vm", i), Work: own.Work, Placed: own.Placed, Changing: own.Changing, Refusing: own.Refusing}
+		report := vm.planner.LocalReport()
+		load := &sharepb.Load{Vm: fmt.Sprint("vm", i), Work: report.Work, Placed: report.Placed, Changing: report.Changing, Refusing: report.Refusing}
 		for j, other := range r.vms {
 			if j != i {
-				r.after(r.delay, func() { other.planner.ReceiveLoad(load) })
+				r.after(r.reportDelay, func() { other.planner.ReceiveLoad(load) })
 			}
 		}
 	}
-	r.after(r.every, r.tellAll)
+	r.after(r.reportInterval, r.broadcastReports)
 }
 
-// request has a VM place a prompt and the engines serve it.
+// request lets a VM place a prompt and the engines of its plan serve it.
 func (r *replay) request(vm int, parts []prompt.Part, objective time.Duration) {
 	p := &prompt.Prompt{Parts: parts}
 	for _, part := range parts {
 		p.Tokens += part.Tokens
 	}
 	req := &relay.Request{
-		ID: fmt.Sprint("r", len(r.served)), Service: "llm", Received: r.now, Deadline: r.now.Add(10 * objective), Prompt: p,
+		ID: fmt.Sprint("r", len(r.outcomes)), Service: "llm", Received: r.now, Deadline: r.now.Add(10 * objective), Prompt: p,
 		Route: &routes.Route{Kind: routes.Stream, MaxAttempts: 1, Objective: objective},
 	}
-	n := len(r.served)
-	r.served = append(r.served, outcome{at: r.now, objective: objective})
+	index := len(r.outcomes)
+	r.outcomes = append(r.outcomes, outcome{arrivedAt: r.now, objective: objective})
 	plan, failed := r.vms[vm].planner.Plan(req, relay.Try{})
 	if failed != nil {
-		r.served[n].refused = true
+		r.outcomes[index].refused = true
 		return
 	}
-	r.served[n].predicted = plan.Expect
-	if plan.Prefill != nil && r.refuse(n, plan.Prefill.ID, func(f *failure.Request) { plan.Watch.Prefilled(f, false); plan.Watch.Finished(nil, true) }) {
+	r.outcomes[index].predicted = plan.Expect
+	if plan.Prefill != nil && r.refuse(index, plan.Prefill.ID, func(f *failure.Request) { plan.Watch.Prefilled(f, false); plan.Watch.Finished(nil, true) }) {
 		return
 	}
-	if r.refuse(n, plan.Serve.ID, func(f *failure.Request) { plan.Watch.Prefilled(nil, true); plan.Watch.Finished(f, false) }) {
+	if r.refuse(index, plan.Serve.ID, func(f *failure.Request) { plan.Watch.Prefilled(nil, true); plan.Watch.Finished(f, false) }) {
 		return
 	}
-	reader := plan.Serve.ID
+	prefiller := plan.Serve.ID
 	if plan.Prefill != nil {
-		reader = plan.Prefill.ID
+		prefiller = plan.Prefill.ID
 	}
-	done := r.read(r.engines[reader], plan.CopyFrom, parts)
+	done := r.prefill(r.engines[prefiller], plan.CopyFrom, parts)
 	r.at(done, func() {
 		if plan.Prefill != nil {
 			plan.Watch.Prefilled(nil, false)
 		}
-		r.decode(n, plan, parts)
+		r.decode(index, plan, parts)
 	})
 }
 
-// refuse ends a request whose engine takes no work.
-func (r *replay) refuse(n int, id string, end func(*failure.Request)) bool {
+// refuse fails a request if its engine refuses, and reports whether it did.
+func (r *replay) refuse(index int, id string, end func(*failure.Request)) bool {
 	if !r.engines[id].refuses {
 		return false
 	}
-	r.served[n].lost = true
+	r.outcomes[index].lost = true
 	r.after(time.Millisecond, func() { end(&failure.Request{Code: failure.EndpointRefused, Ran: failure.NotRun}) })
 	return true
 }
 
-// read has an engine read a prompt behind what it was given before, and tells when that
-// is done.
-func (r *replay) read(e *replayEngine, from *directory.Endpoint, parts []prompt.Part) time.Time {
+// prefill runs the prefill of a prompt on an engine after the earlier ones, and returns the time at
+// which it ends.
+func (r *replay) prefill(e *replayEngine, from *directory.Endpoint, parts []prompt.Part) time.Time {
 	begin := r.now.Add(time.Millisecond)
-	if e.free.After(begin) {
-		begin = e.free
+	if e.freeAt.After(begin) {
+		begin = e.freeAt
 	}
-	cached, all := 0, 0
+	cached, total := 0, 0
 	leading := true
 	for _, part := range parts {
-		all += part.Tokens
+		total += part.Tokens
 		if leading = leading && (holdsPart(e, part, begin) || from != nil && holdsPart(r.engines[from.ID], part, begin)); leading {
 			cached += part.Tokens
 		}
 	}
-	uncached := max(1, all-cached)
-	r.readTokens += uncached
-	e.free = begin.Add(e.pace.time(amountOf(uncached, cached)))
+	uncached := max(1, total-cached)
+	r.prefilledTokens += uncached
+	e.freeAt = begin.Add(e.speed.predict(newPrefillWork(uncached, cached)))
 	for _, part := range parts {
-		if since, held := e.held[part.ID]; !held || e.free.Before(since) {
-			e.held[part.ID] = e.free
+		if readyAt, cached := e.cachedSince[part.ID]; !cached || e.freeAt.Before(readyAt) {
+			e.cachedSince[part.ID] = e.freeAt
 		}
 	}
-	return e.free
+	return e.freeAt
 }
 
 func holdsPart(e *replayEngine, part prompt.Part, now time.Time) bool {
-	since, held := e.held[part.ID]
-	return held && !now.Before(since)
+	readyAt, cached := e.cachedSince[part.ID]
+	return cached && !now.Before(readyAt)
 }
 
-// decode has the serving engine import the cache, behind what it reads itself.
-func (r *replay) decode(n int, plan relay.Plan, parts []prompt.Part) {
+// decode imports the cache on the serving engine, after the engine's own prefills.
+func (r *replay) decode(index int, plan relay.Plan, parts []prompt.Part) {
 	e := r.engines[plan.Serve.ID]
 	begin := r.now
-	if plan.Prefill != nil && e.free.After(begin) {
-		begin = e.free
+	if plan.Prefill != nil && e.freeAt.After(begin) {
+		begin = e.freeAt
 	}
 	r.at(begin.Add(importTime), func() {
-		r.served[n].first = r.now.Sub(r.served[n].at)
+		r.outcomes[index].firstEvent = r.now.Sub(r.outcomes[index].arrivedAt)
 		for _, part := range parts {
-			if _, held := e.held[part.ID]; !held {
-				e.held[part.ID] = r.now
+			if _, cached := e.cachedSince[part.ID]; !cached {
+				e.cachedSince[part.ID] = r.now
 			}
 		}
 		plan.Watch.FirstEvent()
@@ -231,7 +231,7 @@
 	})
 }
 
-// load has prompts come at random, so many a second, for a time.
+// load schedules requests with random arrival times at the given rate, for the given duration.
 func (r *replay) load(perSecond float64, length time.Duration, draw func(n int) ([]prompt.Part, time.Duration)) {
 	at := r.now
 	end := at.Add(length)
@@ -246,15 +246,15 @@
 	}
 }
 
-// dossier is a long prompt of a heavy-tailed length behind a shared part.
-func (r *replay) dossier(n int) ([]prompt.Part, time.Duration) {
+// longPrompt returns a prompt of a heavy-tailed length behind a shared part.
+func (r *replay) longPrompt(n int) ([]prompt.Part, time.Duration) {
 	subject := r.random.IntN(60)
-	own := int(min(40_000, 400+2200*math.Exp(0.9*r.random.NormFloat64())))
-	return []prompt.Part{{ID: fmt.Sprint("s", subject), Tokens: 6000 + subject*150}, {ID: fmt.Sprint("own", n), Tokens: own}}, 600 * time.Millisecond
+	suffix := int(min(40_000, 400+2200*math.Exp(0.9*r.random.NormFloat64())))
+	return []prompt.Part{{ID: fmt.Sprint("s", subject), Tokens: 6000 + subject*150}, {ID: fmt.Sprint("own", n), Tokens: suffix}}, 600 * time.Millisecond
 }
 
-// question is a short prompt behind a small shared part.
-func question(n int) ([]prompt.Part, time.Duration) {
+// shortPrompt returns a short prompt behind a small shared part.
+func shortPrompt(n int) ([]prompt.Part, time.Duration) {
 	return []prompt.Part{{ID: fmt.Sprint("q", n%20), Tokens: 300}, {ID: fmt.Sprint("own", n), Tokens: 500}}, 300 * time.Millisecond
 }
 
@@ -263,21 +263,21 @@
 	for len(r.events) > 0 && !r.events[0].at.After(end) {
 		e := heap.Pop(&r.events).(event)
 		r.now = e.at
-		e.do()
+		e.run()
 	}
 	r.now = end
 }
 
-func (r *replay) after(d time.Duration, do func()) { r.at(r.now.Add(d), do) }
-func (r *replay) at(at time.Time, do func()) {
-	r.planned++
-	heap.Push(&r.events, event{at, r.planned, do})
+func (r *replay) after(d time.Duration, run func()) { r.at(r.now.Add(d), run) }
+func (r *replay) at(at time.Time, run func()) {
+	r.scheduled++
+	heap.Push(&r.events, event{at, r.scheduled, run})
 }
 func (r *replay) since(at time.Time) (out []outcome) { return r.between(at, r.now) }
 
 func (r *replay) between(from, to time.Time) (out []outcome) {
-	for _, o := range r.served {
-		if !o.at.Before(from) && o.at.Before(to) {
+	for _, o := range r.outcomes {
+		if !o.arrivedAt.Before(from) && o.arrivedAt.Before(to) {
 			out = append(out, o)
 		}
 	}
@@ -294,7 +294,7 @@
 	return float64(n) / float64(max(1, len(list)))
 }
 
-func lostOf(list []outcome) int {
+func countLost(list []outcome) int {
 	n := 0
 	for _, o := range list {
 		if o.lost {
@@ -304,12 +304,12 @@
 	return n
 }
 
-// offBy is the median of actual times over predicted ones.
-func offBy(list []outcome) float64 {
+// medianRatio returns the median ratio of the actual to the predicted time to the first event.
+func medianRatio(list []outcome) float64 {
 	var ratios []float64
 	for _, o := range list {
-		if !o.refused && !o.lost && o.predicted > 0 && o.first > 0 {
-			ratios = append(ratios, float64(o.first)/float64(o.predicted))
+		if !o.refused && !o.lost && o.predicted > 0 && o.firstEvent > 0 {
+			ratios = append(ratios, float64(o.firstEvent)/float64(o.predicted))
 		}
 	}
 	if len(ratios) == 0 {
@@ -320,9 +320,9 @@
 }
 
 type event struct {
-	at time.Time
-	n  int
-	do func()
+	at  time.Time
+	seq int
+	run func()
 }
 
 type events []event
@@ -330,7 +330,7 @@
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].n < e[j].n
+		return e[i].seq < e[j].seq
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -342,11 +342,11 @@
 	return last
 }
 
-// tellCaches has each VM learn what the engines say that they hold.
-func (r *replay) tellCaches() {
-	for _, id := range r.names() {
+// reportCaches passes the cached parts that each engine reports to all VMs.
+func (r *replay) reportCaches() {
+	for _, id := range r.engineIDs() {
 		var parts []prompt.Part
-		for _, part := range slices.Sorted(maps.Keys(r.engines[id].held)) {
+		for _, part := range slices.Sorted(maps.Keys(r.engines[id].cachedSince)) {
 			parts = append(parts, prompt.Part{ID: part, Tokens: 6000})
 		}
 		for _, vm := range r.vms {
--- a/placement/reuse.go
+++ b/placement/reuse.go
@@ -7,65 +7,64 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// minCopy is the least amount of tokens that are worth copying from another engine: a
-// move costs some tenths of a millisecond of both links, which few tokens' prefill does
-// not.
-const minCopy = 512
+// minCopyTokens is the shortest prefix worth copying from another engine: a copy occupies both
+// links for some tenths of a millisecond, which is longer than the prefill of fewer tokens.
+const minCopyTokens = 512
 
-// reuse says which of a prompt's first tokens an engine need not prefill.
+// reuse describes the prefix of a prompt that an engine need not prefill.
 type reuse struct {
-	// tokens are held, by the engine itself or by copyFrom.
+	// tokens is the length of the prefix, cached by the engine itself or by copyFrom.
 	tokens int
-	// copyFrom is nil when the engine takes what it holds itself.
+	// copyFrom is nil if the prefix is cached by the engine itself.
 	copyFrom *directory.Endpoint
-	// copying is how long the copy takes.
-	copying time.Duration
+	// copyTime is the predicted duration of the copy.
+	copyTime time.Duration
 }
 
-// holder is an engine and how many leading tokens of the prompt it holds.
+// holder is an engine and the length of the prompt prefix that it caches.
 type holder struct {
 	engine *directory.Endpoint
 	tokens int
 }
 
-// holders are the engines that hold most of one prompt: of all zones, and of each.
+// holders are the engines that cache the longest prefix of a prompt, of all zones and by zone.
 type holders struct {
-	most   holder
-	byZone map[string]holder
+	largest holder
+	byZone  map[string]holder
 }
 
-// reuseOn says what an engine need not prefill: what it holds, or what another one
-// holds beyond that. Copying is some thirty times as fast as prefilling anew.
+// reuseOn returns the prefix that an engine need not prefill: the one that it caches, or a longer
+// one to be copied from another engine. Copying is about thirty times as fast as prefilling.
 func (d *decision) reuseOn(e *directory.Endpoint, chunks []chunk) reuse {
-	own := reuse{tokens: d.engineBook(e).cache.cached(chunks)}
+	local := reuse{tokens: d.engineLoad(e).cache.cachedTokens(chunks)}
 	if len(chunks) == 0 {
-		return own
+		return local
 	}
 	h := d.findHolders(chunks)
-	best := own
-	for _, other := range []holder{h.byZone[e.Zone], h.most} {
-		if other.engine == nil || other.engine == e || other.tokens-own.tokens < minCopy || other.tokens <= best.tokens {
+	best := local
+	for _, other := range []holder{h.byZone[e.Zone], h.largest} {
+		if other.engine == nil || other.engine == e || other.tokens-local.tokens < minCopyTokens || other.tokens <= best.tokens {
 			continue
 		}
-		best = reuse{tokens: other.tokens, copyFrom: other.engine, copying: d.moveTime(other.engine, e, other.tokens-own.tokens)}
+		best = reuse{tokens: other.tokens, copyFrom: other.engine, copyTime: d.transferTime(other.engine, e, other.tokens-local.tokens)}
 	}
 	return best
 }
 
-// findHolders looks at the caches of all usable engines once for a decision.
+// findHolders searches the caches of all usable engines, once per decision.
 func (d *decision) findHolders(chunks []chunk) *holders {
 	if d.holders != nil {
 		return d.holders
 	}
 	h := &holders{byZone: map[string]holder{}}
 	for _, role := range []engine.Role{engine.Prefill, engine.Decode} {
-		for _, e := range d.role(role) {
-			found := holder{e, d.engineBook(e).cache.copyable(d.now, chunks)}
+		for _, e := range d.enginesWithRole(role) {
+			found := holder{e, d.engineLoad(e).cache.copyableTokens(d.now, chunks)}
 			if found.tokens > h.byZone[e.Zone].tokens {
 				h.byZone[e.Zone] = found
 			}
-			if found.tokens > h.most.tokens {
-				h.most = found
+			if found.tokens > h.largest.tokens {
+				h.largest = found
 			}
 		}
 	}
--- a/placement/reuse_test.go
+++ b/placement/reuse_test.go
@@ -10,95 +10,95 @@
 	"github.com/springweir/springweir/relay"
 )
 
-// holds tells the bed that an engine was given a prompt's leading parts.
-func (b *bed) holds(endpoint string, parts ...prompt.Part) {
+// reportCached reports to the planner that another VM sent an engine the leading parts of a prompt.
+func (f *fixture) reportCached(endpoint string, parts ...prompt.Part) {
 	placed := &sharepb.Placed{Endpoint: loadshare.Hash(endpoint)}
 	for _, p := range parts {
 		placed.Part = append(placed.Part, loadshare.Hash(p.ID))
 		placed.Tokens = append(placed.Tokens, uint32(p.Tokens))
 	}
-	b.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Placed: []*sharepb.Placed{placed}})
+	f.planner.ReceiveLoad(&sharepb.Load{Vm: "other", Placed: []*sharepb.Placed{placed}})
 }
 
-// busy tells the bed that an engine has much to prefill.
-func (b *bed) busy(endpoint string) {
-	b.planner.ReceiveLoad(&sharepb.Load{Vm: "rival", Work: []*sharepb.Work{{Endpoint: loadshare.Hash(endpoint), PrefillTokens: 20_000}}})
+// setBusy reports a long prefill queue at an engine to the planner.
+func (f *fixture) setBusy(endpoint string) {
+	f.planner.ReceiveLoad(&sharepb.Load{Vm: "rival", Work: []*sharepb.Work{{Endpoint: loadshare.Hash(endpoint), PrefillTokens: 20_000}}})
 }
 
-// An engine copies what another holds of the prompt rather than prefill it again.
-func TestCacheIsCopiedFromItsHolder(t *testing.T) {
+// An engine copies a cached prefix from another engine instead of prefilling it again.
+func TestPrefixIsCopiedFromEngineThatHoldsIt(t *testing.T) {
 	all, subject := prompt.Part{ID: "all", Tokens: 2500}, prompt.Part{ID: "s", Tokens: 3500}
-	small := prompt.Part{ID: "small", Tokens: minCopy - 1}
+	small := prompt.Part{ID: "small", Tokens: minCopyTokens - 1}
 	for _, tc := range []struct {
 		name    string
-		prepare func(b *bed)
+		prepare func(f *fixture)
 		try     relay.Try
 		want    string
 	}{
-		{"nobody holds it", func(*bed) {}, relay.Try{}, ""},
-		{"a crowded engine holds it", func(b *bed) { b.holds("near", all, subject) }, relay.Try{}, "near"},
-		{"one that decodes holds it", func(b *bed) { b.holds("d", all, subject) }, relay.Try{}, "d"},
-		{"one of the own zone and one of another", func(b *bed) { b.holds("far", all, subject); b.holds("near", all, subject) }, relay.Try{}, "near"},
-		{"another zone's holds more", func(b *bed) { b.holds("far", all, subject); b.holds("near", all) }, relay.Try{}, "far"},
-		{"the engine itself holds nearly as much", func(b *bed) {
-			b.holds("free", all, subject)
-			b.holds("near", all, subject, small)
+		{"no engine caches it", func(*fixture) {}, relay.Try{}, ""},
+		{"a busy engine caches it", func(f *fixture) { f.reportCached("near", all, subject) }, relay.Try{}, "near"},
+		{"a decode engine caches it", func(f *fixture) { f.reportCached("d", all, subject) }, relay.Try{}, "d"},
+		{"engines of the local and another zone cache it", func(f *fixture) { f.reportCached("far", all, subject); f.reportCached("near", all, subject) }, relay.Try{}, "near"},
+		{"an engine of another zone caches more", func(f *fixture) { f.reportCached("far", all, subject); f.reportCached("near", all) }, relay.Try{}, "far"},
+		{"the prefilling engine caches nearly as much", func(f *fixture) {
+			f.reportCached("free", all, subject)
+			f.reportCached("near", all, subject, small)
 		}, relay.Try{}, ""},
-		{"the holder failed", func(b *bed) { b.holds("near", all, subject) }, relay.Try{Number: 1, Tried: []string{"near"}}, ""},
+		{"the holder failed", func(f *fixture) { f.reportCached("near", all, subject) }, relay.Try{Number: 1, Tried: []string{"near"}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inTime(t, func(t *testing.T, b *bed) {
-				b.engine("free", "a", engine.Prefill)
-				b.engine("near", "a", engine.Prefill)
-				b.engine("far", "b", engine.Prefill)
-				b.engine("d", "a", engine.Decode)
-				b.done(b.plan(b.chat(), relay.Try{})) // the books of all engines are made
-				warm := b.letter("warm")
+			inVirtualTime(t, func(t *testing.T, f *fixture) {
+				f.addEngine("free", "a", engine.Prefill)
+				f.addEngine("near", "a", engine.Prefill)
+				f.addEngine("far", "b", engine.Prefill)
+				f.addEngine("d", "a", engine.Decode)
+				f.complete(f.plan(f.shortReq(), relay.Try{})) // creates the tracked load of all engines
+				warm := f.longReq("warm")
 				warm.Prompt.Parts[0].ID = "other"
-				b.done(b.plan(warm, relay.Try{}))
-				tc.prepare(b) // what is told before the other work has been read by now
-				b.busy("near")
-				r := b.letter("s")
+				f.complete(f.plan(warm, relay.Try{}))
+				tc.prepare(f) // before setBusy, so that these parts count as prefilled by now
+				f.setBusy("near")
+				r := f.longReq("s")
 				r.Prompt.Parts = []prompt.Part{all, subject, small, {ID: "own", Tokens: 3000 - small.Tokens}}
-				p := b.plan(r, tc.try)
+				p := f.plan(r, tc.try)
 				got := ""
 				if p.CopyFrom != nil {
 					got = p.CopyFrom.ID
 				}
 				if p.Prefill == nil || p.Prefill.ID != "free" || got != tc.want {
-					t.Errorf("prefilled by %v after a copy from %q, want from %q", p.Prefill, got, tc.want)
+					t.Errorf("prefilled by %v after a copy from %q, want a copy from %q", p.Prefill, got, tc.want)
 				}
 			})
 		})
 	}
 }
 
-// A part that an engine has only been given is not copied from it: the copier would get
-// nothing and read it all, up to 40,000 tokens between the steps of other requests.
-func TestWhatIsStillBeingReadIsNotCopied(t *testing.T) {
-	inTime(t, func(t *testing.T, b *bed) {
-		b.engine("reader", "a", engine.Prefill)
-		b.engine("free", "a", engine.Prefill)
-		b.engine("d", "a", engine.Decode)
-		b.done(b.plan(b.chat(), relay.Try{}))
-		first := b.letter("s")
+// A part whose prefill has not finished must not be copied: the copying engine would get nothing
+// and prefill up to 40,000 tokens itself, between the decode steps of other requests.
+func TestUnfinishedPrefillIsNotCopied(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, f *fixture) {
+		f.addEngine("reader", "a", engine.Prefill)
+		f.addEngine("free", "a", engine.Prefill)
+		f.addEngine("d", "a", engine.Decode)
+		f.complete(f.plan(f.shortReq(), relay.Try{}))
+		first := f.longReq("s")
 		first.Prompt.Tokens = 46_000
 		first.Prompt.Parts[1].Tokens = 40_500
-		p := b.plan(first, relay.Try{})
-		second := b.letter("s")
+		p := f.plan(first, relay.Try{})
+		second := f.longReq("s")
 		second.Prompt.Parts[1].Tokens = 40_500
 		second.Prompt.Tokens = 46_000
-		q := b.plan(second, relay.Try{})
+		q := f.plan(second, relay.Try{})
 		if q.CopyFrom != nil {
-			t.Errorf("copied from %s, which has not read it yet", q.CopyFrom.ID)
+			t.Errorf("copied from %s, whose prefill has not finished", q.CopyFrom.ID)
 		}
 		q.Watch.Finished(nil, true)
-		b.done(p)
-		third := b.letter("s")
+		f.complete(p)
+		third := f.longReq("s")
 		third.Prompt.Parts[1].Tokens = 40_500
 		third.Prompt.Tokens = 46_000
-		if q := b.plan(third, relay.Try{}); q.Prefill.ID != p.Prefill.ID && q.CopyFrom != p.Prefill {
-			t.Errorf("a prompt that %s has read goes to %s, copied from %v", p.Prefill.ID, q.Prefill.ID, q.CopyFrom)
+		if q := f.plan(third, relay.Try{}); q.Prefill.ID != p.Prefill.ID && q.CopyFrom != p.Prefill {
+			t.Errorf("a prompt that %s caches goes to %s, copied from %v", p.Prefill.ID, q.Prefill.ID, q.CopyFrom)
 		}
 	})
 }
--- a/placement/uplink_test.go
+++ b/placement/uplink_test.go
@@ -10,69 +10,69 @@
 	"github.com/springweir/springweir/relay"
 )
 
-// slowLink gives the bed's VM a link of 10 Mbit/s, so that the body of a letter
-// takes 24 ms each time that it is sent.
-func (b *bed) slowLink() {
+// useSlowLink gives the VM a link of 10 Mbit/s, on which the body of largeReq takes 24 ms each time
+// that it is sent.
+func (f *fixture) useSlowLink() {
 	tuning := DefaultTuning()
 	tuning.LinkBitsPerSecond = 10e6
-	b.planner.SetTuning(tuning)
+	f.planner.SetTuning(tuning)
 }
 
-func (b *bed) heavyLetter(subject string) *relay.Request {
-	r := b.letter(subject)
+func (f *fixture) largeReq(subject string) *relay.Request {
+	r := f.longReq(subject)
 	r.Body = make([]byte, 18_000)
 	return r
 }
 
-// The time that the VM's own link takes is part of a prediction, for one request and
-// for those that wait behind it, and it passes.
-func TestOwnLinkIsPartOfPredictions(t *testing.T) {
+// A prediction includes the transmission time of the request and of the requests queued before it
+// on the VM's uplink. The uplink is free again once they are sent.
+func TestPredictionIncludesUplink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		f := newFixture(t)
 		for _, id := range []string{"p1", "p2", "p3"} {
-			b.engine(id, "a", engine.Prefill)
+			f.addEngine(id, "a", engine.Prefill)
 		}
-		b.engine("d1", "a", engine.Decode)
-		free := b.plan(b.heavyLetter("x"), relay.Try{})
-		b.slowLink()
-		first := b.plan(b.heavyLetter("y"), relay.Try{})
+		f.addEngine("d1", "a", engine.Decode)
+		free := f.plan(f.largeReq("x"), relay.Try{})
+		f.useSlowLink()
+		first := f.plan(f.largeReq("y"), relay.Try{})
 		if got := first.Expect - free.Expect; got < 30*time.Millisecond || got > 60*time.Millisecond {
-			t.Errorf("a slow link adds %v to a request that goes to two engines, want about 48 ms", got)
+			t.Errorf("a slow uplink adds %v to a request sent to two engines, want about 48 ms", got)
 		}
-		second := b.plan(b.heavyLetter("z"), relay.Try{})
+		second := f.plan(f.largeReq("z"), relay.Try{})
 		if got := second.Expect - first.Expect; got < 30*time.Millisecond {
-			t.Errorf("the request behind it is predicted %v later, want 48 ms or more", got)
+			t.Errorf("the queued request is predicted %v later, want 48 ms or more", got)
 		}
 		first.Watch.Finished(nil, true)
 		second.Watch.Finished(nil, true)
 		free.Watch.Finished(nil, true)
 		time.Sleep(200 * time.Millisecond)
-		third := b.plan(b.heavyLetter("y"), relay.Try{})
+		third := f.plan(f.largeReq("y"), relay.Try{})
 		if third.Expect > first.Expect {
-			t.Errorf("%v predicted on a link that is free again, %v before", third.Expect, first.Expect)
+			t.Errorf("%v predicted once the uplink is free again, %v before", third.Expect, first.Expect)
 		}
 	})
 }
 
-// A request that the own link cannot send in time is refused as not run.
-func TestFullLinkRefuses(t *testing.T) {
+// A request that the VM's uplink cannot send in time is refused as not run.
+func TestFullUplinkRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		f := newFixture(t)
 		for _, id := range []string{"p1", "p2", "p3"} {
-			b.engine(id, "a", engine.Prefill)
+			f.addEngine(id, "a", engine.Prefill)
 		}
-		b.engine("d1", "a", engine.Decode)
-		b.slowLink()
+		f.addEngine("d1", "a", engine.Decode)
+		f.useSlowLink()
 		for range 10 {
-			plan, failed := b.planner.Plan(b.heavyLetter("x"), relay.Try{})
+			plan, failed := f.planner.Plan(f.largeReq("x"), relay.Try{})
 			if failed != nil {
 				if failed.Code != failure.DeadlineUnreachable || failed.Ran != failure.NotRun || failed.RetryAfter == 0 {
 					t.Errorf("refused with %+v", failed)
 				}
 				return
 			}
-			plan.Watch.Finished(nil, true) // the engines are idle; only the link is not
+			plan.Watch.Finished(nil, true) // The engines are idle; only the uplink is busy.
 		}
-		t.Error("ten letters at once were taken on a link that sends three in time")
+		t.Error("ten simultaneous requests were accepted on an uplink that sends three in time")
 	})
 }
