--- a/placement/commit.go
+++ b/placement/commit.go
@@ -13,7 +13,7 @@
 // of queueing: a caller that is refused at once can retry, and the engines stay free for requests
 // that are in time. A request that would be late even on an idle fleet gains nothing by a retry, so
 // it is served late, unless it would exceed the caller's deadline. Refusing these requests as well
-// reduced the value of the requests served from 0.63 to 0.52 of the total, with faults.
+// reduced the value of the requests served from 0.63 to 0.52 of the total, under load with faults.
 func (d *decision) refuseIfLate(best option) *failure.Request {
 	objective := d.req.Route.Objective
 	if objective == 0 || d.prior.Number > 0 {
--- a/placement/loadtracker_test.go
+++ b/placement/loadtracker_test.go
@@ -15,7 +15,7 @@
 // datagram without work keeps the previous report.
 func TestReportReplacesPreviousOfItsSource(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := newLoadTracker()
+	tracker := newLoadTracker()
 	work := func(runs uint32) []*sharepb.Work { return []*sharepb.Work{{Endpoint: 1, Runs: runs}} }
 	for _, step := range []struct {
 		load *sharepb.Load
@@ -30,13 +30,13 @@
 		{&sharepb.Load{Vm: "c3", Zone: "y", ZoneSum: true, Work: work(6)}, 10},
 		{&sharepb.Load{Vm: "c3", Zone: "y", ZoneSum: true}, 4},
 	} {
-		b.receive(now, step.load)
-		if got := b.peerWork[1].running; got != step.want {
+		tracker.receive(now, step.load)
+		if got := tracker.peerWork[1].running; got != step.want {
 			t.Errorf("after %v: %d running requests, want %d", step.load, got, step.want)
 		}
 	}
-	b.expire(now.Add(loadshare.TTL + time.Millisecond))
-	if got := b.peerWork[1].running; got != 0 {
+	tracker.expire(now.Add(loadshare.TTL + time.Millisecond))
+	if got := tracker.peerWork[1].running; got != 0 {
 		t.Errorf("%d requests of expired reports still count", got)
 	}
 }
@@ -142,10 +142,10 @@
 func TestEarlierIncarnationDoesNotReplaceLater(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, f *fixture) {
 		f.restartEngine("d1", 1, engine.Decode)
-		before := f.dir.Snapshot().Endpoint("d1")
+		previous := f.dir.Snapshot().Endpoint("d1")
 		f.restartEngine("d1", 2, engine.Decode)
-		now := f.planner.loads.get(f.dir.Snapshot().Endpoint("d1"))
-		if f.planner.loads.get(before) == now || f.planner.loads.byID["d1"] != now {
+		current := f.planner.loads.get(f.dir.Snapshot().Endpoint("d1"))
+		if f.planner.loads.get(previous) == current || f.planner.loads.byID["d1"] != current {
 			t.Error("two incarnations share their tracked load")
 		}
 	})
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -32,7 +32,7 @@
 		{Name: "llm", Engine: &routes.Engine{Slots: 4, KVTokens: 100_000, KVTokenBytes: 1000, LinkBitsPerSecond: 1e12}},
 	}}
 	config.Index()
-	f.dir = directory.New(func(old, now *directory.Snapshot) { f.planner.SetEndpoints(old, now) })
+	f.dir = directory.New(func(old, current *directory.Snapshot) { f.planner.SetEndpoints(old, current) })
 	f.planner = New(Config{
 		Zone: "a", Directory: f.dir, Routes: func() *routes.Config { return config },
 		RoleChanges: func() []string { return f.roleChanges }, Tuning: DefaultTuning(),
@@ -50,13 +50,13 @@
 
 // longReq returns a request with a long prompt that has two shared parts, and shortReq one with a
 // short prompt.
-func (f *fixture) longReq(subject string) *relay.Request {
+func (f *fixture) longReq(prefix string) *relay.Request {
 	f.requests++
 	return &relay.Request{
 		ID: fmt.Sprint("r", f.requests), Service: "llm", Received: time.Now(),
 		Route: &routes.Route{Kind: routes.Stream, Resumable: true, MaxAttempts: 2, Objective: 200 * time.Millisecond},
 		Prompt: &prompt.Prompt{Tokens: 9000, MaxOutput: 4, Parts: []prompt.Part{
-			{ID: "all", Tokens: 2500}, {ID: subject, Tokens: 3500}, {ID: fmt.Sprint("own", f.requests), Tokens: 3000},
+			{ID: "all", Tokens: 2500}, {ID: prefix, Tokens: 3500}, {ID: fmt.Sprint("own", f.requests), Tokens: 3000},
 		}},
 	}
 }
@@ -74,9 +74,9 @@
 	return r
 }
 
-func (f *fixture) plan(r *relay.Request, try relay.Try) relay.Plan {
+func (f *fixture) plan(r *relay.Request, prior relay.Try) relay.Plan {
 	f.t.Helper()
-	plan, failed := f.planner.Plan(r, try)
+	plan, failed := f.planner.Plan(r, prior)
 	if failed != nil {
 		f.t.Fatalf("refused: %v", failed)
 	}
@@ -204,12 +204,12 @@
 			}
 		}
 		for i := range 60 {
-			subject := fmt.Sprint("s", i)
-			p, q := f.plan(f.longReq(subject), relay.Try{}), other.plan(other.longReq(subject), relay.Try{})
+			prefix := fmt.Sprint("s", i)
+			p, q := f.plan(f.longReq(prefix), relay.Try{}), other.plan(other.longReq(prefix), relay.Try{})
 			f.complete(p)
 			other.complete(q)
 			if p.Prefill.ID != q.Prefill.ID {
-				t.Errorf("%s goes to %s and %s", subject, p.Prefill.ID, q.Prefill.ID)
+				t.Errorf("%s goes to %s and %s", prefix, p.Prefill.ID, q.Prefill.ID)
 			}
 			counts[p.Prefill.ID]++
 		}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -279,7 +279,7 @@
 	return relay.Plan{Serve: best, Watch: &attemptWatch{p: d.p, serve: reserved}}, nil
 }
 
-// requestHeadBytes is the usual size of a request's head, which is sent before its body.
+// requestHeadBytes is the usual size of a request's head, which is sent with its body.
 const requestHeadBytes = 600
 
 // sendTime returns how long the VM's uplink takes to send the request once.
--- a/placement/prefillmodel.go
+++ b/placement/prefillmodel.go
@@ -34,8 +34,8 @@
 // observed times by recursive least squares with exponential forgetting, over three features: a
 // fixed time, the tokens and the token pairs. Engines of one role are assumed to be alike and share
 // their samples, because a VM observes only a few prompts a second. With the initial values alone,
-// on engines three times slower than these, the median request took 3.5 times as long as predicted,
-// and queues were underestimated as much.
+// on engines three times slower than assumed, the median request took 3.5 times as long as
+// predicted, and queues were underestimated as much.
 //
 // The error is relative to the prediction, so that short and long prompts have the same weight, and
 // bounded, so that an outlier has little effect.
@@ -61,7 +61,7 @@
 
 const (
 	// initialPrefillRate and initialDecodeRate are the assumed prefill rates in tokens per
-	// millisecond of prefill and of decode engines before the first sample, set low on purpose.
+	// millisecond of prefill and of decode engines before the first sample; they are conservative.
 	initialPrefillRate = 200
 	initialDecodeRate  = 80
 	// initialStdDevFixed, initialStdDevTokens and initialStdDevPairs are the standard deviations of
--- a/placement/replay_scenarios_test.go
+++ b/placement/replay_scenarios_test.go
@@ -71,8 +71,8 @@
 		if share := inTimeShare(r.since(start)); share < 0.9 {
 			t.Errorf("seed %d: %.3f of the requests are in time", seed, share)
 		}
-		if read := r.prefilledTokens - before; read > 6*4*20_000+60_000 {
-			t.Errorf("seed %d: %d tokens prefilled for six prefixes of 20,000", seed, read)
+		if prefilled := r.prefilledTokens - before; prefilled > 6*4*20_000+60_000 {
+			t.Errorf("seed %d: %d tokens prefilled for six prefixes of 20,000", seed, prefilled)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 // prefilled again.
 func TestReplayRestartOfAllVMs(t *testing.T) {
 	for seed := range uint64(3) {
-		read := map[bool]int{}
+		prefilled := map[bool]int{}
 		for _, reported := range []bool{false, true} {
 			r := newReplay(t, seed, 4, 8, 4, slowPrefill, slowDecode)
 			r.load(45, 6*time.Second, r.longPrompt)
@@ -129,10 +129,10 @@
 			before := r.prefilledTokens
 			r.load(45, 4*time.Second, func(n int) ([]prompt.Part, time.Duration) { return r.longPrompt(10_000 + n) })
 			r.run(6 * time.Second)
-			read[reported] = r.prefilledTokens - before
+			prefilled[reported] = r.prefilledTokens - before
 		}
-		if float64(read[true]) > 0.85*float64(read[false]) {
-			t.Errorf("seed %d: %d tokens prefilled with the reported caches, %d without", seed, read[true], read[false])
+		if float64(prefilled[true]) > 0.85*float64(prefilled[false]) {
+			t.Errorf("seed %d: %d tokens prefilled with the reported caches, %d without", seed, prefilled[true], prefilled[false])
 		}
 	}
 }
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -103,7 +103,7 @@
 func (r *replay) startVMs() {
 	for i := range r.vms {
 		vm := &replayVM{}
-		vm.dir = directory.New(func(old, now *directory.Snapshot) { vm.planner.SetEndpoints(old, now) })
+		vm.dir = directory.New(func(old, current *directory.Snapshot) { vm.planner.SetEndpoints(old, current) })
 		vm.planner = New(Config{
 			Zone: "a", Directory: vm.dir, Routes: func() *routes.Config { return r.config }, RoleChanges: func() []string { return nil },
 			Tuning: DefaultTuning(), Now: func() time.Time { return r.now }, Random: rand.New(rand.NewPCG(r.random.Uint64(), 2)),
@@ -232,9 +232,9 @@
 }
 
 // load schedules requests with random arrival times at the given rate, for the given duration.
-func (r *replay) load(perSecond float64, length time.Duration, draw func(n int) ([]prompt.Part, time.Duration)) {
+func (r *replay) load(perSecond float64, duration time.Duration, draw func(n int) ([]prompt.Part, time.Duration)) {
 	at := r.now
-	end := at.Add(length)
+	end := at.Add(duration)
 	for n := 0; ; n++ {
 		at = at.Add(time.Duration(r.random.ExpFloat64() / perSecond * float64(time.Second)))
 		if at.After(end) {
@@ -248,9 +248,9 @@
 
 // longPrompt returns a prompt of a heavy-tailed length behind a shared part.
 func (r *replay) longPrompt(n int) ([]prompt.Part, time.Duration) {
-	subject := r.random.IntN(60)
+	prefix := r.random.IntN(60)
 	suffix := int(min(40_000, 400+2200*math.Exp(0.9*r.random.NormFloat64())))
-	return []prompt.Part{{ID: fmt.Sprint("s", subject), Tokens: 6000 + subject*150}, {ID: fmt.Sprint("own", n), Tokens: suffix}}, 600 * time.Millisecond
+	return []prompt.Part{{ID: fmt.Sprint("s", prefix), Tokens: 6000 + prefix*150}, {ID: fmt.Sprint("own", n), Tokens: suffix}}, 600 * time.Millisecond
 }
 
 // shortPrompt returns a short prompt behind a small shared part.
@@ -258,8 +258,8 @@
 	return []prompt.Part{{ID: fmt.Sprint("q", n%20), Tokens: 300}, {ID: fmt.Sprint("own", n), Tokens: 500}}, 300 * time.Millisecond
 }
 
-func (r *replay) run(length time.Duration) {
-	end := r.now.Add(length)
+func (r *replay) run(duration time.Duration) {
+	end := r.now.Add(duration)
 	for len(r.events) > 0 && !r.events[0].at.After(end) {
 		e := heap.Pop(&r.events).(event)
 		r.now = e.at
--- a/placement/reuse.go
+++ b/placement/reuse.go
@@ -7,8 +7,8 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// minCopyTokens is the shortest prefix worth copying from another engine: a copy occupies both
-// links for some tenths of a millisecond, which is longer than the prefill of fewer tokens.
+// minCopyTokens is the smallest number of tokens worth copying from another engine: a copy occupies
+// both links for some tenths of a millisecond, which the prefill of fewer tokens does not justify.
 const minCopyTokens = 512
 
 // reuse describes the prefix of a prompt that an engine need not prefill.
--- a/placement/reuse_test.go
+++ b/placement/reuse_test.go
@@ -27,24 +27,24 @@
 
 // An engine copies a cached prefix from another engine instead of prefilling it again.
 func TestPrefixIsCopiedFromEngineThatHoldsIt(t *testing.T) {
-	all, subject := prompt.Part{ID: "all", Tokens: 2500}, prompt.Part{ID: "s", Tokens: 3500}
+	all, prefix := prompt.Part{ID: "all", Tokens: 2500}, prompt.Part{ID: "s", Tokens: 3500}
 	small := prompt.Part{ID: "small", Tokens: minCopyTokens - 1}
 	for _, tc := range []struct {
 		name    string
 		prepare func(f *fixture)
-		try     relay.Try
+		prior   relay.Try
 		want    string
 	}{
 		{"no engine caches it", func(*fixture) {}, relay.Try{}, ""},
-		{"a busy engine caches it", func(f *fixture) { f.reportCached("near", all, subject) }, relay.Try{}, "near"},
-		{"a decode engine caches it", func(f *fixture) { f.reportCached("d", all, subject) }, relay.Try{}, "d"},
-		{"engines of the local and another zone cache it", func(f *fixture) { f.reportCached("far", all, subject); f.reportCached("near", all, subject) }, relay.Try{}, "near"},
-		{"an engine of another zone caches more", func(f *fixture) { f.reportCached("far", all, subject); f.reportCached("near", all) }, relay.Try{}, "far"},
+		{"a busy engine caches it", func(f *fixture) { f.reportCached("near", all, prefix) }, relay.Try{}, "near"},
+		{"a decode engine caches it", func(f *fixture) { f.reportCached("d", all, prefix) }, relay.Try{}, "d"},
+		{"engines of the local and another zone cache it", func(f *fixture) { f.reportCached("far", all, prefix); f.reportCached("near", all, prefix) }, relay.Try{}, "near"},
+		{"an engine of another zone caches more", func(f *fixture) { f.reportCached("far", all, prefix); f.reportCached("near", all) }, relay.Try{}, "far"},
 		{"the prefilling engine caches nearly as much", func(f *fixture) {
-			f.reportCached("free", all, subject)
-			f.reportCached("near", all, subject, small)
+			f.reportCached("free", all, prefix)
+			f.reportCached("near", all, prefix, small)
 		}, relay.Try{}, ""},
-		{"the holder failed", func(f *fixture) { f.reportCached("near", all, subject) }, relay.Try{Number: 1, Tried: []string{"near"}}, ""},
+		{"the holder failed", func(f *fixture) { f.reportCached("near", all, prefix) }, relay.Try{Number: 1, Tried: []string{"near"}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T, f *fixture) {
@@ -59,8 +59,8 @@
 				tc.prepare(f) // before setBusy, so that these parts count as prefilled by now
 				f.setBusy("near")
 				r := f.longReq("s")
-				r.Prompt.Parts = []prompt.Part{all, subject, small, {ID: "own", Tokens: 3000 - small.Tokens}}
-				p := f.plan(r, tc.try)
+				r.Prompt.Parts = []prompt.Part{all, prefix, small, {ID: "own", Tokens: 3000 - small.Tokens}}
+				p := f.plan(r, tc.prior)
 				got := ""
 				if p.CopyFrom != nil {
 					got = p.CopyFrom.ID
--- a/placement/uplink_test.go
+++ b/placement/uplink_test.go
@@ -18,8 +18,8 @@
 	f.planner.SetTuning(tuning)
 }
 
-func (f *fixture) largeReq(subject string) *relay.Request {
-	r := f.longReq(subject)
+func (f *fixture) largeReq(prefix string) *relay.Request {
+	r := f.longReq(prefix)
 	r.Body = make([]byte, 18_000)
 	return r
 }
