--- a/placement/backup.go
+++ b/placement/backup.go
@@ -46,7 +46,7 @@
 // leastLoaded samples the engines and returns the one with the fewest running requests, or nil if
 // none has enough free cache memory for the tokens.
 func (d *decision) leastLoaded(engines []*directory.Endpoint, tokens int) *directory.Endpoint {
-	freeTokens := int(d.p.tuning.MaxKVFraction*float64(d.service.Engine.KVTokens)) - tokens
+	freeTokens := int(d.p.tuning.MaxKV*float64(d.service.Engine.KVTokens)) - tokens
 	var best *directory.Endpoint
 	fewest := 0
 	for _, e := range d.sample(engines) {
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -52,7 +52,7 @@
 	retryAfter := d.retryAfter()
 	klog.InfoS("placement: refused, endpoints are rate-limited or backing off", "request", d.req.ID, "service", d.req.Service, "try", d.prior.Number,
 		"blocked", d.numBlocked, "freeInMS", d.unblockedAfter.Milliseconds(), "retryAfterMS", retryAfter.Milliseconds())
-	return &failure.Request{Code: failure.EndpointsLimited, Ran: failure.NotRun, RetryAfter: retryAfter, Message: message + ": they are rate-limited or requested a backoff"}
+	return &failure.Request{Code: failure.EndpointsLimited, Ran: failure.NotRun, RetryAfter: retryAfter, Message: message + ": they have named limits or asked for a backoff"}
 }
 
 // maxRetryAfter bounds the retry-after time of a refusal that is due to endpoint signals: another
--- a/placement/commit.go
+++ b/placement/commit.go
@@ -31,7 +31,7 @@
 		"uncached", best.uncached, "endpoint", best.serve.ID, "peers", len(d.p.loads.peers), "newsMS", d.p.loads.oldestReportAge(d.now).Milliseconds())
 	return &failure.Request{
 		Code: failure.DeadlineUnreachable, Ran: failure.NotRun, RetryAfter: d.retryAfterLate(predicted - limit),
-		Message: "the engines are too busy to respond in time",
+		Message: "the engines are too busy to answer in time",
 	}
 }
 
@@ -43,7 +43,7 @@
 
 // commit reserves the work of an option at its engines and returns the plan.
 func (d *decision) commit(o option, chunks []chunk, tokens int) (relay.Plan, *failure.Request) {
-	busy := noEndpoint("the engine has no permit left or awaits the result of a trial request", d.p.tuning.RetryAfter)
+	busy := noEndpoint("the engine is on trial", d.p.tuning.RetryAfter)
 	w := &attemptWatch{p: d.p, chunks: chunks, placedAt: d.now, predicted: o.firstEvent}
 	serveWork := work{running: 1, kvTokens: tokens}
 	if o.prefill == nil && !d.importsCache() {
--- a/placement/decoder.go
+++ b/placement/decoder.go
@@ -59,7 +59,7 @@
 	if inFlight.running >= max(1, e.Slots) {
 		wait += fullEngineWait
 	}
-	if spec.KVTokens > 0 && float64(inFlight.kvTokens+tokens) > d.p.tuning.MaxKVFraction*float64(spec.KVTokens) {
+	if spec.KVTokens > 0 && float64(inFlight.kvTokens+tokens) > d.p.tuning.MaxKV*float64(spec.KVTokens) {
 		wait += fullEngineWait
 	}
 	return wait
--- a/placement/direct.go
+++ b/placement/direct.go
@@ -12,7 +12,7 @@
 	for _, e := range d.sample(d.enginesWithRole(engine.Decode)) {
 		o := d.predictPrefill(e, chunks, tokens)
 		inFlight := d.p.loads.inFlight(d.p.loads.get(e))
-		if !d.prior.Whole && inFlight.prefill.tokens+o.uncached > d.p.tuning.MaxDirectPrefill {
+		if !d.prior.Whole && inFlight.prefill.tokens+o.uncached > d.p.tuning.DirectTokens {
 			continue
 		}
 		wait := d.decodeWait(e, inFlight, tokens)
--- a/placement/engineplan.go
+++ b/placement/engineplan.go
@@ -45,7 +45,7 @@
 		best = earlier(d.bestDirect(chunks, tokens), d.bestPair(chunks, tokens))
 	}
 	if best.serve == nil {
-		return relay.Plan{}, d.unavailable("no decode engine accepts requests now")
+		return relay.Plan{}, d.unavailable("no engine that decodes takes work now")
 	}
 	if late := d.refuseIfLate(best); late != nil {
 		return relay.Plan{}, late
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -188,7 +188,7 @@
 func (d *decision) plan(excluded []string) (relay.Plan, *failure.Request) {
 	d.endpoints = d.usable(excluded)
 	if len(d.endpoints) == 0 {
-		return relay.Plan{}, d.unavailable("no endpoint of the service accepts requests now")
+		return relay.Plan{}, d.unavailable("no endpoint of the service takes work now")
 	}
 	if d.service == nil || d.service.Engine == nil {
 		return d.planService()
@@ -247,11 +247,11 @@
 func (d *decision) roundTripTo(e *directory.Endpoint) time.Duration {
 	switch {
 	case e.Zone == d.p.zone:
-		return d.p.tuning.SameZoneRoundTrip
+		return d.p.tuning.NearTrip
 	case d.p.zones.unreachable(d.now, e.Zone):
 		return unreachableRoundTrip
 	}
-	return d.p.tuning.CrossZoneRoundTrip
+	return d.p.tuning.FarTrip
 }
 
 // unreachableRoundTrip is the assumed round trip time to a zone that is considered unreachable.
@@ -272,7 +272,7 @@
 	}
 	reserved, ok := d.reserve(best, work{running: 1})
 	if !ok {
-		return relay.Plan{}, noEndpoint("the endpoint has no permit left or awaits the result of a trial request", d.p.tuning.RetryAfter)
+		return relay.Plan{}, noEndpoint("the endpoint is on trial", d.p.tuning.RetryAfter)
 	}
 	klog.InfoS("placement: placed", "request", d.req.ID, "try", d.prior.Number, "endpoint", best.ID, "version", best.Version.String(), "zone", best.Zone,
 		"costMS", lowest.Milliseconds(), "running", reserved.load.local.running, "choices", len(d.endpoints), "tried", d.prior.Tried)
--- a/placement/tuning.go
+++ b/placement/tuning.go
@@ -6,16 +6,16 @@
 	"github.com/springweir/springweir/health"
 )
 
-// Tuning holds the parameters of placement decisions.
+// Tuning holds the parameters of placement decisions. The gateway logs it with its field names.
 type Tuning struct {
-	// SameZoneRoundTrip and CrossZoneRoundTrip are the assumed network round trip times to an
-	// endpoint of the local availability zone and of another one.
-	SameZoneRoundTrip, CrossZoneRoundTrip time.Duration
+	// NearTrip and FarTrip are the assumed network round trip times to an endpoint of the local
+	// availability zone and of another one.
+	NearTrip, FarTrip time.Duration
 	// LinkBitsPerSecond is the bandwidth of the VM's uplink; zero means unlimited.
 	LinkBitsPerSecond float64
 	// ServiceTime is the assumed duration of a request at a plain service.
 	ServiceTime time.Duration
-	// RetryAfter is the retry-after time of refusals with a transient cause.
+	// RetryAfter is the time after which a refused caller should retry if the cause is transient.
 	RetryAfter time.Duration
 	// ObjectiveFraction is the fraction of a route's objective within which the first event must be
 	// predicted for a request to be accepted.
@@ -23,13 +23,13 @@
 	// Overhead is added to predictions for what they do not model: the network path to the caller
 	// and process scheduling.
 	Overhead time.Duration
-	// MaxDirectPrefill is the most prefill, in tokens, that may be open at a decode engine
-	// including a prompt that it is given to prefill. Prefill slows all streams of the engine.
-	MaxDirectPrefill int
+	// DirectTokens is the most prefill, in tokens, that may be open at a decode engine including a
+	// prompt that it is given to prefill. Prefill slows all streams of the engine.
+	DirectTokens int
 	// Choices is the largest number of engines compared for one request.
 	Choices int
-	// MaxKVFraction is the fraction of an engine's cache memory that running requests may use.
-	MaxKVFraction float64
+	// MaxKV is the fraction of an engine's cache memory that running requests may use.
+	MaxKV float64
 	// Health holds the thresholds for ejecting endpoints.
 	Health health.Config
 }
@@ -45,15 +45,15 @@
 	h.MaxEjection = 8 * time.Second
 	h.TrialTimeout = 3 * time.Second
 	return Tuning{
-		SameZoneRoundTrip:  time.Millisecond,
-		CrossZoneRoundTrip: 4 * time.Millisecond,
-		ServiceTime:        30 * time.Millisecond,
-		RetryAfter:         100 * time.Millisecond,
-		ObjectiveFraction:  0.9,
-		Overhead:           15 * time.Millisecond,
-		MaxDirectPrefill:   1500,
-		Choices:            3,
-		MaxKVFraction:      0.8,
-		Health:             h,
+		NearTrip:          time.Millisecond,
+		FarTrip:           4 * time.Millisecond,
+		ServiceTime:       30 * time.Millisecond,
+		RetryAfter:        100 * time.Millisecond,
+		ObjectiveFraction: 0.9,
+		Overhead:          15 * time.Millisecond,
+		DirectTokens:      1500,
+		Choices:           3,
+		MaxKV:             0.8,
+		Health:            h,
 	}
 }
