--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -47,7 +47,7 @@
 // unavailable returns the refusal of a request for which no endpoint is usable.
 func (d *decision) unavailable(message string) *failure.Request {
 	if d.numBlocked == 0 {
-		return noEndpoint(message, d.p.tuning.RetryAfter)
+		return noEndpoint(message, d.p.tuning.ComeBack)
 	}
 	retryAfter := d.retryAfter()
 	klog.InfoS("placement: refused, endpoints are rate-limited or backing off", "request", d.req.ID, "service", d.req.Service, "try", d.prior.Number,
@@ -62,7 +62,7 @@
 // retryAfter returns when a caller should retry: after the first endpoint is unblocked, with jitter
 // so that callers do not return at the same time.
 func (d *decision) retryAfter() time.Duration {
-	earliest := max(d.p.tuning.RetryAfter, min(d.unblockedAfter, maxRetryAfter))
+	earliest := max(d.p.tuning.ComeBack, min(d.unblockedAfter, maxRetryAfter))
 	return earliest + time.Duration(d.p.random.Int64N(int64(earliest)))
 }
 
--- a/placement/commit.go
+++ b/placement/commit.go
@@ -22,7 +22,7 @@
 	predicted := d.now.Sub(d.req.Received) + best.firstEvent + d.p.tuning.Overhead
 	limit := d.latencyBudget()
 	if predicted-best.queueing > limit {
-		limit = time.Duration(d.p.tuning.ObjectiveFraction * float64(d.req.Left(d.req.Received)))
+		limit = time.Duration(d.p.tuning.InTime * float64(d.req.Left(d.req.Received)))
 	}
 	if predicted <= limit || limit == 0 {
 		return nil
@@ -38,12 +38,12 @@
 // retryAfterLate returns when a caller should retry whose request was predicted late by excess:
 // after about that much work is done, with jitter so that callers do not return at the same time.
 func (d *decision) retryAfterLate(excess time.Duration) time.Duration {
-	return excess/2 + time.Duration(d.p.random.Int64N(int64(excess+d.p.tuning.RetryAfter)))
+	return excess/2 + time.Duration(d.p.random.Int64N(int64(excess+d.p.tuning.ComeBack)))
 }
 
 // commit reserves the work of an option at its engines and returns the plan.
 func (d *decision) commit(o option, chunks []chunk, tokens int) (relay.Plan, *failure.Request) {
-	busy := noEndpoint("the engine is on trial", d.p.tuning.RetryAfter)
+	busy := noEndpoint("the engine is on trial", d.p.tuning.ComeBack)
 	w := &attemptWatch{p: d.p, chunks: chunks, placedAt: d.now, predicted: o.firstEvent}
 	serveWork := work{running: 1, kvTokens: tokens}
 	if o.prefill == nil && !d.importsCache() {
--- a/placement/engineplan.go
+++ b/placement/engineplan.go
@@ -179,7 +179,7 @@
 
 // latencyBudget returns the time within which the first event must be predicted.
 func (d *decision) latencyBudget() time.Duration {
-	return time.Duration(d.p.tuning.ObjectiveFraction * float64(d.req.Route.Objective))
+	return time.Duration(d.p.tuning.InTime * float64(d.req.Route.Objective))
 }
 
 // engineLoad returns the tracked load of an engine, including its cache model.
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -272,7 +272,7 @@
 	}
 	reserved, ok := d.reserve(best, work{running: 1})
 	if !ok {
-		return relay.Plan{}, noEndpoint("the endpoint is on trial", d.p.tuning.RetryAfter)
+		return relay.Plan{}, noEndpoint("the endpoint is on trial", d.p.tuning.ComeBack)
 	}
 	klog.InfoS("placement: placed", "request", d.req.ID, "try", d.prior.Number, "endpoint", best.ID, "version", best.Version.String(), "zone", best.Zone,
 		"costMS", lowest.Milliseconds(), "running", reserved.load.local.running, "choices", len(d.endpoints), "tried", d.prior.Tried)
--- a/placement/tuning.go
+++ b/placement/tuning.go
@@ -15,11 +15,11 @@
 	LinkBitsPerSecond float64
 	// ServiceTime is the assumed duration of a request at a plain service.
 	ServiceTime time.Duration
-	// RetryAfter is the time after which a refused caller should retry if the cause is transient.
-	RetryAfter time.Duration
-	// ObjectiveFraction is the fraction of a route's objective within which the first event must be
+	// ComeBack is the time after which a refused caller should retry if the cause is transient.
+	ComeBack time.Duration
+	// InTime is the fraction of a route's objective within which the first event must be
 	// predicted for a request to be accepted.
-	ObjectiveFraction float64
+	InTime float64
 	// Overhead is added to predictions for what they do not model: the network path to the caller
 	// and process scheduling.
 	Overhead time.Duration
@@ -45,15 +45,15 @@
 	h.MaxEjection = 8 * time.Second
 	h.TrialTimeout = 3 * time.Second
 	return Tuning{
-		NearTrip:          time.Millisecond,
-		FarTrip:           4 * time.Millisecond,
-		ServiceTime:       30 * time.Millisecond,
-		RetryAfter:        100 * time.Millisecond,
-		ObjectiveFraction: 0.9,
-		Overhead:          15 * time.Millisecond,
-		DirectTokens:      1500,
-		Choices:           3,
-		MaxKV:             0.8,
-		Health:            h,
+		NearTrip:     time.Millisecond,
+		FarTrip:      4 * time.Millisecond,
+		ServiceTime:  30 * time.Millisecond,
+		ComeBack:     100 * time.Millisecond,
+		InTime:       0.9,
+		Overhead:     15 * time.Millisecond,
+		DirectTokens: 1500,
+		Choices:      3,
+		MaxKV:        0.8,
+		Health:       h,
 	}
 }
