--- a/placement/tuning.go
+++ b/placement/tuning.go
@@ -6,54 +6,54 @@
 	"github.com/springweir/springweir/health"
 )
 
-// Tuning holds the figures that decisions rest on.
+// Tuning holds the parameters of placement decisions. The gateway logs it with its field names.
 type Tuning struct {
-	// NearTrip and FarTrip are the times there and back to an endpoint of the own
-	// availability zone and of another.
+	// NearTrip and FarTrip are the assumed network round trip times to an endpoint of the local
+	// availability zone and of another one.
 	NearTrip, FarTrip time.Duration
-	// LinkBitsPerSecond is what the VM's own link carries; zero is no bound.
+	// LinkBitsPerSecond is the bandwidth of the VM's uplink; zero means unlimited.
 	LinkBitsPerSecond float64
-	// ServiceTime is how long a plain service works on a request, as assumed.
+	// ServiceTime is the assumed duration of a request at a plain service.
 	ServiceTime time.Duration
-	// RetryAfter is when to try again after a refusal that passes by itself.
-	RetryAfter time.Duration
-	// ObjectiveFraction is the part of a route's objective within which the first event must
-	// be predicted for a request to be taken.
-	ObjectiveFraction float64
-	// Overhead is added to a prediction for what it leaves out: the way to the
-	// caller and the turns of the processes.
+	// ComeBack is the time after which a refused caller should retry if the cause is transient.
+	ComeBack time.Duration
+	// InTime is the fraction of a route's objective within which the first event must be
+	// predicted for a request to be accepted.
+	InTime float64
+	// Overhead is added to predictions for what they do not model: the network path to the caller
+	// and process scheduling.
 	Overhead time.Duration
-	// DirectTokens is the most prefill that may be open at an engine that decodes
-	// when it is given a prompt to prefill itself: it slows all streams there.
+	// DirectTokens is the most prefill, in tokens, that may be open at a decode engine including a
+	// prompt that it is given to prefill. Prefill slows all streams of the engine.
 	DirectTokens int
-	// Choices is the number of engines looked at for one request.
+	// Choices is the largest number of engines compared for one request.
 	Choices int
-	// MaxKV is the part of an engine's cache memory that open requests may take.
+	// MaxKV is the fraction of an engine's cache memory that running requests may use.
 	MaxKV float64
-	// Health holds the thresholds for leaving endpoints out.
+	// Health holds the thresholds for ejecting endpoints.
 	Health health.Config
 }
 
-// DefaultTuning returns the defaults.
+// DefaultTuning returns the default parameters.
 func DefaultTuning() Tuning {
 	h := health.DefaultConfig()
-	// A VM sends an endpoint a few requests a second at most, so what its peers
-	// know comes too late to wait for five failures.
+	// One VM sends an endpoint a few requests a second at most, and the failures that its peers
+	// observe are not shared in time, so waiting for five failures would take too long.
 	h.ConsecutiveFailures = 3
 	h.ConsecutiveSilent = 2
 	h.BaseEjection = time.Second
 	h.MaxEjection = 8 * time.Second
 	h.TrialTimeout = 3 * time.Second
 	return Tuning{
-		NearTrip:          time.Millisecond,
-		FarTrip:           4 * time.Millisecond,
-		ServiceTime:       30 * time.Millisecond,
-		RetryAfter:        100 * time.Millisecond,
-		ObjectiveFraction: 0.9,
-		Overhead:          15 * time.Millisecond,
-		DirectTokens:      1500,
-		Choices:           3,
-		MaxKV:             0.8,
-		Health:            h,
+		NearTrip:     time.Millisecond,
+		FarTrip:      4 * time.Millisecond,
+		ServiceTime:  30 * time.Millisecond,
+		ComeBack:     100 * time.Millisecond,
+		InTime:       0.9,
+		Overhead:     15 * time.Millisecond,
+		DirectTokens: 1500,
+		Choices:      3,
+		MaxKV:        0.8,
+		Health:       h,
 	}
 }
