--- a/caller/config.go
+++ b/caller/config.go
@@ -89,7 +89,7 @@
 // Forwarder carries work to endpoints; *forward.Forwarder is one.
 type Forwarder interface {
 	Generate(ctx context.Context, w *forward.Work, sink forward.Sink) (forward.Summary, error)
-	Call(ctx context.Context, w *forward.Work) (*forward.Reply, error)
+	Call(ctx context.Context, w *forward.Work) (*forward.Response, error)
 }
 
 // Config is what a Handler works with. The interfaces are required, except
--- a/caller/fakecaller/fakecaller.go
+++ b/caller/fakecaller/fakecaller.go
@@ -92,7 +92,7 @@
 }
 
 // Call implements caller.Forwarder.
-func (f *Forwarder) Call(_ context.Context, w *forward.Work) (*forward.Reply, error) {
+func (f *Forwarder) Call(_ context.Context, w *forward.Work) (*forward.Response, error) {
 	f.Work = w
-	return &forward.Reply{Status: http.StatusOK}, nil
+	return &forward.Response{Status: http.StatusOK}, nil
 }
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -154,7 +154,7 @@
 	if hop == nil {
 		return nil
 	}
-	if !work.Hopped || hop.PromptTokens < 0 || hop.ResumeFrom < 0 || (hop.ResumeFrom == 0 && hop.Emitted != "") {
+	if !work.FromOtherZone || hop.PromptTokens < 0 || hop.ResumeFrom < 0 || (hop.ResumeFrom == 0 && hop.Emitted != "") {
 		return refused(failure.BadRequest, "the springweir field is for entries of other zones")
 	}
 	work.PromptTokens = hop.PromptTokens
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -56,14 +56,14 @@
 func (h *Handler) handle(k kind, serve func(*exchange) *failure.Request) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := clock.Now()
-		work := &forward.Work{ID: rand.Text(), Hopped: r.Header.Get(wire.HeaderHop) != ""}
+		work := &forward.Work{ID: rand.Text(), FromOtherZone: r.Header.Get(wire.HeaderHop) != ""}
 		w.Header().Set(wire.HeaderRequest, work.ID)
 		if attempt := r.Header.Get(wire.HeaderAttempt); attempt != "" {
 			w.Header().Set(wire.HeaderAttempt, attempt)
 		}
 		x := &exchange{w: w, r: r, work: work, kind: k, start: start}
 		failed := h.readHeaders(x)
-		if work.Hopped {
+		if work.FromOtherZone {
 			x.kind = kindHop
 		}
 		x.arrived()
@@ -145,7 +145,7 @@
 // bound applies the limits of what is called and returns them.
 func (h *Handler) bound(x *exchange, l Limits) Limits {
 	l = h.cfg.limits(l)
-	if x.work.Hopped {
+	if x.work.FromOtherZone {
 		l.MaxBody += hopRoom
 	}
 	x.work.Deadline = x.start.Add(l.timeLeft(x.asked, x.work.Priority))
--- a/caller/handler_test.go
+++ b/caller/handler_test.go
@@ -75,7 +75,7 @@
 
 func TestRetryAfterIsRoundedUp(t *testing.T) {
 	r := newRig()
-	r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: forward.New(forward.Config{Router: fakeforward.Router{}, Admitter: fakeforward.Open{}})})
+	r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: forward.New(forward.Config{Router: fakeforward.Router{}, Admitter: fakeforward.AdmitAll{}})})
 	w := r.send("POST", wire.PathChat, chatBody)
 	if got := w.Header().Get("Retry-After"); w.Code != 503 || got != "2" {
 		t.Errorf("got status %d, Retry-After %q; want 503 and 2 for 1.5 s", w.Code, got)
@@ -165,7 +165,7 @@
 
 func TestCallerGoneCancelsTheWork(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
-	f := forward.New(forward.Config{Admitter: fakeforward.Closed{Held: leave}})
+	f := forward.New(forward.Config{Admitter: fakeforward.BlockAll{OnAdmit: leave}})
 	server := httptest.NewServer(caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: f}))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+wire.PathChat, strings.NewReader(chatBody))
 	if err != nil {
--- a/caller/rig_test.go
+++ b/caller/rig_test.go
@@ -44,7 +44,7 @@
 		forward.Target{Name: "slots-1", Service: &transcript.Service{Endpoint: r.svc, Log: &r.log, Name: "slots-1"}},
 	)
 	claims := claim.NewStore(claim.Config{Table: &transcript.Table{Service: r.rows, Log: &r.log}, Owner: "vm-1"})
-	r.forward = forward.New(forward.Config{Router: fakeforward.Router{Targets: all}, Admitter: fakeforward.Open{}, Claims: claims, MaxAttempts: 2})
+	r.forward = forward.New(forward.Config{Router: fakeforward.Router{Targets: all}, Admitter: fakeforward.AdmitAll{}, Claims: claims, MaxAttempts: 2})
 	r.handler = r.log.Handler(caller.NewHandler(caller.Config{
 		Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: r.forward, Limits: caller.Limits{MaxBody: 1 << 10},
 	}))
--- a/caller/servicecall.go
+++ b/caller/servicecall.go
@@ -68,7 +68,7 @@
 	return to
 }
 
-func (x *exchange) reply(reply *forward.Reply) {
+func (x *exchange) reply(reply *forward.Response) {
 	header := x.w.Header()
 	for name, values := range passedOn(reply.Header) {
 		header[name] = values
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -75,7 +75,7 @@
 // send writes one piece. Between entries it carries its place in the answer.
 func (s *streamer) send(resp wire.Response, position, tokens int) error {
 	resp.Object = s.a.format.object(true)
-	if s.a.x.work.Hopped {
+	if s.a.x.work.FromOtherZone {
 		resp.Piece = &wire.Piece{
 			Attempt:  s.a.x.r.Header.Get(wire.HeaderAttempt),
 			Position: position,
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -19,10 +19,10 @@
 	digest  Digest
 }
 
-// Finish keeps the call's answer for repeats. It waits at most cfg.AnswerWait
+// Finish keeps the call's answer for repeats. It waits at most cfg.FinishTimeout
 // for the platform; after that the answer is kept in the background, and until
 // it is, repeats are told that the call is in progress or unknown.
-func (c *Claim) Finish(ctx context.Context, answer Answer) {
+func (c *Claim) Finish(ctx context.Context, answer Response) {
 	s := c.store
 	rec := c.record(done)
 	c.conclude(ctx, func(ctx context.Context) error {
@@ -34,8 +34,8 @@
 	})
 }
 
-// FinishLost records that the call ran but that its answer is not kept.
-func (c *Claim) FinishLost(ctx context.Context) {
+// FinishWithoutResponse records that the call ran but that its answer is not kept.
+func (c *Claim) FinishWithoutResponse(ctx context.Context) {
 	rec := c.record(done)
 	c.conclude(ctx, func(ctx context.Context) error {
 		_, err := c.store.settle(ctx, c.key.row(), c.version, rec)
@@ -57,7 +57,7 @@
 // The write's record is made once, so that a repeat of it is the same write.
 // It goes on when the caller is gone, since the claim outlives the request.
 func (c *Claim) conclude(ctx context.Context, write func(ctx context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.store.cfg.AnswerWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.store.cfg.FinishTimeout)
 	defer cancel()
 	if err := write(ctx); unreachable(err) {
 		c.store.later(write)
@@ -72,10 +72,10 @@
 
 // keep puts the answer into rec, or into the object store when it is large.
 // One over the bounds is not kept; the record then only says done.
-func (s *Store) keep(ctx context.Context, rec *record, answer Answer) error {
+func (s *Store) keep(ctx context.Context, rec *record, answer Response) error {
 	encoded := answer.encode()
 	if len(encoded) <= s.cfg.MaxInline {
-		rec.Answer = &answer
+		rec.Response = &answer
 		return nil
 	}
 	if s.cfg.Objects == nil || len(encoded) > s.cfg.MaxObject {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -19,13 +19,13 @@
 )
 
 var (
-	testKey    = Key{Organisation: "kliko", Service: "slots", Idempotency: "k/1"}
+	testKey    = Key{Organisation: "kliko", Service: "slots", IdempotencyKey: "k/1"}
 	testDigest = DigestOf("POST", "/confirm", []byte("slot 7"))
-	testAnswer = Answer{Status: 201, Body: []byte("confirmed")}
+	testAnswer = Response{Status: 201, Body: []byte("confirmed")}
 )
 
 // begin claims the test key with a deadline of ten seconds.
-func begin(t *testing.T, s *Store, d Digest) (*Claim, *Answer, *failure.Request) {
+func begin(t *testing.T, s *Store, d Digest) (*Claim, *Response, *failure.Request) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -49,7 +49,7 @@
 	Retry   bool
 }
 
-func outcomeOf(c *Claim, a *Answer, f *failure.Request) outcome {
+func outcomeOf(c *Claim, a *Response, f *failure.Request) outcome {
 	o := outcome{Claimed: c != nil}
 	if a != nil {
 		o.Body = string(a.Body)
@@ -61,7 +61,7 @@
 }
 
 func TestRepeatOfACall(t *testing.T) {
-	large := Answer{Status: 200, Body: []byte(strings.Repeat("x", DefaultMaxInline+1))}
+	large := Response{Status: 200, Body: []byte(strings.Repeat("x", DefaultMaxInline+1))}
 	other := DigestOf("POST", "/confirm", []byte("slot 8"))
 	tests := []struct {
 		name string
@@ -74,7 +74,7 @@
 			outcome{Body: "confirmed"}},
 		{"finished with a large answer", func(t *testing.T, _ *Store, c *Claim) { c.Finish(t.Context(), large) }, testDigest,
 			outcome{Body: string(large.Body)}},
-		{"finished, answer not kept", func(t *testing.T, _ *Store, c *Claim) { c.FinishLost(t.Context()) }, testDigest,
+		{"finished, answer not kept", func(t *testing.T, _ *Store, c *Claim) { c.FinishWithoutResponse(t.Context()) }, testDigest,
 			outcome{Reason: failure.ClaimUnknown, Ran: failure.Done}},
 		{"released", func(t *testing.T, _ *Store, c *Claim) { c.Release(t.Context()) }, testDigest,
 			outcome{Claimed: true}},
@@ -186,7 +186,7 @@
 		rows.SetDown(true)
 		start := time.Now()
 		c.Finish(t.Context(), testAnswer)
-		if d := time.Since(start); d > DefaultAnswerWait {
+		if d := time.Since(start); d > DefaultFinishTimeout {
 			t.Errorf("the caller's answer waited %v for the table", d)
 		}
 		time.Sleep(time.Minute)
@@ -236,17 +236,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
 		s := NewStore(Config{Table: rows})
-		perhaps, _, _ := s.Begin(t.Context(), Key{Idempotency: "perhaps"}, testDigest)
+		perhaps, _, _ := s.Begin(t.Context(), Key{IdempotencyKey: "perhaps"}, testDigest)
 		const old = 300
 		for i := range old {
-			c, _, err := s.Begin(t.Context(), Key{Idempotency: fmt.Sprint("old-", i)}, testDigest)
+			c, _, err := s.Begin(t.Context(), Key{IdempotencyKey: fmt.Sprint("old-", i)}, testDigest)
 			if err != nil || perhaps == nil {
 				t.Fatal(err)
 			}
 			c.Finish(t.Context(), testAnswer)
 		}
 		time.Sleep(DefaultRetention + time.Second)
-		young, _, _ := s.Begin(t.Context(), Key{Idempotency: "young"}, testDigest)
+		young, _, _ := s.Begin(t.Context(), Key{IdempotencyKey: "young"}, testDigest)
 		young.Finish(t.Context(), testAnswer)
 		before := rows.Counts()
 		deleted, err := NewCleaner(s).Sweep(t.Context())
@@ -257,7 +257,7 @@
 		if n := after.Scans + after.Commits - before.Scans - before.Commits; n != 4 {
 			t.Errorf("the sweep made %d calls, want a scan and three transactions", n)
 		}
-		time.Sleep(DefaultPerhaps)
+		time.Sleep(DefaultUnknownRetention)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		NewCleaner(s).Run(ctx, time.Second, func() bool { return true })
--- a/claim/clean.go
+++ b/claim/clean.go
@@ -29,7 +29,7 @@
 // use.
 //
 // Invariant: a row that says perhaps run outlives every process that could
-// still dispatch its call, so it is kept for cfg.Perhaps, and never for less
+// still dispatch its call, so it is kept for cfg.UnknownRetention, and never for less
 // than an answer is. A process paused for longer than that between its claim and
 // its dispatch is the one case this does not cover.
 type Cleaner struct {
@@ -94,11 +94,11 @@
 
 func (c *Cleaner) keep(key table.Key, st state) time.Duration {
 	retention := c.store.cfg.Retention
-	if of := c.store.cfg.RetentionOf; of != nil {
+	if of := c.store.cfg.ServiceRetention; of != nil {
 		retention = cmp.Or(of(serviceOf(key)), retention)
 	}
 	if st == claimed {
-		return max(c.store.cfg.Perhaps, retention)
+		return max(c.store.cfg.UnknownRetention, retention)
 	}
 	return retention
 }
--- a/claim/cost_test.go
+++ b/claim/cost_test.go
@@ -64,7 +64,7 @@
 			var wg sync.WaitGroup
 			for i := range calls {
 				wg.Go(func() {
-					c, _, err := s.Begin(t.Context(), Key{Idempotency: fmt.Sprint(i)}, testDigest)
+					c, _, err := s.Begin(t.Context(), Key{IdempotencyKey: fmt.Sprint(i)}, testDigest)
 					if err != nil {
 						t.Error(err)
 						return
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -57,7 +57,7 @@
 	switch dice.Roll(20) {
 	case 0, 1, 2:
 		h.Run(vm, history.ClaimInput{Op: history.Finish, Value: value}, func() history.ClaimOutput {
-			c.Finish(context.Background(), Answer{Body: []byte(value)})
+			c.Finish(context.Background(), Response{Body: []byte(value)})
 			return history.ClaimOutput{}
 		})
 	case 3:
@@ -70,7 +70,7 @@
 	}
 }
 
-func output(c *Claim, answer *Answer, err error) history.ClaimOutput {
+func output(c *Claim, answer *Response, err error) history.ClaimOutput {
 	out := history.ClaimOutput{Claimed: c != nil}
 	if answer != nil {
 		out.Stored = string(answer.Body)
--- a/claim/record.go
+++ b/claim/record.go
@@ -30,12 +30,12 @@
 type Key struct {
 	Organisation string
 	Service      string
-	// Idempotency is the caller's Idempotency-Key.
-	Idempotency string
+	// IdempotencyKey is the caller's Idempotency-Key.
+	IdempotencyKey string
 }
 
 func (k Key) row() table.Key {
-	parts := []string{url.PathEscape(k.Organisation), url.PathEscape(k.Service), url.PathEscape(k.Idempotency)}
+	parts := []string{url.PathEscape(k.Organisation), url.PathEscape(k.Service), url.PathEscape(k.IdempotencyKey)}
 	return table.Key{Table: Table, Row: strings.Join(parts, "/")}
 }
 
@@ -63,8 +63,8 @@
 	return Digest(hex.EncodeToString(h.Sum(nil)))
 }
 
-// Answer is what a call's endpoint answered.
-type Answer struct {
+// Response is what a call's endpoint answered.
+type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
@@ -98,15 +98,15 @@
 	// only words the answer to a repeat (in progress or unknown) and never
 	// gives anyone the right to run the call.
 	Until int64 `json:"until,omitempty"`
-	// Answer is kept inline, or as the object named Object when it is large.
+	// Response is kept inline, or as the object named Object when it is large.
 	// With neither, a done call's answer was not kept.
-	Answer *Answer `json:"answer,omitempty"`
-	Object string  `json:"object,omitempty"`
+	Response *Response `json:"answer,omitempty"`
+	Object   string    `json:"object,omitempty"`
 }
 
 func (r record) encode() []byte { return encode(r) }
 
-func (a Answer) encode() []byte { return encode(a) }
+func (a Response) encode() []byte { return encode(a) }
 
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -104,11 +104,11 @@
 // Reason implements failure.Coded.
 func (e *cleanedError) Reason() failure.Reason { return failure.ClaimUnknown }
 
-// later runs a write in the background for at most cfg.Persist. When too many
+// later runs a write in the background for at most cfg.BackgroundTimeout. When too many
 // are under way it is dropped, which leaves the row saying perhaps run.
 func (s *Store) later(write func(ctx context.Context) error) {
 	started := s.background.TryGo(func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), s.cfg.Persist)
+		ctx, cancel := context.WithTimeout(context.Background(), s.cfg.BackgroundTimeout)
 		defer cancel()
 		for n := 1; ; n++ {
 			err := write(ctx)
--- a/claim/store.go
+++ b/claim/store.go
@@ -27,27 +27,27 @@
 	// MaxInline and MaxObject bound a kept answer, headers included, in bytes
 	// of JSON.
 	MaxInline, MaxObject int
-	// AnswerWait bounds how long a caller's answer waits to be kept. After
+	// FinishTimeout bounds how long a caller's answer waits to be kept. After
 	// that it is kept in the background.
-	AnswerWait time.Duration
-	// Persist bounds how long a write is tried in the background.
-	Persist time.Duration
-	// Retention is how long rows are kept; Perhaps how long a row that says
+	FinishTimeout time.Duration
+	// BackgroundTimeout bounds how long a write is tried in the background.
+	BackgroundTimeout time.Duration
+	// Retention is how long rows are kept; UnknownRetention how long a row that says
 	// perhaps run is. Both are far longer than any call.
-	Retention, Perhaps time.Duration
-	// RetentionOf, if set, tells how long the rows of a service are kept; zero
+	Retention, UnknownRetention time.Duration
+	// ServiceRetention, if set, tells how long the rows of a service are kept; zero
 	// takes Retention.
-	RetentionOf func(service string) time.Duration
+	ServiceRetention func(service string) time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultMaxInline  = 8 << 10
-	DefaultMaxObject  = 1 << 20
-	DefaultAnswerWait = 250 * time.Millisecond
-	DefaultPersist    = 10 * time.Minute
-	DefaultRetention  = 24 * time.Hour
-	DefaultPerhaps    = 14 * 24 * time.Hour
+	DefaultMaxInline         = 8 << 10
+	DefaultMaxObject         = 1 << 20
+	DefaultFinishTimeout     = 250 * time.Millisecond
+	DefaultBackgroundTimeout = 10 * time.Minute
+	DefaultRetention         = 24 * time.Hour
+	DefaultUnknownRetention  = 14 * 24 * time.Hour
 )
 
 const (
@@ -77,10 +77,10 @@
 func NewStore(cfg Config) *Store {
 	setDefault(&cfg.MaxInline, DefaultMaxInline)
 	setDefault(&cfg.MaxObject, DefaultMaxObject)
-	setDefault(&cfg.AnswerWait, DefaultAnswerWait)
-	setDefault(&cfg.Persist, DefaultPersist)
+	setDefault(&cfg.FinishTimeout, DefaultFinishTimeout)
+	setDefault(&cfg.BackgroundTimeout, DefaultBackgroundTimeout)
 	setDefault(&cfg.Retention, DefaultRetention)
-	setDefault(&cfg.Perhaps, DefaultPerhaps)
+	setDefault(&cfg.UnknownRetention, DefaultUnknownRetention)
 	s := &Store{cfg: cfg}
 	s.background.SetLimit(maxBackground)
 	return s
@@ -106,7 +106,7 @@
 // Claim between two released rows. A Claim rests on a write that is
 // conditional on the row's absence or on the version of a released row, and
 // only the holder of the claim writes the row after that.
-func (s *Store) Begin(ctx context.Context, key Key, digest Digest) (*Claim, *Answer, error) {
+func (s *Store) Begin(ctx context.Context, key Key, digest Digest) (*Claim, *Response, error) {
 	rec := s.newRecord(ctx, digest)
 	at := table.Absent
 	for range maxTakeovers {
@@ -138,7 +138,7 @@
 }
 
 // repeat answers a repeat of a call from its row.
-func (s *Store) repeat(ctx context.Context, rec record, digest Digest) (*Answer, error) {
+func (s *Store) repeat(ctx context.Context, rec record, digest Digest) (*Response, error) {
 	if rec.Digest != digest {
 		return nil, keyReused()
 	}
@@ -152,10 +152,10 @@
 }
 
 // stored returns the answer that a done row keeps.
-func (s *Store) stored(ctx context.Context, rec record) (*Answer, error) {
+func (s *Store) stored(ctx context.Context, rec record) (*Response, error) {
 	metrics.GetOrCreateCounter(`springweir_claims_replayed_total`).Inc()
-	if rec.Answer != nil {
-		return rec.Answer, nil
+	if rec.Response != nil {
+		return rec.Response, nil
 	}
 	if rec.Object == "" || s.cfg.Objects == nil {
 		return nil, notKept(nil)
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, notKept(err)
 	}
-	var answer Answer
+	var answer Response
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return nil, notKept(err)
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -23,7 +23,7 @@
 // fields; it is given back in the opposite order.
 type acquisition struct {
 	endpoint string
-	hold     withhold.Hold
+	hold     withhold.Reservation
 	ticket   health.Ticket
 	released bool
 }
@@ -32,7 +32,7 @@
 // taken: withheld or leaving since the snapshot, or on trial for another request.
 func (a *attempt) acquire(e *fleet.Endpoint, share fleet.Work) (busy string, err error) {
 	hold, err := a.d.gate.TryAcquire(e.Name)
-	var withheld *withhold.RefusedError
+	var withheld *withhold.WithheldError
 	var leaves *withhold.LeavingError
 	switch {
 	case errors.As(err, &withheld), errors.As(err, &leaves):
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -94,7 +94,7 @@
 		Priority:      w.Priority,
 		Now:           now,
 		Tried:         a.Tried,
-		FromOtherZone: w.Hopped,
+		FromOtherZone: w.FromOtherZone,
 		NoTrial:       mayBeLost(w),
 		Prefilled:     a.Prefilled,
 	}
@@ -133,10 +133,10 @@
 		att.abandon()
 		return forward.Plan{}, busy, err
 	}
-	plan = forward.Plan{Serve: d.target(decision.Endpoint), Version: versionOn(decision.Endpoint, artifactOf(w, a)), Observer: att, Recheck: att.recheck}
+	plan = forward.Plan{Target: d.target(decision.Endpoint), Version: versionOn(decision.Endpoint, artifactOf(w, a)), Observer: att, Recheck: att.recheck}
 	if decision.PrefillEndpoint != nil {
 		target := d.target(decision.PrefillEndpoint)
-		plan.Prefill = &target
+		plan.PrefillTarget = &target
 		plan.PrefillObserver = prefillObserver{att}
 	}
 	return plan, "", nil
@@ -201,7 +201,7 @@
 	}
 	// Decisions see in the snapshot what is left of the room.
 	d.store.RecordSpill(decision.Zone, w.PromptTokens)
-	return forward.Plan{Serve: forward.Target{
+	return forward.Plan{Target: forward.Target{
 		Name: peer.name, Pool: "zone " + decision.Zone, Zone: decision.Zone, Peer: peer.target,
 	}}, nil
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -151,10 +151,10 @@
 
 func (e *Entry) claims() *claim.Store {
 	return claim.NewStore(claim.Config{
-		Table:       table.NewBatcher(e.platform.Rows, table.BatcherConfig{}),
-		Objects:     e.platform.Objects,
-		Owner:       e.process.VM,
-		RetentionOf: e.cat.retention,
+		Table:            table.NewBatcher(e.platform.Rows, table.BatcherConfig{}),
+		Objects:          e.platform.Objects,
+		Owner:            e.process.VM,
+		ServiceRetention: e.cat.retention,
 	})
 }
 
@@ -241,7 +241,7 @@
 }
 
 // follow takes over a roster. It is called by contact.Member under its lock.
-func (e *Entry) follow(r contact.Roster) { e.gate.Follow(r) }
+func (e *Entry) follow(r contact.Roster) { e.gate.ApplyRoster(r) }
 
 func (e *Entry) organisationLimit(name string) admission.OrganisationLimit {
 	org, _ := e.cat.organisation(name)
--- a/entry/upstreams.go
+++ b/entry/upstreams.go
@@ -161,14 +161,14 @@
 	d := &dispatcher{common: u.common, router: routing.New(cfg), health: u.health(old, set.Ejection)}
 	admitter := newAdmitter(d, tuning.Admission(set.Queues), u.limits)
 	return &upstream{from: set, dispatch: d, admitter: admitter, forwarder: forward.New(forward.Config{
-		Router:        d,
-		Admitter:      admitter,
-		Claims:        u.claims,
-		Budgets:       retry.NewBudgets(tuning.RetryLimits(set.Retry)),
-		Backoff:       tuning.Backoff(set.Retry),
-		MaxAttempts:   set.Retry.Attempts,
-		FirstFrame:    set.FirstToken,
-		BetweenFrames: set.BetweenTokens,
+		Router:            d,
+		Admitter:          admitter,
+		Claims:            u.claims,
+		Budgets:           retry.NewBudgets(tuning.RetryLimits(set.Retry)),
+		Backoff:           tuning.Backoff(set.Retry),
+		MaxAttempts:       set.Retry.Attempts,
+		FirstFrameTimeout: set.FirstToken,
+		MaxFrameGap:       set.BetweenTokens,
 	})}
 }
 
@@ -217,7 +217,7 @@
 }
 
 // Call implements caller.Forwarder.
-func (u *upstreams) Call(ctx context.Context, w *forward.Work) (*forward.Reply, error) {
+func (u *upstreams) Call(ctx context.Context, w *forward.Work) (*forward.Response, error) {
 	upstream := u.take(w)
 	if upstream == nil {
 		return nil, noUpstream(w)
--- a/entry/version_test.go
+++ b/entry/version_test.go
@@ -42,7 +42,7 @@
 		for range 20 {
 			plan, err := s.entry.upstreams.byName[poolUpstream("language")].dispatch.Route(t.Context(),
 				&forward.Work{Model: "chat"}, forward.Attempt{ID: "a", Emitted: 1, Version: "2"})
-			if err != nil || plan.Serve.Name != "engine-1" || plan.Version != "2" {
+			if err != nil || plan.Target.Name != "engine-1" || plan.Version != "2" {
 				t.Fatalf("plan %+v, error %v; want version 2 on engine-1", plan, err)
 			}
 			plan.Observer.Finished(forward.Result{Abandoned: true})
--- a/entry/zones_test.go
+++ b/entry/zones_test.go
@@ -41,10 +41,10 @@
 		plan, err := d.Route(s.tb.Context(), w, forward.Attempt{ID: "a"})
 		var refused *failure.Request
 		switch {
-		case err == nil && plan.Serve.Zone == "b":
+		case err == nil && plan.Target.Zone == "b":
 			n++
 		case !errors.As(err, &refused) || refused.Code != failure.NoEndpoint || refused.Ran != failure.NotRun:
-			s.tb.Errorf("got plan %+v and error %v, want zone b or no endpoint", plan.Serve, err)
+			s.tb.Errorf("got plan %+v and error %v, want zone b or no endpoint", plan.Target, err)
 		}
 	}
 	return n
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -28,7 +28,7 @@
 // run sends the request and passes the verified frames on. A nil result means
 // that the terminal frame arrived and the answer is whole.
 func (a *attempt) run(ctx context.Context, kv *engine.KVRef) *failure.Request {
-	ctx, watch := watchdog.New(ctx, a.g.f.cfg.FirstFrame)
+	ctx, watch := watchdog.New(ctx, a.g.f.cfg.FirstFrameTimeout)
 	defer watch.Stop()
 	stream, err := a.open(ctx, a.g.request(ctx, a.id, a.version, kv))
 	if err != nil {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return watchdog.Explain(ctx, streamFailure(err))
 		}
-		watch.Reset(a.g.f.cfg.BetweenFrames)
+		watch.Reset(a.g.f.cfg.MaxFrameGap)
 		if v, ok := stream.(versioned); ok {
 			a.version = v.Version()
 		}
--- a/forward/call.go
+++ b/forward/call.go
@@ -13,8 +13,8 @@
 	"github.com/springweir/springweir/service"
 )
 
-// Reply is the whole answer to a service call.
-type Reply struct {
+// Response is the whole answer to a service call.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -30,7 +30,7 @@
 // an endpoint; a non-repeatable one with an idempotency key, only after an
 // attempt that provably did not run; a non-repeatable one without a key,
 // never. A call that may not be repeated is claimed before each dispatch.
-func (f *Forwarder) Call(ctx context.Context, w *Work) (*Reply, error) {
+func (f *Forwarder) Call(ctx context.Context, w *Work) (*Response, error) {
 	ctx, cancel := w.context(ctx)
 	defer cancel()
 	release, err := f.cfg.Admitter.Admit(ctx, w)
@@ -58,7 +58,7 @@
 	held *claim.Claim
 }
 
-func (c *call) run(ctx context.Context) (*Reply, *failure.Request) {
+func (c *call) run(ctx context.Context) (*Response, *failure.Request) {
 	for {
 		plan, id, failed := c.tries.route(ctx, Attempt{})
 		if failed != nil {
@@ -74,7 +74,7 @@
 		if !c.mayRepeat(failed) {
 			return nil, c.tries.stop(ctx, failed)
 		}
-		if failed = c.tries.failed(ctx, plan.Serve.Pool, failed); failed != nil {
+		if failed = c.tries.failed(ctx, plan.Target.Pool, failed); failed != nil {
 			return nil, failed
 		}
 	}
@@ -90,8 +90,8 @@
 // dispatch makes one attempt, under a claim when the call may not be repeated.
 // An entry of another zone makes the claim itself, just before it dispatches,
 // so this process gives its own back first.
-func (c *call) dispatch(ctx context.Context, plan Plan, id string) (*Reply, *failure.Request) {
-	if plan.Serve.Peer != nil {
+func (c *call) dispatch(ctx context.Context, plan Plan, id string) (*Response, *failure.Request) {
+	if plan.Target.Peer != nil {
 		c.release(ctx)
 		return c.f.observed(ctx, c.w, plan, id)
 	}
@@ -119,7 +119,7 @@
 
 // claim takes the claim of a call that needs one. A call that ran before gives
 // its stored answer instead.
-func (c *call) claim(ctx context.Context) (*Reply, *failure.Request) {
+func (c *call) claim(ctx context.Context) (*Response, *failure.Request) {
 	w := c.w
 	if w.Repeatable || w.IdempotencyKey == "" || c.held != nil {
 		return nil, nil
@@ -127,7 +127,7 @@
 	if c.f.cfg.Claims == nil {
 		return nil, &failure.Request{Code: failure.ClaimUnavailable, Ran: failure.NotRun, Message: "this VM keeps no claims"}
 	}
-	key := claim.Key{Organisation: w.Organisation, Service: w.Service, Idempotency: w.IdempotencyKey}
+	key := claim.Key{Organisation: w.Organisation, Service: w.Service, IdempotencyKey: w.IdempotencyKey}
 	digest := claim.DigestOf(w.Call.Method, w.Call.Path, w.Call.Body)
 	held, stored, err := c.f.cfg.Claims.Begin(ctx, key, digest)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	c.held = held
 	if stored != nil {
-		return &Reply{Status: stored.Status, Header: stored.Header, Body: stored.Body, Replayed: true}, nil
+		return &Response{Status: stored.Status, Header: stored.Header, Body: stored.Body, Replayed: true}, nil
 	}
 	return nil, nil
 }
@@ -147,7 +147,7 @@
 // Invariant: the claim has one owner. It passes to the attempt's goroutine only
 // when gone is closed before the result was taken, and the result is handed
 // over on an unbuffered channel, so exactly one side concludes the claim.
-func (c *call) outlast(ctx context.Context, plan Plan, id string) (*Reply, *failure.Request) {
+func (c *call) outlast(ctx context.Context, plan Plan, id string) (*Response, *failure.Request) {
 	results, gone := make(chan callResult), make(chan struct{})
 	held := c.held
 	started := c.f.late.TryGo(func() error {
@@ -177,7 +177,7 @@
 }
 
 type callResult struct {
-	reply  *Reply
+	reply  *Response
 	failed *failure.Request
 }
 
@@ -203,22 +203,22 @@
 
 // conclude ends a claim by what is known of all attempts together. A call that
 // may have run leaves the claim as it is, so that no repeat ever runs.
-func conclude(ctx context.Context, held *claim.Claim, reply *Reply, failed *failure.Request) {
+func conclude(ctx context.Context, held *claim.Claim, reply *Response, failed *failure.Request) {
 	switch {
 	case held == nil:
 	case failed == nil:
-		held.Finish(ctx, claim.Answer{Status: reply.Status, Header: reply.Header, Body: reply.Body})
+		held.Finish(ctx, claim.Response{Status: reply.Status, Header: reply.Header, Body: reply.Body})
 	case failed.Ran == failure.NotRun:
 		held.Release(ctx)
 	case failed.Ran == failure.Done:
-		held.FinishLost(ctx)
+		held.FinishWithoutResponse(ctx)
 	}
 }
 
 // observed makes one attempt and tells the plan's observer how it went.
-func (f *Forwarder) observed(ctx context.Context, w *Work, plan Plan, id string) (*Reply, *failure.Request) {
+func (f *Forwarder) observed(ctx context.Context, w *Work, plan Plan, id string) (*Response, *failure.Request) {
 	start := clock.Now()
-	reply, failed := f.once(ctx, w, plan.Serve, id)
+	reply, failed := f.once(ctx, w, plan.Target, id)
 	if plan.Observer != nil {
 		plan.Observer.Finished(Result{
 			Err:       failed,
@@ -231,7 +231,7 @@
 }
 
 // saysItLeaves tells whether an answer or a refusal said that its endpoint leaves.
-func saysItLeaves(reply *Reply, failed *failure.Request) bool {
+func saysItLeaves(reply *Response, failed *failure.Request) bool {
 	if failed == nil {
 		return reply.leaving
 	}
@@ -240,7 +240,7 @@
 }
 
 // once sends the call a single time and reads the whole answer.
-func (f *Forwarder) once(ctx context.Context, w *Work, target Target, id string) (*Reply, *failure.Request) {
+func (f *Forwarder) once(ctx context.Context, w *Work, target Target, id string) (*Response, *failure.Request) {
 	if ctx.Err() != nil {
 		return nil, contextFailure(ctx)
 	}
@@ -258,7 +258,7 @@
 	if failed != nil {
 		return nil, failed
 	}
-	return &Reply{Status: answer.Status, Header: answer.Header, Body: body, leaving: answer.Leaving}, nil
+	return &Response{Status: answer.Status, Header: answer.Header, Body: body, leaving: answer.Leaving}, nil
 }
 
 func send(ctx context.Context, w *Work, target Target, call service.Call) (*service.Answer, error) {
@@ -270,11 +270,11 @@
 
 // readAnswer reads the whole body, so that a caller never gets half an answer.
 func (f *Forwarder) readAnswer(answer *service.Answer) ([]byte, *failure.Request) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, f.cfg.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, f.cfg.MaxResponseBytes+1))
 	if err != nil {
 		return nil, bodyFailure(err)
 	}
-	if int64(len(body)) > f.cfg.MaxAnswer {
+	if int64(len(body)) > f.cfg.MaxResponseBytes {
 		return nil, &failure.Request{Code: failure.EndpointFailed, Ran: failure.Done, Message: "the answer is over the size limit"}
 	}
 	return body, nil
--- a/forward/call_test.go
+++ b/forward/call_test.go
@@ -95,7 +95,7 @@
 				a, b, router := twoServices()
 				a.Script(scripted(tt.a))
 				claims := claim.NewStore(claim.Config{Table: memtable.New()})
-				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims})
+				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 				reply, err := f.Call(t.Context(), callWork("r1", tt.key, tt.repeatable))
 				got := result{Verdict: verdictOf(t, err), RanA: ran(a), RanB: ran(b), CallsA: len(a.Records()), CallsB: len(b.Records())}
 				if reply != nil {
@@ -117,7 +117,7 @@
 		a, _, router := twoServices()
 		a.Script(scripted(fakeservice.Behaviour{AnswerDelay: 25 * time.Second}))
 		claims := claim.NewStore(claim.Config{Table: memtable.New()})
-		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims})
+		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 		start := time.Now()
 		want := []verdict{{failure.DeadlinePassed, failure.Unknown}, {failure.ClaimInProgress, failure.Unknown}, {}}
 		for i, w := range want {
@@ -167,7 +167,7 @@
 				rows := memtable.New()
 				call := func(id string) verdict {
 					claims := claim.NewStore(claim.Config{Table: rows, Owner: id})
-					f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims})
+					f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 					_, err := f.Call(t.Context(), callWork(id, "k", false))
 					return verdictOf(t, err)
 				}
@@ -209,7 +209,7 @@
 				a, _, router := twoServices()
 				a.Script(scripted(fakeservice.Behaviour{AnswerDelay: tt.answers}))
 				claims := claim.NewStore(claim.Config{Table: memtable.New()})
-				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims})
+				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 				ctx, leave := context.WithCancel(t.Context())
 				defer leave()
 				if tt.leaves > 0 {
@@ -248,7 +248,7 @@
 	a, b, router := twoServices()
 	router.Targets[0].Service = crossed{a}
 	claims := claim.NewStore(claim.Config{Table: memtable.New()})
-	f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims})
+	f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 	reply, err := f.Call(t.Context(), callWork("r1", "k", false))
 	if diff := cmp.Diff(verdict{failure.AnswerMismatch, failure.Unknown}, verdictOf(t, err)); diff != "" {
 		t.Errorf("reply %v (-want +got):\n%s", reply, diff)
@@ -266,13 +266,13 @@
 }
 
 func (p *claimingPeer) Do(ctx context.Context, w *forward.Work, call service.Call) (*service.Answer, error) {
-	key := claim.Key{Organisation: w.Organisation, Service: w.Service, Idempotency: w.IdempotencyKey}
+	key := claim.Key{Organisation: w.Organisation, Service: w.Service, IdempotencyKey: w.IdempotencyKey}
 	held, _, err := p.claims.Begin(ctx, key, claim.DigestOf(call.Method, call.Path, call.Body))
 	if err != nil {
 		return nil, err
 	}
 	p.runs++
-	held.Finish(ctx, claim.Answer{Status: http.StatusOK, Body: []byte("ok")})
+	held.Finish(ctx, claim.Response{Status: http.StatusOK, Body: []byte("ok")})
 	return &service.Answer{Attempt: call.Attempt, Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("ok"))}, nil
 }
 
@@ -286,7 +286,7 @@
 		peer := &claimingPeer{claims: claim.NewStore(claim.Config{Table: rows, Owner: "there"})}
 		router.Targets[1] = forward.Target{Name: "entry-of-b", Pool: "s", Peer: peer}
 		claims := claim.NewStore(claim.Config{Table: rows, Owner: "here"})
-		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims})
+		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 		reply, err := f.Call(t.Context(), callWork("r1", "k", false))
 		if diff := cmp.Diff(verdict{}, verdictOf(t, err)); diff != "" || peer.runs != 1 {
 			t.Errorf("ran %d times there, reply %v (-want +got):\n%s", peer.runs, reply, diff)
--- a/forward/fakeforward/fakeforward.go
+++ b/forward/fakeforward/fakeforward.go
@@ -18,12 +18,12 @@
 // Router routes to the first target that suits the work and has not failed yet.
 type Router struct {
 	Targets []forward.Target
-	// Prefill, if set, is in every plan.
-	Prefill *forward.Target
+	// PrefillTarget, if set, is in every plan.
+	PrefillTarget *forward.Target
 	// Versions are the versions of the weights by target name.
 	Versions map[string]string
-	// Ledger, if set, gives each plan its observers.
-	Ledger *Ledger
+	// Observers, if set, gives each plan its observers.
+	Observers *ObserverCounter
 	// Recheck, if set, tells why a target may no longer be sent to after a wait; it is not routed to
 	// either then.
 	Recheck func(target string) *failure.Request
@@ -50,11 +50,11 @@
 }
 
 func (r Router) plan(t forward.Target, a forward.Attempt) forward.Plan {
-	plan := forward.Plan{Serve: t, Version: r.Versions[t.Name], Observer: r.Ledger.observer()}
+	plan := forward.Plan{Target: t, Version: r.Versions[t.Name], Observer: r.Observers.observer()}
 	plan.Recheck = func() *failure.Request { return r.recheck(t.Name) }
-	if r.Prefill != nil && !a.Prefilled {
-		plan.Prefill = r.Prefill
-		plan.PrefillObserver = r.Ledger.observer()
+	if r.PrefillTarget != nil && !a.Prefilled {
+		plan.PrefillTarget = r.PrefillTarget
+		plan.PrefillObserver = r.Observers.observer()
 	}
 	return plan
 }
@@ -62,27 +62,27 @@
 // suits tells whether a target can take the work. A hopped one stays in the zone.
 func suits(t forward.Target, w *forward.Work) bool {
 	if t.Peer != nil {
-		return !w.Hopped
+		return !w.FromOtherZone
 	}
 	return (t.Service != nil) == (w.Service != "")
 }
 
-// Open admits everything at once.
-type Open struct{}
+// AdmitAll admits everything at once.
+type AdmitAll struct{}
 
 // Admit implements forward.Admitter.
-func (Open) Admit(context.Context, *forward.Work) (func(), error) { return func() {}, nil }
+func (AdmitAll) Admit(context.Context, *forward.Work) (func(), error) { return func() {}, nil }
 
-// Closed admits nothing: it holds work until the work's context ends.
-type Closed struct {
-	// Held, if set, is called when work is held.
-	Held func()
+// BlockAll admits nothing: it holds work until the work's context ends.
+type BlockAll struct {
+	// OnAdmit, if set, is called when work is held.
+	OnAdmit func()
 }
 
 // Admit implements forward.Admitter.
-func (c Closed) Admit(ctx context.Context, _ *forward.Work) (func(), error) {
-	if c.Held != nil {
-		c.Held()
+func (c BlockAll) Admit(ctx context.Context, _ *forward.Work) (func(), error) {
+	if c.OnAdmit != nil {
+		c.OnAdmit()
 	}
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -91,17 +91,17 @@
 // Sink keeps the text that it got.
 type Sink struct {
 	Text strings.Builder
-	// Before, if set, is called with the number of each piece, counted from
+	// BeforeEmit, if set, is called with the number of each piece, counted from
 	// one. Its error is that of a caller who has left.
-	Before func(piece int) error
-	pieces int
+	BeforeEmit func(piece int) error
+	pieces     int
 }
 
 // Emit implements forward.Sink.
 func (s *Sink) Emit(d forward.Delta) error {
 	s.pieces++
-	if s.Before != nil {
-		if err := s.Before(s.pieces); err != nil {
+	if s.BeforeEmit != nil {
+		if err := s.BeforeEmit(s.pieces); err != nil {
 			return err
 		}
 	}
--- a/forward/fakeforward/frames.go
+++ b/forward/fakeforward/frames.go
@@ -7,19 +7,19 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// Frames is a forward.Generator that answers every attempt with the same
+// FixedFrames is a forward.Generator that answers every attempt with the same
 // frames, whatever was asked for, and then just ends the stream.
-type Frames []engine.Frame
+type FixedFrames []engine.Frame
 
 // Generate implements forward.Generator.
-func (f Frames) Generate(context.Context, engine.GenerateRequest) (engine.Stream, error) {
+func (f FixedFrames) Generate(context.Context, engine.GenerateRequest) (engine.Stream, error) {
 	return &stream{frames: f}, nil
 }
 
 // Cancel implements forward.Generator.
-func (Frames) Cancel(context.Context, string) error { return nil }
+func (FixedFrames) Cancel(context.Context, string) error { return nil }
 
-type stream struct{ frames Frames }
+type stream struct{ frames FixedFrames }
 
 // Next implements engine.Stream.
 func (s *stream) Next(context.Context) (engine.Frame, error) {
--- a/forward/fakeforward/ledger.go
+++ b/forward/fakeforward/ledger.go
@@ -7,24 +7,24 @@
 	"github.com/springweir/springweir/forward"
 )
 
-// Ledger counts the observers of plans: each must be told of its attempt's end
+// ObserverCounter counts the observers of plans: each must be told of its attempt's end
 // exactly once, or whatever was taken for the attempt is kept for ever.
-type Ledger struct {
+type ObserverCounter struct {
 	mu    sync.Mutex
 	given int
 	open  int
 	twice int
 }
 
-// Balance returns how many observers were given out, how many of them were not
+// Counts returns how many observers were given out, how many of them were not
 // told of the end, and how many were told again.
-func (l *Ledger) Balance() (given, open, twice int) {
+func (l *ObserverCounter) Counts() (given, open, twice int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.given, l.open, l.twice
 }
 
-func (l *Ledger) observer() forward.Observer {
+func (l *ObserverCounter) observer() forward.Observer {
 	if l == nil {
 		return nil
 	}
@@ -36,7 +36,7 @@
 }
 
 type observer struct {
-	ledger *Ledger
+	ledger *ObserverCounter
 	ended  bool
 }
 
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -23,23 +23,23 @@
 	Backoff retry.Backoff
 	// MaxAttempts bounds the attempts for one request.
 	MaxAttempts int
-	// FirstFrame is how long an engine may stay silent before its first frame;
-	// BetweenFrames how long after that. An attempt that stalls is given up
+	// FirstFrameTimeout is how long an engine may stay silent before its first frame;
+	// MaxFrameGap how long after that. An attempt that stalls is given up
 	// and may be resumed elsewhere.
-	FirstFrame, BetweenFrames time.Duration
+	FirstFrameTimeout, MaxFrameGap time.Duration
 	// PrefillTimeout bounds the prefill that goes before a KV import.
 	PrefillTimeout time.Duration
-	// MaxAnswer bounds a service's answer, in bytes.
-	MaxAnswer int64
+	// MaxResponseBytes bounds a service's answer, in bytes.
+	MaxResponseBytes int64
 }
 
 // Defaults of Config.
 const (
-	DefaultMaxAttempts    = 3
-	DefaultFirstFrame     = 30 * time.Second
-	DefaultBetweenFrames  = 10 * time.Second
-	DefaultPrefillTimeout = 30 * time.Second
-	DefaultMaxAnswer      = 8 << 20
+	DefaultMaxAttempts       = 3
+	DefaultFirstFrameTimeout = 30 * time.Second
+	DefaultMaxFrameGap       = 10 * time.Second
+	DefaultPrefillTimeout    = 30 * time.Second
+	DefaultMaxResponseBytes  = 8 << 20
 )
 
 const (
@@ -78,10 +78,10 @@
 		c.Backoff = retry.DefaultBackoff
 	}
 	setDefault(&c.MaxAttempts, DefaultMaxAttempts)
-	setDefault(&c.FirstFrame, DefaultFirstFrame)
-	setDefault(&c.BetweenFrames, DefaultBetweenFrames)
+	setDefault(&c.FirstFrameTimeout, DefaultFirstFrameTimeout)
+	setDefault(&c.MaxFrameGap, DefaultMaxFrameGap)
 	setDefault(&c.PrefillTimeout, DefaultPrefillTimeout)
-	setDefault(&c.MaxAnswer, DefaultMaxAnswer)
+	setDefault(&c.MaxResponseBytes, DefaultMaxResponseBytes)
 	return c
 }
 
--- a/forward/generate.go
+++ b/forward/generate.go
@@ -75,7 +75,7 @@
 		if g.tries.again(failed) {
 			continue
 		}
-		if failed = g.tries.failed(ctx, plan.Serve.Pool, failed); failed != nil {
+		if failed = g.tries.failed(ctx, plan.Target.Pool, failed); failed != nil {
 			return failed
 		}
 	}
@@ -93,7 +93,7 @@
 
 // serve makes one attempt and tells the plan's observer how it went.
 func (g *generation) serve(ctx context.Context, plan Plan, id string) *failure.Request {
-	a := &attempt{g: g, id: id, target: plan.Serve, observer: plan.Observer, start: clock.Now()}
+	a := &attempt{g: g, id: id, target: plan.Target, observer: plan.Observer, start: clock.Now()}
 	a.version = cmp.Or(g.version, plan.Version)
 	kv := g.prefill(ctx, plan, a)
 	if failed := g.tries.recheck(plan); failed != nil {
--- a/forward/generate_test.go
+++ b/forward/generate_test.go
@@ -80,12 +80,12 @@
 				if tt.set != nil {
 					tt.set(a, b)
 				}
-				router.Ledger = new(fakeforward.Ledger)
-				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}})
+				router.Observers = new(fakeforward.ObserverCounter)
+				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 				var sink fakeforward.Sink
 				_, err := f.Generate(t.Context(), testWork(), &sink)
 				f.Wait()
-				settled(t, router.Ledger)
+				settled(t, router.Observers)
 				if diff := cmp.Diff(tt.want, verdictOf(t, err)); diff != "" {
 					t.Errorf("verdict (-want +got):\n%s", diff)
 				}
@@ -110,7 +110,7 @@
 		a, b, router := twoEngines()
 		a.Script(always(fakeengine.Behaviour{Ending: fakeengine.Truncated, After: 5}))
 		router.Versions = map[string]string{"a": "v1", "b": "v2"}
-		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}})
+		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 		if _, err := f.Generate(t.Context(), testWork(), new(fakeforward.Sink)); err != nil {
 			t.Fatal(err)
 		}
@@ -143,8 +143,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			target := forward.Target{Name: "raw", Engine: append(fakeforward.Frames{first}, tt.rest...)}
-			f := forward.New(forward.Config{Router: fakeforward.Router{Targets: []forward.Target{target}}, Admitter: fakeforward.Open{}, MaxAttempts: 1})
+			target := forward.Target{Name: "raw", Engine: append(fakeforward.FixedFrames{first}, tt.rest...)}
+			f := forward.New(forward.Config{Router: fakeforward.Router{Targets: []forward.Target{target}}, Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
 			var sink fakeforward.Sink
 			_, err := f.Generate(t.Context(), testWork(), &sink)
 			if got := verdictOf(t, err); got.Reason != tt.want || (err != nil && got.Ran != failure.Unknown) {
@@ -175,15 +175,15 @@
 		// cancelled is set when the engine must be told.
 		cancelled bool
 	}{
-		{name: "deadline while queued", admitter: fakeforward.Closed{}, want: verdict{failure.DeadlinePassed, failure.NotRun}, after: 2 * time.Second},
-		{name: "deadline on a frozen engine", admitter: fakeforward.Open{}, set: func(a *fakeengine.Engine) { a.Freeze() },
+		{name: "deadline while queued", admitter: fakeforward.BlockAll{}, want: verdict{failure.DeadlinePassed, failure.NotRun}, after: 2 * time.Second},
+		{name: "deadline on a frozen engine", admitter: fakeforward.AdmitAll{}, set: func(a *fakeengine.Engine) { a.Freeze() },
 			want: verdict{failure.DeadlinePassed, failure.Unknown}, after: 2 * time.Second, cancelled: true},
-		{name: "deadline in a stream", admitter: fakeforward.Open{},
+		{name: "deadline in a stream", admitter: fakeforward.AdmitAll{},
 			set: func(a *fakeengine.Engine) {
 				a.Script(always(fakeengine.Behaviour{Ending: fakeengine.Silent, After: 3}))
 			},
 			want: verdict{failure.DeadlinePassed, failure.Unknown}, after: 2 * time.Second, cancelled: true},
-		{name: "caller gone", admitter: fakeforward.Open{}, sink: fakeforward.Sink{Before: leaveAtThird},
+		{name: "caller gone", admitter: fakeforward.AdmitAll{}, sink: fakeforward.Sink{BeforeEmit: leaveAtThird},
 			want: verdict{failure.CallerGone, failure.Unknown}, after: 90 * time.Millisecond, cancelled: true},
 	}
 	for _, tt := range tests {
@@ -237,7 +237,7 @@
 		down := always(fakeengine.Behaviour{Refuse: failure.EndpointRefused})
 		a.Script(down)
 		b.Script(down)
-		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}})
+		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 		for range requests {
 			go func() { _, _ = f.Generate(t.Context(), testWork(), new(fakeforward.Sink)) }()
 			time.Sleep(gap)
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -25,7 +25,7 @@
 		g.kv = nil
 		return kv
 	}
-	if plan.Prefill == nil {
+	if plan.PrefillTarget == nil {
 		return nil
 	}
 	if g.noImport || g.tokens > 0 {
@@ -35,7 +35,7 @@
 	start := clock.Now()
 	within, cancel := context.WithTimeout(ctx, g.prefillTime(ctx))
 	defer cancel()
-	kv, failed := g.export(within, plan.Prefill, a.id+"p", a.version)
+	kv, failed := g.export(within, plan.PrefillTarget, a.id+"p", a.version)
 	if plan.PrefillObserver != nil {
 		plan.PrefillObserver.Finished(Result{Err: failed, Abandoned: ctx.Err() != nil, Elapsed: clock.Since(start)})
 	}
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -22,9 +22,9 @@
 		targets = append(targets, forward.Target{Name: name, Engine: serve})
 	}
 	return fakeforward.Router{
-		Targets: targets,
-		Prefill: &forward.Target{Name: "a", Engine: prefill},
-		Ledger:  new(fakeforward.Ledger),
+		Targets:       targets,
+		PrefillTarget: &forward.Target{Name: "a", Engine: prefill},
+		Observers:     new(fakeforward.ObserverCounter),
 	}
 }
 
@@ -66,7 +66,7 @@
 					a.Freeze()
 				}
 				router := pair(a, b)
-				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}})
+				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 				var sink fakeforward.Sink
 				work := testWork()
 				work.Deadline = time.Now().Add(10 * time.Second)
@@ -74,7 +74,7 @@
 					t.Fatal(err)
 				}
 				f.Wait()
-				settled(t, router.Ledger)
+				settled(t, router.Observers)
 				if diff := cmp.Diff(enginemodel.AnswerText(testPrompt, 0, 12), sink.Text.String()); diff != "" {
 					t.Errorf("text (-want +got):\n%s", diff)
 				}
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _ := twoEngines()
 		b.SetUnreachable(true)
-		f := forward.New(forward.Config{Router: pair(a, b), Admitter: fakeforward.Open{}, MaxAttempts: 1})
+		f := forward.New(forward.Config{Router: pair(a, b), Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
 		_, err := f.Generate(t.Context(), testWork(), new(fakeforward.Sink))
 		if diff := cmp.Diff(verdict{failure.EndpointUnreachable, failure.Unknown}, verdictOf(t, err)); diff != "" {
 			t.Errorf("(-want +got):\n%s", diff)
--- a/forward/history_test.go
+++ b/forward/history_test.go
@@ -34,7 +34,7 @@
 	rows := memtable.New()
 	rows.SetHook(history.TableFaults(history.NewDice(seed, 1)))
 	endpoints := []*fakeservice.Endpoint{{}, {}}
-	router := fakeforward.Router{Ledger: new(fakeforward.Ledger)}
+	router := fakeforward.Router{Observers: new(fakeforward.ObserverCounter)}
 	for i, e := range endpoints {
 		e.Script(endpointFaults(history.NewDice(seed, uint64(i)+2)))
 		router.Targets = append(router.Targets, forward.Target{Name: fmt.Sprint(i), Service: g.endpoint(e)})
@@ -44,7 +44,7 @@
 		paused := &history.Pausing{Service: g.table(rows), Dice: history.NewDice(seed, vm+10)}
 		claims := claim.NewStore(claim.Config{Table: paused})
 		defer claims.Wait()
-		entries = append(entries, forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, Claims: claims}))
+		entries = append(entries, forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims}))
 	}
 	var mu sync.Mutex
 	var told []history.Told
@@ -64,7 +64,7 @@
 	wg.Wait()
 	time.Sleep(time.Minute) // what still runs has run then
 	broken := history.Check(told, runs(endpoints))
-	if _, open, twice := router.Ledger.Balance(); open+twice > 0 {
+	if _, open, twice := router.Observers.Counts(); open+twice > 0 {
 		broken = append(broken, fmt.Sprintf("%d observers not told of the end, %d twice", open, twice))
 	}
 	return broken
--- a/forward/recheck.go
+++ b/forward/recheck.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_plans_changed_total{reason=%q}`, failed.Code)).Inc()
-	klog.Infof("forward: request %s is not sent to %s as planned: %s", t.w.ID, plan.Serve.Name, failed.Code)
+	klog.Infof("forward: request %s is not sent to %s as planned: %s", t.w.ID, plan.Target.Name, failed.Code)
 	notMade(plan.Observer, failed)
 	t.withdrawn = failed
 	return failed
--- a/forward/recheck_test.go
+++ b/forward/recheck_test.go
@@ -45,18 +45,18 @@
 		prefills := fakeengine.New(fakeengine.Options{Incarnation: "p1"})
 		b, c, _ := twoEngines()
 		router := fakeforward.Router{
-			Targets: []forward.Target{{Name: "b", Pool: "p", Engine: b}, {Name: "c", Pool: "p", Engine: c}},
-			Prefill: &forward.Target{Name: "p", Engine: slow{prefills}},
-			Ledger:  new(fakeforward.Ledger),
-			Recheck: leavesAt("b", 2*time.Second),
+			Targets:       []forward.Target{{Name: "b", Pool: "p", Engine: b}, {Name: "c", Pool: "p", Engine: c}},
+			PrefillTarget: &forward.Target{Name: "p", Engine: slow{prefills}},
+			Observers:     new(fakeforward.ObserverCounter),
+			Recheck:       leavesAt("b", 2*time.Second),
 		}
-		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, MaxAttempts: 1})
+		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
 		var sink fakeforward.Sink
 		if _, err := f.Generate(t.Context(), testWork(), &sink); err != nil {
 			t.Fatal(err)
 		}
 		f.Wait()
-		settled(t, router.Ledger)
+		settled(t, router.Observers)
 		if diff := cmp.Diff(enginemodel.AnswerText(testPrompt, 0, 12), sink.Text.String()); diff != "" {
 			t.Errorf("text (-want +got):\n%s", diff)
 		}
@@ -78,12 +78,12 @@
 func TestEndpointLeavesWhileTheClaimIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, router := twoServices()
-		router.Ledger = new(fakeforward.Ledger)
+		router.Observers = new(fakeforward.ObserverCounter)
 		router.Recheck = leavesAt("a", time.Second)
 		table := memtable.New()
 		table.SetFault(memtable.Fault{Delay: 2 * time.Second})
 		f := forward.New(forward.Config{
-			Router: router, Admitter: fakeforward.Open{}, MaxAttempts: 1,
+			Router: router, Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1,
 			Claims: claim.NewStore(claim.Config{Table: table}),
 		})
 		reply, err := f.Call(t.Context(), callWork("r0", "k", false))
@@ -91,7 +91,7 @@
 			t.Fatal(reply, err)
 		}
 		f.Wait()
-		settled(t, router.Ledger)
+		settled(t, router.Observers)
 		if ran(a) != 0 || len(a.Records()) != 0 || ran(b) != 1 {
 			t.Errorf("the endpoint that left got %d calls, the other ran %d", len(a.Records()), ran(b))
 		}
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
 		endpoint := new(fakeservice.Endpoint)
-		router := fakeforward.Router{Ledger: new(fakeforward.Ledger)}
+		router := fakeforward.Router{Observers: new(fakeforward.ObserverCounter)}
 		for range 20 {
 			router.Targets = append(router.Targets, forward.Target{Name: string(rune('a' + len(router.Targets))), Pool: "s", Service: endpoint})
 		}
@@ -114,11 +114,11 @@
 			}
 			return &failure.Request{Code: failure.EndpointLeaving, Ran: failure.NotRun, RetryAfter: time.Second}
 		}
-		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}, MaxAttempts: 1})
+		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
 		_, err := f.Call(t.Context(), callWork("r0", "", true))
 		if diff := cmp.Diff(verdict{failure.EndpointLeaving, failure.NotRun}, verdictOf(t, err)); diff != "" || len(endpoint.Records()) != 0 {
 			t.Errorf("%d calls, (-want +got):\n%s", len(endpoint.Records()), diff)
 		}
-		settled(t, router.Ledger)
+		settled(t, router.Observers)
 	})
 }
--- a/forward/rig_test.go
+++ b/forward/rig_test.go
@@ -55,9 +55,9 @@
 }
 
 // settled fails the test unless each observer was told once of its attempt's end.
-func settled(t *testing.T, l *fakeforward.Ledger) {
+func settled(t *testing.T, l *fakeforward.ObserverCounter) {
 	t.Helper()
-	given, open, twice := l.Balance()
+	given, open, twice := l.Counts()
 	if given == 0 || open != 0 || twice != 0 {
 		t.Errorf("of %d observers %d were not told of the end, %d twice", given, open, twice)
 	}
--- a/forward/standin_test.go
+++ b/forward/standin_test.go
@@ -83,14 +83,14 @@
 			_, a := standIn(t, "a1")
 			server, b := standIn(t, "b1")
 			router := fakeforward.Router{
-				Targets: []forward.Target{{Name: "b", Engine: b}, {Name: "a", Engine: a}},
-				Prefill: &forward.Target{Name: "a", Engine: spoiling{a, tt.spoil}},
+				Targets:       []forward.Target{{Name: "b", Engine: b}, {Name: "a", Engine: a}},
+				PrefillTarget: &forward.Target{Name: "a", Engine: spoiling{a, tt.spoil}},
 			}
-			f := forward.New(forward.Config{Router: router, Admitter: fakeforward.Open{}})
+			f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 			work := testWork()
 			work.Deadline = time.Now().Add(time.Minute)
 			var sink fakeforward.Sink
-			sink.Before = func(piece int) error {
+			sink.BeforeEmit = func(piece int) error {
 				if tt.cut && piece == 3 {
 					server.CloseClientConnections()
 				}
--- a/forward/tries.go
+++ b/forward/tries.go
@@ -59,9 +59,9 @@
 		return Plan{}, "", t.routeFailure(ctx, err)
 	}
 	if t.n == 1 {
-		t.f.cfg.Budgets.Of(plan.Serve.Pool).First()
+		t.f.cfg.Budgets.Of(plan.Target.Pool).First()
 	}
-	t.tried = append(t.tried, plan.Serve.Name)
+	t.tried = append(t.tried, plan.Target.Name)
 	return plan, a.ID, nil
 }
 
--- a/forward/work.go
+++ b/forward/work.go
@@ -24,9 +24,9 @@
 	Priority      engine.Priority
 	// Deadline is when the answer must be whole; zero means none.
 	Deadline time.Time
-	// Hopped is set on a request that an entry of another zone has passed on.
+	// FromOtherZone is set on a request that an entry of another zone has passed on.
 	// It must be served in this zone.
-	Hopped bool
+	FromOtherZone bool
 
 	// ModelName is the model as the caller names it.
 	ModelName string
@@ -106,16 +106,16 @@
 
 // Plan is where one attempt goes.
 type Plan struct {
-	Serve Target
-	// Version is the version of the weights that Serve will be asked for. It
+	Target Target
+	// Version is the version of the weights that Target will be asked for. It
 	// may be empty only where a pool never has two versions of a model.
 	Version string
-	// Prefill, if set, computes the prompt's KV cache for Serve to import.
-	Prefill *Target
+	// PrefillTarget, if set, computes the prompt's KV cache for Target to import.
+	PrefillTarget *Target
 	// Observer is told how the attempt went, PrefillObserver how the prefill
 	// did; nil when nobody wants to know.
 	Observer, PrefillObserver Observer
-	// Recheck tells, after a wait, why Serve may no longer be sent to; nil when nothing can change.
+	// Recheck tells, after a wait, why Target may no longer be sent to; nil when nothing can change.
 	Recheck func() *failure.Request
 }
 
@@ -144,7 +144,7 @@
 }
 
 // Router chooses where an attempt goes. Implementations are safe for
-// concurrent use and honour Work.Hopped. Errors are *failure.Request with
+// concurrent use and honour Work.FromOtherZone. Errors are *failure.Request with
 // outcome NotRun.
 type Router interface {
 	Route(ctx context.Context, w *Work, a Attempt) (Plan, error)
--- a/peer/client.go
+++ b/peer/client.go
@@ -186,14 +186,14 @@
 }
 
 // Withhold implements withhold.Peers.
-func (c *Client) Withhold(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (withhold.Answer, error) {
+func (c *Client) Withhold(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (withhold.EntryState, error) {
 	req := &entrypb.WithholdRequest{Endpoint: endpoint, Epoch: epoch}
 	resp, err := call(ctx, vm, callTimeout, c.stub(vm.Address).Withhold, req)
 	return answerFrom(resp), err
 }
 
 // Restore implements withhold.Peers.
-func (c *Client) Restore(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (withhold.Answer, error) {
+func (c *Client) Restore(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (withhold.EntryState, error) {
 	req := &entrypb.WithholdRequest{Endpoint: endpoint, Epoch: epoch}
 	resp, err := call(ctx, vm, callTimeout, c.stub(vm.Address).Restore, req)
 	return answerFrom(resp), err
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -28,8 +28,8 @@
 	return u
 }
 
-func answerFrom(m *entrypb.WithholdResponse) withhold.Answer {
-	return withhold.Answer{
+func answerFrom(m *entrypb.WithholdResponse) withhold.EntryState {
+	return withhold.EntryState{
 		Instance: m.GetInstance(),
 		State:    withhold.State{Epoch: m.GetEpoch(), Withheld: m.GetWithheld(), Streams: int(m.GetStreams())},
 	}
--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -102,17 +102,17 @@
 }
 
 // Withhold implements withhold.Peers.
-func (z *Zone) Withhold(_ context.Context, vm contact.VM, endpoint string, epoch uint64) (a withhold.Answer, err error) {
+func (z *Zone) Withhold(_ context.Context, vm contact.VM, endpoint string, epoch uint64) (a withhold.EntryState, err error) {
 	err = z.call(vm.Name, func() {
-		a = withhold.Answer{Instance: z.Instance[vm.Name], State: z.Gates[vm.Name].Withhold(endpoint, epoch)}
+		a = withhold.EntryState{Instance: z.Instance[vm.Name], State: z.Gates[vm.Name].Withhold(endpoint, epoch)}
 	})
 	return a, err
 }
 
 // Restore implements withhold.Peers.
-func (z *Zone) Restore(_ context.Context, vm contact.VM, endpoint string, epoch uint64) (a withhold.Answer, err error) {
+func (z *Zone) Restore(_ context.Context, vm contact.VM, endpoint string, epoch uint64) (a withhold.EntryState, err error) {
 	err = z.call(vm.Name, func() {
-		a = withhold.Answer{Instance: z.Instance[vm.Name], State: z.Gates[vm.Name].Restore(endpoint, epoch)}
+		a = withhold.EntryState{Instance: z.Instance[vm.Name], State: z.Gates[vm.Name].Restore(endpoint, epoch)}
 	})
 	return a, err
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -36,7 +36,7 @@
 		name := fmt.Sprintf("vm-%03d", i)
 		p := &part{set: leaving.NewSet(), book: share.NewBook(name)}
 		p.gate = withhold.NewGate(p.set)
-		p.member = contact.NewMember("z", name, p.gate.Follow)
+		p.member = contact.NewMember("z", name, p.gate.ApplyRoster)
 		p.gate.SetPermit(p.member)
 		s := NewServer(Parts{
 			Instance: uint64(i + 1), Member: p.member, Gate: p.gate, Book: p.book, Leaving: p.set,
--- a/rollout/fakefleet/fakefleet.go
+++ b/rollout/fakefleet/fakefleet.go
@@ -106,7 +106,7 @@
 	if old := f.Nodes[name]; old != nil {
 		n.Table.cut.Store(old.Table.cut.Load())
 	}
-	n.Member = contact.NewMember(zone, name, n.Gate.Follow)
+	n.Member = contact.NewMember(zone, name, n.Gate.ApplyRoster)
 	n.Gate.SetPermit(n.Member)
 	instance := f.ids.Add(1)
 	n.Applier = rollout.NewApplier(func(d rollout.Document) error {
--- a/withhold/churn_test.go
+++ b/withhold/churn_test.go
@@ -28,7 +28,7 @@
 }
 
 type stream struct {
-	hold withhold.Hold
+	hold withhold.Reservation
 	ends time.Time
 }
 
--- a/withhold/controller.go
+++ b/withhold/controller.go
@@ -25,8 +25,8 @@
 	conflictPause = 50 * time.Millisecond
 )
 
-// Answer is what an entry says about an endpoint.
-type Answer struct {
+// EntryState is what an entry says about an endpoint.
+type EntryState struct {
 	// Instance is unique for each start of the entry's process.
 	Instance uint64
 	State
@@ -36,9 +36,9 @@
 // themselves and bound its time.
 type Peers interface {
 	// Withhold stops new work to the endpoint.
-	Withhold(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (Answer, error)
+	Withhold(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (EntryState, error)
 	// Restore allows new work to the endpoint.
-	Restore(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (Answer, error)
+	Restore(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (EntryState, error)
 }
 
 // Endpoints asks an endpoint itself how many streams are open there. A kind of
@@ -130,7 +130,7 @@
 	n, err := c.endpoints.Streams(ctx, endpoint)
 	switch {
 	case err != nil:
-		return &WaitingError{Endpoint: endpoint, Silent: true}
+		return &WaitingError{Endpoint: endpoint, Unresponsive: true}
 	case n > 0:
 		return &WaitingError{Endpoint: endpoint, Streams: n}
 	default:
--- a/withhold/controller_test.go
+++ b/withhold/controller_test.go
@@ -22,7 +22,7 @@
 	rows *memtable.Table
 	zone *fakepeer.Zone
 	c    *withhold.Controller
-	hold withhold.Hold
+	hold withhold.Reservation
 }
 
 // always is a permit.
@@ -103,7 +103,7 @@
 			func(b *bench) { b.zone.Open["e"] = 1 }, withhold.WaitingError{Endpoint: "e", Streams: 1},
 			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.Open["e"] = 0 }) }},
 		{"for an endpoint that does not answer",
-			func(b *bench) { b.zone.EndpointSilent = true }, withhold.WaitingError{Endpoint: "e", Silent: true},
+			func(b *bench) { b.zone.EndpointSilent = true }, withhold.WaitingError{Endpoint: "e", Unresponsive: true},
 			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.EndpointSilent = false }) }},
 	}
 	for _, tt := range tests {
@@ -179,7 +179,7 @@
 			t.Fatal(err)
 		}
 		for name, g := range b.zone.Gates {
-			g.Follow(b.roster(t))
+			g.ApplyRoster(b.roster(t))
 			if g.Withheld("e") || !g.Withheld("wanted") {
 				t.Errorf("%s: e withheld %v, wanted withheld %v", name, g.Withheld("e"), g.Withheld("wanted"))
 			}
--- a/withhold/errors.go
+++ b/withhold/errors.go
@@ -7,14 +7,14 @@
 	"github.com/springweir/springweir/leaving"
 )
 
-// RefusedError is new work refused because the endpoint is withheld.
-type RefusedError struct{ Endpoint string }
+// WithheldError is new work refused because the endpoint is withheld.
+type WithheldError struct{ Endpoint string }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return fmt.Sprintf("endpoint %s is withheld", e.Endpoint) }
+func (e *WithheldError) Error() string { return fmt.Sprintf("endpoint %s is withheld", e.Endpoint) }
 
 // Reason implements failure.Coded.
-func (e *RefusedError) Reason() failure.Reason { return failure.EndpointWithheld }
+func (e *WithheldError) Reason() failure.Reason { return failure.EndpointWithheld }
 
 // LeavingError is new work refused because the endpoint is about to stop.
 type LeavingError struct {
@@ -38,13 +38,13 @@
 	VMs []string
 	// Streams is what the endpoint itself says is still running there.
 	Streams int
-	// Silent is set when the endpoint itself does not answer.
-	Silent bool
+	// Unresponsive is set when the endpoint itself does not answer.
+	Unresponsive bool
 }
 
 // Error implements error.
 func (e *WaitingError) Error() string {
-	if e.Silent {
+	if e.Unresponsive {
 		return fmt.Sprintf("endpoint %s not drained: it does not answer", e.Endpoint)
 	}
 	return fmt.Sprintf("endpoint %s not drained: waiting for %v, %d streams", e.Endpoint, e.VMs, e.Streams)
--- a/withhold/gate.go
+++ b/withhold/gate.go
@@ -38,7 +38,7 @@
 // Gate counts what runs on each endpoint and refuses new work to withheld
 // ones. It is safe for concurrent use.
 //
-// Lock order: contact.Member calls Follow with its lock held, so its lock
+// Lock order: contact.Member calls ApplyRoster with its lock held, so its lock
 // comes before mu. mu is a leaf.
 type Gate struct {
 	permit  Permit
@@ -60,11 +60,11 @@
 // before the gate is used: the permit and the gate need each other.
 func (g *Gate) SetPermit(p Permit) { g.permit = p }
 
-// Hold is the right to run one attempt on an endpoint.
-type Hold struct{ slot *slot }
+// Reservation is the right to run one attempt on an endpoint.
+type Reservation struct{ slot *slot }
 
 // Release gives the right back. Only the first call counts.
-func (h *Hold) Release() {
+func (h *Reservation) Release() {
 	if h.slot == nil {
 		return
 	}
@@ -73,9 +73,9 @@
 }
 
 // TryAcquire counts an attempt that is about to be sent to the endpoint. The
-// error is *RefusedError for a withheld endpoint, *LeavingError for a leaving
+// error is *WithheldError for a withheld endpoint, *LeavingError for a leaving
 // one, or the permit's. It takes no lock, and allocates only for a refusal.
-func (g *Gate) TryAcquire(endpoint string) (Hold, error) {
+func (g *Gate) TryAcquire(endpoint string) (Reservation, error) {
 	h, err := g.tryAcquire(endpoint)
 	if err != nil {
 		countRefusal(err)
@@ -83,22 +83,22 @@
 	return h, err
 }
 
-func (g *Gate) tryAcquire(endpoint string) (Hold, error) {
+func (g *Gate) tryAcquire(endpoint string) (Reservation, error) {
 	if signal, is := g.leaving.Leaving(endpoint); is {
-		return Hold{}, &LeavingError{Endpoint: endpoint, Signal: signal}
+		return Reservation{}, &LeavingError{Endpoint: endpoint, Signal: signal}
 	}
 	s := g.slot(endpoint)
 	if s.state.Add(1)&withheldBit != 0 {
 		s.state.Add(-1)
-		return Hold{}, &RefusedError{Endpoint: endpoint}
+		return Reservation{}, &WithheldError{Endpoint: endpoint}
 	}
 	// The permit is asked after counting, so that an attempt is either counted
 	// while this VM is on the roster or not made.
 	if err := g.permit.Allow(); err != nil {
 		s.state.Add(-1)
-		return Hold{}, err
+		return Reservation{}, err
 	}
-	return Hold{slot: s}, nil
+	return Reservation{slot: s}, nil
 }
 
 // Recheck tells why an attempt that holds an endpoint may not be sent there any more after a wait:
@@ -108,7 +108,7 @@
 		return &LeavingError{Endpoint: endpoint, Signal: signal}
 	}
 	if g.Withheld(endpoint) {
-		return &RefusedError{Endpoint: endpoint}
+		return &WithheldError{Endpoint: endpoint}
 	}
 	return g.permit.Allow()
 }
@@ -145,8 +145,8 @@
 // later epoch is held already. It returns what is then held.
 func (g *Gate) Restore(endpoint string, epoch uint64) State { return g.decide(endpoint, epoch, false) }
 
-// Follow takes over all decisions of a roster.
-func (g *Gate) Follow(r contact.Roster) {
+// ApplyRoster takes over all decisions of a roster.
+func (g *Gate) ApplyRoster(r contact.Roster) {
 	listed := make(map[string]bool, len(r.Withheld))
 	for _, w := range r.Withheld {
 		listed[w.Endpoint] = true
--- a/withhold/gate_test.go
+++ b/withhold/gate_test.go
@@ -33,7 +33,7 @@
 	if diff := cmp.Diff(State{Epoch: 3, Withheld: true, Streams: 1}, g.Withhold("e", 3)); diff != "" {
 		t.Errorf("after Withhold (-want +got):\n%s", diff)
 	}
-	var refused *RefusedError
+	var refused *WithheldError
 	if _, err := g.TryAcquire("e"); !errors.As(err, &refused) {
 		t.Errorf("TryAcquire on a withheld endpoint: %v", err)
 	}
@@ -80,13 +80,13 @@
 func TestGateFollowsRosters(t *testing.T) {
 	g := newTestGate()
 	r := contact.Roster{Revision: 4}.Withhold("e").Withhold("f")
-	g.Follow(r)
-	g.Follow(contact.Roster{Revision: 5}) // older
+	g.ApplyRoster(r)
+	g.ApplyRoster(contact.Roster{Revision: 5}) // older
 	if !g.Withheld("e") || !g.Withheld("f") || g.Withheld("new") {
 		t.Error("does not follow the roster")
 	}
 	g.Withhold("h", r.Revision+1) // a message that runs ahead of the roster
-	g.Follow(r.Restore("e"))
+	g.ApplyRoster(r.Restore("e"))
 	if g.Withheld("e") || !g.Withheld("f") || !g.Withheld("h") {
 		t.Error("does not follow the next roster")
 	}
@@ -98,7 +98,7 @@
 func TestGateOfWokenProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(leaving.NewSet())
-		m := contact.NewMember("z", "a", g.Follow)
+		m := contact.NewMember("z", "a", g.ApplyRoster)
 		g.SetPermit(m)
 		m.Joined(contact.Roster{}.Join("z", "b", "b").Join("z", "c", "c").Join("z", "a", "a"), time.Now())
 		if _, err := g.TryAcquire("e"); err != nil {
@@ -139,7 +139,7 @@
 
 func BenchmarkTryAcquire(b *testing.B) {
 	g := NewGate(leaving.NewSet())
-	m := contact.NewMember("z", "a", g.Follow)
+	m := contact.NewMember("z", "a", g.ApplyRoster)
 	m.Joined(contact.Roster{}.Join("z", "a", "a"), time.Now())
 	go m.Run(b.Context().Done())
 	g.SetPermit(m)
@@ -175,7 +175,7 @@
 	}
 	set.Record("e", "e2", false)
 	g.Withhold("e", 1)
-	var withheld *RefusedError
+	var withheld *WithheldError
 	if err := g.Recheck("e"); !errors.As(err, &withheld) {
 		t.Errorf("withheld: %v", err)
 	}
--- a/withhold/metrics.go
+++ b/withhold/metrics.go
@@ -25,7 +25,7 @@
 func countWait(w *WaitingError) {
 	cause := waitEntries
 	switch {
-	case w.Silent:
+	case w.Unresponsive:
 		cause = waitEndpoint
 	case w.Streams > 0:
 		cause = waitStreams
