--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,10 +1,9 @@
-// Package admission decides whether and when a request may be sent: deadlines
-// that cannot be met are refused at once, organisations and priority classes
-// share what there is by weight, and short requests are not stuck behind long
-// ones.
+// Package admission decides whether and when a request may be sent. Requests that cannot meet their
+// deadline are refused immediately, organisations and priority classes share the capacity by
+// weight, and short requests do not wait behind long ones.
 //
-// Queue is the decision core: it has no clock, no goroutines and no lock.
-// Controller runs queues in a process.
+// Queue implements the decisions: it has no clock, goroutines or lock. Controller runs the queues
+// of a process.
 //
 // Times are monotonic durations since the start of the process.
 package admission
@@ -16,46 +15,47 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Work is what admission needs to know of a request.
+// Work describes a request to be admitted.
 type Work struct {
-	// Model names the queue: what the same engines serve shares one.
+	// Model selects the queue. Requests that the same engines serve share one.
 	Model        string
 	Organisation string
-	// Weight is the organisation's share relative to others; zero counts as 1.
+	// Weight is the organisation's share relative to other organisations. Zero counts as 1.
 	Weight   float64
 	Priority engine.Priority
-	// PromptTokens and OutputTokens are the size expected.
+	// PromptTokens and OutputTokens are the expected size of the request.
 	PromptTokens, OutputTokens int
-	// Deadline is when the answer must be whole; zero means none.
+	// Deadline is the time by which the response must be complete. Zero means none.
 	Deadline time.Duration
-	// Context is for the Predictor's use.
+	// Context is passed through to the Predictor.
 	Context any
 }
 
-// Config holds the choices of a queue.
+// Config configures a queue.
 type Config struct {
-	// MaxQueue bounds the requests waiting, MaxPerOrganisation those of one.
+	// MaxQueue bounds the number of waiting requests, MaxPerOrganisation the number per
+	// organisation.
 	MaxQueue, MaxPerOrganisation int
-	// MaxWait bounds the wait of a request without a deadline.
+	// MaxWait bounds the waiting time of a request without a deadline.
 	MaxWait time.Duration
-	// OutputCost is the cost of an output token, in prompt tokens.
+	// OutputCost is the cost of an output token relative to a prompt token.
 	OutputCost float64
-	// ClassWeights are the shares of the priority classes.
+	// ClassWeights are the relative shares of the priority classes, indexed by class.
 	ClassWeights [3]float64
-	// DelayPerCost is how much longer a request may be overtaken by shorter ones of
-	// its own flow for each unit of its cost.
+	// DelayPerCost is how much later a request is sorted within its flow for each unit of its cost.
+	// It bounds the time for which shorter requests that arrive later may overtake it.
 	DelayPerCost time.Duration
-	// Margin is the part of the predicted wait added for errors.
+	// Margin is the fraction of the predicted wait that is added as a safety margin.
 	Margin float64
-	// InitialRate is the cost a second assumed to drain before it is measured.
+	// InitialRate is the assumed drain rate, in cost per second, until it has been measured.
 	InitialRate float64
-	// RateTimeConstant is the time over which the drain rate is averaged.
+	// RateTimeConstant is the time constant of the moving average of the drain rate.
 	RateTimeConstant time.Duration
-	// MinRetryAfter bounds Retry-After from below.
+	// MinRetryAfter is the lower bound of Retry-After.
 	MinRetryAfter time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MaxQueue:           512,
@@ -71,48 +71,50 @@
 	}
 }
 
-// ReadyWait is the predicted wait at an engine (routing.Decision.Queue) up to
-// which a request counts as ready. Shorter waits leave engines idle between load
-// reports; up to four seconds goodput is much the same, so the least is taken.
+// ReadyWait is the longest predicted wait at an engine (routing.Decision.Queue) with which a
+// request counts as ready. A shorter limit leaves engines idle between load reports. Limits of up
+// to four seconds give about the same goodput, so the smallest one is used.
 const ReadyWait = time.Second
 
-// Prediction is what the engines could do for a request now.
+// Prediction is what the engines are predicted to do for a request that is sent now.
 type Prediction struct {
-	// Ready tells whether it may be sent now: some engine would start it soon.
+	// Ready reports whether the request may be sent now, because an engine would start it soon.
 	Ready bool
-	// Queueable tells whether it may be sent although it would have to wait at
-	// the engine, whose own queue honours priorities.
+	// Queueable reports whether the request may be sent even though it would wait in the queue of
+	// the engine, which observes priorities.
 	Queueable bool
-	// ServiceTime is the time from sending to the whole answer, any wait at the
-	// engine included.
+	// ServiceTime is the time from sending to the complete response, including any wait at the
+	// engine.
 	ServiceTime time.Duration
-	// Plan is handed to Commit when the request is sent, and to its caller.
+	// Plan is passed to Commit when the request is sent, and returned in the Grant.
 	Plan any
 }
 
-// Predictor predicts the outlook of a request from the newest snapshot. An
-// error refuses the request; it must be Coded. It may be called under the
-// controller's lock, so it must not block nor call the controller.
+// Predictor predicts the service of a request from the latest snapshot. An error refuses the
+// request; it must implement failure.Coded. A Predictor may be called under the lock of the
+// Controller, so it must not block or call the Controller.
 type Predictor func(now time.Duration, w *Work) (Prediction, error)
 
-// Commit records that a request is being sent as planned, before the next one is
-// predicted, so that requests sent together do not all see the same idle engine.
-// It is called under the controller's lock.
+// Commit records that a request is being sent according to plan. It is called before the prediction
+// for the next request, so that requests sent together do not all select the same idle engine. It
+// is called under the lock of the Controller.
 type Commit func(now time.Duration, w *Work, plan any)
 
-func refuse(code failure.Reason, after time.Duration, message string) *failure.Request {
+func refusal(code failure.Reason, after time.Duration, message string) *failure.Request {
 	return &failure.Request{Code: code, Ran: failure.NotRun, RetryAfter: after, Message: message}
 }
 
-// class returns the index of w's priority class.
+// class returns the index of the priority class of w.
 func (w *Work) class() int {
 	return min(max(int(w.Priority), 0), int(engine.Batch))
 }
 
+// cost returns the cost of w in units of a prompt token, at least 1.
 func (w *Work) cost(c *Config) float64 {
 	return max(1, float64(w.PromptTokens)+c.OutputCost*float64(w.OutputTokens))
 }
 
+// weight returns the weight of the flow of w.
 func (w *Work) weight(c *Config) float64 {
 	weight := w.Weight
 	if weight <= 0 {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,15 +8,15 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// repump is how often a queue that is not empty is looked at again, besides
-// when something is known to have changed.
-const repump = 10 * time.Millisecond
+// reevaluateInterval is the interval at which non-empty queues are evaluated, in addition to the
+// evaluations triggered by changes.
+const reevaluateInterval = 10 * time.Millisecond
 
-// Controller runs the queues of a process. A request waits in Admit until it is
-// sent, given up or its caller goes; what is given up is answered at once.
+// Controller runs the queues of a process. A request waits in Admit until it is sent, refused or
+// cancelled by its caller. A refusal is returned immediately.
 //
-// Lock order: Controller.mu, then Limits.mu, then what Predictor and Commit
-// take. It is never held while waiting.
+// Lock order: Controller.mu, then Limits.mu, then the locks taken by Predictor and Commit.
+// Controller.mu is not held while a request waits.
 type Controller struct {
 	cfg     Config
 	limits  *Limits
@@ -30,28 +30,28 @@
 	stopping bool
 }
 
-// Grant lets one request be sent. Release must be called when it has ended.
+// Grant permits sending one request. Release must be called when the request has ended.
 type Grant struct {
-	// Plan is the Plan of the outlook on which it was granted.
+	// Plan is the plan of the prediction that led to the grant.
 	Plan any
-	// Waited is the time in the queue.
+	// Waited is the time spent in the queue.
 	Waited time.Duration
 
 	once    sync.Once
 	release func()
 }
 
-// Release ends the request. Calling it again does nothing.
+// Release marks the request as ended. Further calls have no effect.
 func (g *Grant) Release() { g.once.Do(g.release) }
 
-// verdict is what a waiting request is told.
-type verdict struct {
+// result is the outcome sent to a waiting request.
+type result struct {
 	plan any
 	err  error
 }
 
-// NewController returns a controller. Commit may be nil. Now is the monotonic
-// clock of the snapshots.
+// NewController returns a controller. commit may be nil. now is the monotonic clock of the
+// snapshots.
 func NewController(cfg Config, limits *Limits, predict Predictor, commit Commit, now func() time.Duration) *Controller {
 	if commit == nil {
 		commit = func(time.Duration, *Work, any) {}
@@ -66,30 +66,30 @@
 	}
 }
 
-// Admit waits until w may be sent. Its errors are Coded, and the request was not
-// run: *failure.Request, or what the Predictor returned. A grant may be returned
-// although ctx has just ended; it must be released all the same.
+// Admit waits until w may be sent. Its errors are of type *failure.Request or come from the
+// Predictor. They implement failure.Coded, and the request was not run. A grant may be returned
+// even if ctx has just ended; it must be released in any case.
 func (c *Controller) Admit(ctx context.Context, w Work) (*Grant, error) {
-	it, err := c.offer(w)
+	it, err := c.enqueue(w)
 	if err != nil {
-		return nil, counted(w.class(), err)
+		return nil, countRefusal(w.class(), err)
 	}
 	v := c.wait(ctx, it)
 	if v.err != nil {
-		return nil, counted(w.class(), v.err)
+		return nil, countRefusal(w.class(), v.err)
 	}
 	waited := c.now() - it.Arrived
 	observeWait(w.class(), waited)
 	release := func() {
 		c.limits.Done(w.Organisation)
-		c.Kick()
+		c.Reevaluate()
 	}
 	return &Grant{Plan: v.plan, Waited: waited, release: release}, nil
 }
 
-func (c *Controller) offer(w Work) (*Item, error) {
+func (c *Controller) enqueue(w Work) (*Item, error) {
 	now := c.now()
-	outlook, err := c.predict(now, &w)
+	prediction, err := c.predict(now, &w)
 	if err != nil {
 		return nil, err
 	}
@@ -103,94 +103,96 @@
 		q = NewQueue(c.cfg, c.limits)
 		c.queues[w.Model] = q
 	}
-	it, displaced, err := q.Offer(now, w, outlook.ServiceTime)
+	it, displaced, err := q.Offer(now, w, prediction.ServiceTime)
 	if err != nil {
 		return nil, err
 	}
-	it.Waiter = make(chan verdict, 1)
+	it.Waiter = make(chan result, 1)
 	if displaced != nil {
-		tell(displaced, verdict{err: refuse(failure.QueueFull, q.retryAfter(0), "a more urgent request took the place")})
+		deliver(displaced, result{err: refusal(failure.QueueFull, q.retryAfter(0), "a more urgent request took the place")})
 	}
-	c.pump(now, q)
-	c.arm()
+	c.pumpQueue(now, q)
+	c.scheduleReevaluation()
 	return it, nil
 }
 
-// tell gives a request that has left its queue its verdict. It never blocks:
-// the channel holds the only one.
-func tell(it *Item, v verdict) { it.Waiter.(chan verdict) <- v }
+// deliver sends the result to a request that has left its queue. It never blocks, because the
+// channel has a buffer of one and each request receives a single result.
+func deliver(it *Item, v result) { it.Waiter.(chan result) <- v }
 
-func (c *Controller) wait(ctx context.Context, it *Item) verdict {
-	granted := it.Waiter.(chan verdict)
+func (c *Controller) wait(ctx context.Context, it *Item) result {
+	results := it.Waiter.(chan result)
 	timer := time.NewTimer(it.LatestStart - c.now())
 	defer timer.Stop()
 	select {
-	case v := <-granted:
+	case v := <-results:
 		return v
 	case <-ctx.Done():
-		gone := refuse(failure.CallerGone, 0, "the caller went away")
-		gone.Cause = ctx.Err()
-		return c.giveUp(it, gone)
+		disconnected := refusal(failure.CallerGone, 0, "the caller went away")
+		disconnected.Cause = ctx.Err()
+		return c.withdraw(it, disconnected)
 	case <-timer.C:
-		return c.giveUp(it, c.late(it))
+		return c.withdraw(it, c.lateError(it))
 	}
 }
 
-// giveUp takes a request out of its queue. If it was sent at the same moment the
-// grant stands, because Commit has recorded it: its owner releases it.
-func (c *Controller) giveUp(it *Item, why *failure.Request) verdict {
+// withdraw removes a request from its queue. If the request has been granted concurrently, the
+// grant is returned, because Commit has already recorded it and the caller of Admit has to release
+// it.
+func (c *Controller) withdraw(it *Item, reason *failure.Request) result {
 	c.mu.Lock()
 	waiting := c.queues[it.Work.Model].Cancel(c.now(), it)
 	c.mu.Unlock()
 	if waiting {
-		return verdict{err: why}
+		return result{err: reason}
 	}
-	return <-it.Waiter.(chan verdict)
+	return <-it.Waiter.(chan result)
 }
 
-func (c *Controller) late(it *Item) *failure.Request {
+// lateError returns the refusal of a request whose latest start has passed.
+func (c *Controller) lateError(it *Item) *failure.Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queues[it.Work.Model].lateError()
 }
 
-// Kick looks at all queues again. It is called when a snapshot shows news.
-func (c *Controller) Kick() {
+// Reevaluate evaluates all queues. It is called when a snapshot has changed.
+func (c *Controller) Reevaluate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	for _, q := range c.queues {
-		c.pump(now, q)
+		c.pumpQueue(now, q)
 	}
-	c.arm()
+	c.scheduleReevaluation()
 }
 
-// pump sends and gives up what it is time for.
-func (c *Controller) pump(now time.Duration, q *Queue) {
-	q.Pump(now, c.predict, func(it *Item, outlook Prediction, err error) {
+// pumpQueue sends or refuses the requests of q that are due.
+func (c *Controller) pumpQueue(now time.Duration, q *Queue) {
+	q.Pump(now, c.predict, func(it *Item, prediction Prediction, err error) {
 		if err == nil {
-			c.commit(now, &it.Work, outlook.Plan)
+			c.commit(now, &it.Work, prediction.Plan)
 		}
-		tell(it, verdict{plan: outlook.Plan, err: err})
+		deliver(it, result{plan: prediction.Plan, err: err})
 	})
 }
 
-// arm looks again soon while anything waits.
-func (c *Controller) arm() {
+// scheduleReevaluation starts the timer of the next evaluation if any request is waiting.
+func (c *Controller) scheduleReevaluation() {
 	for _, q := range c.queues {
 		if q.Len() == 0 {
 			continue
 		}
 		if c.timer == nil {
-			c.timer = time.AfterFunc(repump, c.Kick)
+			c.timer = time.AfterFunc(reevaluateInterval, c.Reevaluate)
 		} else {
-			c.timer.Reset(repump)
+			c.timer.Reset(reevaluateInterval)
 		}
 		return
 	}
 }
 
-// Stop refuses what waits and all that comes.
+// Stop refuses all waiting requests and all later calls of Admit.
 func (c *Controller) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,16 +202,16 @@
 		for len(q.active) > 0 {
 			it := q.active[0].items[0]
 			q.Cancel(now, it)
-			tell(it, verdict{err: stoppingError()})
+			deliver(it, result{err: stoppingError()})
 		}
 	}
 }
 
 func stoppingError() *failure.Request {
-	return refuse(failure.Stopping, time.Second, "this VM is stopping")
+	return refusal(failure.Stopping, time.Second, "this VM is stopping")
 }
 
-// Waiting returns the number of waiting requests of all queues.
+// Waiting returns the number of waiting requests in all queues.
 func (c *Controller) Waiting() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -12,8 +12,8 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// plant is a stand-in for a fleet: slots that each work off cost at a rate.
-type plant struct {
+// fakeFleet simulates a fleet: a number of slots that each process cost at a fixed rate.
+type fakeFleet struct {
 	mu    sync.Mutex
 	slots int
 	busy  int
@@ -21,28 +21,28 @@
 	err   error
 }
 
-func (p *plant) service(w *Work) time.Duration {
+func (p *fakeFleet) serviceTime(w *Work) time.Duration {
 	cfg := DefaultConfig()
 	return seconds(w.cost(&cfg) / p.rate)
 }
 
-func (p *plant) predict(_ time.Duration, w *Work) (Prediction, error) {
+func (p *fakeFleet) predict(_ time.Duration, w *Work) (Prediction, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Prediction{Ready: p.busy < p.slots, ServiceTime: p.service(w), Plan: p.busy}, p.err
+	return Prediction{Ready: p.busy < p.slots, ServiceTime: p.serviceTime(w), Plan: p.busy}, p.err
 }
 
-func (p *plant) commit(time.Duration, *Work, any) { p.add(1) }
+func (p *fakeFleet) commit(time.Duration, *Work, any) { p.add(1) }
 
-func (p *plant) add(n int) { p.change(func() { p.busy += n }) }
+func (p *fakeFleet) add(n int) { p.change(func() { p.busy += n }) }
 
-func (p *plant) change(f func()) {
+func (p *fakeFleet) change(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
-func newController(p *plant) *Controller {
+func newController(p *fakeFleet) *Controller {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
 	cfg := DefaultConfig()
@@ -50,25 +50,25 @@
 	return NewController(cfg, NewLimits(DefaultLimits(), unlimited), p.predict, p.commit, now)
 }
 
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+func TestWithdrawnRequestReturnsAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(c *Controller, p *plant, cancel func())
+		do   func(c *Controller, p *fakeFleet, cancel func())
 		want failure.Reason
 		at   time.Duration
 	}{
-		{"latest start passes", func(*Controller, *plant, func()) {}, failure.DeadlineUnreachable, 1900 * time.Millisecond},
-		{"caller goes", func(_ *Controller, _ *plant, cancel func()) { cancel() }, failure.CallerGone, time.Second},
-		{"VM stops", func(c *Controller, _ *plant, _ func()) { c.Stop() }, failure.Stopping, time.Second},
-		{"no endpoint left", func(c *Controller, p *plant, _ func()) {
-			p.change(func() { p.err = refuse(failure.NoEndpoint, 0, "") })
-			c.Kick()
+		{"latest start passes", func(*Controller, *fakeFleet, func()) {}, failure.DeadlineUnreachable, 1900 * time.Millisecond},
+		{"caller disconnects", func(_ *Controller, _ *fakeFleet, cancel func()) { cancel() }, failure.CallerGone, time.Second},
+		{"VM stops", func(c *Controller, _ *fakeFleet, _ func()) { c.Stop() }, failure.Stopping, time.Second},
+		{"no endpoint left", func(c *Controller, p *fakeFleet, _ func()) {
+			p.change(func() { p.err = refusal(failure.NoEndpoint, 0, "") })
+			c.Reevaluate()
 		}, failure.NoEndpoint, time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &plant{rate: 1000}
+				p := &fakeFleet{rate: 1000}
 				c := newController(p)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -79,21 +79,21 @@
 				_, err := c.Admit(ctx, w)
 				equal(t, "", test.want, failure.ReasonOf(err))
 				if got := time.Since(start); got != test.at {
-					t.Errorf("answered after %v, want %v", got, test.at)
+					t.Errorf("returned after %v, want %v", got, test.at)
 				}
 				if c.Waiting() != 0 {
-					t.Error("still waiting")
+					t.Error("the request is still in its queue")
 				}
 			})
 		})
 	}
 }
 
-// TestGrantAtTheMomentOfGoing checks that a grant which crosses the caller's
-// going is handed out, so that what was committed is released.
-func TestGrantAtTheMomentOfGoing(t *testing.T) {
+// TestGrantRacingWithDisconnect checks that a grant made while the caller disconnects is returned,
+// so that every committed request is released.
+func TestGrantRacingWithDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &plant{rate: 1000}
+		p := &fakeFleet{rate: 1000}
 		c := newController(p)
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
@@ -108,7 +108,7 @@
 		synctest.Wait()
 		p.change(func() { p.slots = 20 })
 		go cancel()
-		c.Kick()
+		c.Reevaluate()
 		group.Wait()
 		if p.busy != 0 {
 			t.Errorf("%d commits were never released", p.busy)
@@ -116,23 +116,24 @@
 	})
 }
 
-// load is one run at a multiple of the plant's capacity.
-type load struct {
+// loadRun offers load to a fleet with or without admission.
+type loadRun struct {
 	admit func(ctx context.Context, w Work) (release func(), err error)
-	p     *plant
+	p     *fakeFleet
 }
 
-// goodput returns the cost answered within its deadline, as a part of capacity,
-// and the part of short questions answered in time.
-func (l *load) goodput(t *testing.T, factor float64) (cost, short float64) {
-	const length = 40 * time.Second
+// goodput offers factor times the capacity of the fleet. It returns the cost completed within the
+// deadline as a fraction of the capacity, and the fraction of interactive requests that completed
+// in time.
+func (l *loadRun) goodput(t *testing.T, factor float64) (cost, short float64) {
+	const duration = 40 * time.Second
 	random := rand.New(rand.NewPCG(7, 7))
 	capacity := l.p.rate * float64(l.p.slots)
 	start := time.Now()
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	done, asked, answered := 0.0, 0.0, 0.0
-	for time.Since(start) < length {
+	costInTime, interactive, interactiveInTime := 0.0, 0.0, 0.0
+	for time.Since(start) < duration {
 		w := Work{Organisation: "a", Priority: engine.Interactive, PromptTokens: 100, OutputTokens: 25}
 		if random.IntN(3) == 0 {
 			w = Work{Organisation: "b", Priority: engine.Standard, PromptTokens: 4000, OutputTokens: 100}
@@ -142,7 +143,7 @@
 		group.Go(func() {
 			release, err := l.admit(t.Context(), w)
 			if err == nil {
-				time.Sleep(l.p.service(&w))
+				time.Sleep(l.p.serviceTime(&w))
 				l.p.add(-1)
 				release()
 			}
@@ -151,33 +152,33 @@
 			cfg := DefaultConfig()
 			inTime := err == nil && time.Since(start) <= w.Deadline
 			if w.Priority == engine.Interactive {
-				asked++
+				interactive++
 				if inTime {
-					answered++
+					interactiveInTime++
 				}
 			}
 			if inTime {
-				done += w.cost(&cfg)
+				costInTime += w.cost(&cfg)
 			}
 		})
 		time.Sleep(seconds(random.ExpFloat64() * meanCost / (capacity * factor)))
 	}
 	group.Wait()
-	return done / (capacity * length.Seconds()), answered / asked
+	return costInTime / (capacity * duration.Seconds()), interactiveInTime / interactive
 }
 
-// firstComeFirstServed is what admission is compared with.
-func firstComeFirstServed(p *plant) *load {
-	places := make(chan struct{}, p.slots)
+// withoutAdmission serves requests in order of arrival, as a baseline for admission.
+func withoutAdmission(p *fakeFleet) *loadRun {
+	slots := make(chan struct{}, p.slots)
 	admit := func(context.Context, Work) (func(), error) {
-		places <- struct{}{}
+		slots <- struct{}{}
 		p.add(1)
-		return func() { <-places }, nil
+		return func() { <-slots }, nil
 	}
-	return &load{admit: admit, p: p}
+	return &loadRun{admit: admit, p: p}
 }
 
-func withAdmission(p *plant) *load {
+func withAdmission(p *fakeFleet) *loadRun {
 	c := newController(p)
 	admit := func(ctx context.Context, w Work) (func(), error) {
 		g, err := c.Admit(ctx, w)
@@ -186,23 +187,23 @@
 		}
 		return g.Release, nil
 	}
-	return &load{admit: admit, p: p}
+	return &loadRun{admit: admit, p: p}
 }
 
-// TestOverload checks that goodput does not collapse, and, so that the check can
-// be seen to fail, that it does without admission.
+// TestOverload checks that goodput does not collapse under overload. It also checks that goodput
+// collapses without admission, which shows that the load is an overload.
 func TestOverload(t *testing.T) {
 	for _, factor := range []float64{0.8, 1.5, 3} {
 		synctest.Test(t, func(t *testing.T) {
-			cost, short := withAdmission(&plant{slots: 16, rate: 4000}).goodput(t, factor)
-			plainCost, plainShort := firstComeFirstServed(&plant{slots: 16, rate: 4000}).goodput(t, factor)
-			t.Logf("load %.1f: goodput %.3f of capacity, short questions %.3f in time; first come first served %.3f, %.3f",
+			cost, short := withAdmission(&fakeFleet{slots: 16, rate: 4000}).goodput(t, factor)
+			plainCost, plainShort := withoutAdmission(&fakeFleet{slots: 16, rate: 4000}).goodput(t, factor)
+			t.Logf("load %.1f: goodput %.3f of capacity, %.3f of interactive requests in time; without admission %.3f, %.3f",
 				factor, cost, short, plainCost, plainShort)
 			if cost < min(factor, 1)*0.9 || short < 0.99 {
-				t.Errorf("load %.1f: goodput %.3f of capacity, short questions %.3f", factor, cost, short)
+				t.Errorf("load %.1f: goodput %.3f of capacity, %.3f of interactive requests in time", factor, cost, short)
 			}
 			if factor > 1 && plainCost > 0.5 {
-				t.Errorf("load %.1f: first come first served reached %.3f; the load is no overload", factor, plainCost)
+				t.Errorf("load %.1f: goodput without admission is %.3f; the load is not an overload", factor, plainCost)
 			}
 		})
 	}
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// flowKey names a flow: the requests of one organisation and class.
+// flowKey identifies a flow: the requests of one organisation and priority class.
 type flowKey struct {
 	organisation string
 	class        int
 }
 
-// flow is the waiting requests of a flowKey, shorter ones first but for patience.
+// flow holds the waiting requests of a flowKey, ordered by sort key: cheaper ones first, except
+// that a request moves ahead as it waits (see Config.DelayPerCost).
 type flow struct {
 	key    flowKey
 	weight float64
 	items  itemHeap
-	// cost is the sum of the items' costs.
+	// cost is the sum of the costs of the items.
 	cost float64
-	// start is the virtual time at which its first item starts: the end of the
-	// last one sent, or the time at which the flow became active if that was
-	// later. It stands still while the flow waits, or the flow would never be due.
+	// start is the virtual start time of the first item: the virtual finish time of the last item
+	// sent, or the virtual time at which the flow became active if that was later. It does not
+	// advance while the flow waits; otherwise the flow would never be selected.
 	start float64
 }
 
-// end is the virtual time at which the flow's first item ends if it is sent next.
-func (f *flow) end() float64 { return f.start + f.items[0].cost/f.weight }
+// finish returns the virtual finish time of the first item of the flow if it is sent next.
+func (f *flow) finish() float64 { return f.start + f.items[0].cost/f.weight }
 
-// ahead is the cost of the items that go before one with the given key.
+// ahead returns the total cost of the items sorted before an item with the given key.
 func (f *flow) ahead(key time.Duration) float64 {
 	cost := 0.0
 	for _, it := range f.items {
-		if it.key <= key {
+		if it.sortKey <= key {
 			cost += it.cost
 		}
 	}
@@ -41,24 +42,25 @@
 // Item is a waiting request.
 type Item struct {
 	Work Work
-	// Arrived is when it was offered.
+	// Arrived is the time at which the request was offered.
 	Arrived time.Duration
-	// LatestStart is when it must be sent to make its deadline.
+	// LatestStart is the latest time at which the request can be sent to meet its deadline, or
+	// MaxWait after its arrival if it has none.
 	LatestStart time.Duration
-	// Waiter is for the caller's use.
+	// Waiter is for use by the caller of the Queue.
 	Waiter any
 
-	cost  float64
-	key   time.Duration
-	order uint64
-	flow  *flow
-	index int
+	cost     float64
+	sortKey  time.Duration
+	sequence uint64
+	flow     *flow
+	index    int
 }
 
-// waiting tells whether the item is still in its flow.
+// waiting reports whether the item is still in its flow.
 func (it *Item) waiting() bool { return it.index >= 0 }
 
-// itemHeap orders by key, then by arrival.
+// itemHeap orders items by sort key, then by arrival.
 type itemHeap []*Item
 
 // Len implements heap.Interface.
@@ -66,10 +68,10 @@
 
 // Less implements heap.Interface.
 func (h itemHeap) Less(i, j int) bool {
-	if h[i].key != h[j].key {
-		return h[i].key < h[j].key
+	if h[i].sortKey != h[j].sortKey {
+		return h[i].sortKey < h[j].sortKey
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 
 // Swap implements heap.Interface.
--- a/admission/pump.go
+++ b/admission/pump.go
@@ -6,54 +6,56 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// maxHeads is how many flows are tried when the first ones are not ready.
+// maxHeads is the number of flows whose first request is tried.
 const maxHeads = 4
 
-// Fate is told what became of a request that has left its queue: sent on an
-// outlook, or given up with an error. It must not call the queue.
-type Fate func(it *Item, outlook Prediction, err error)
-
-// Pump sends all that may be sent now and gives up what can no longer be in
-// time. A first request that is not ready is passed over by those of the next
-// few flows that are (a short question goes to an engine on which a long letter
-// would have to wait). It keeps its place, and once half of the time that it can
-// spare is over it cannot be passed over any more: it is sent if an engine would
-// queue it, and holds up the others if not.
-func (q *Queue) Pump(now time.Duration, predict Predictor, fate Fate) {
-	for q.pumpOne(now, predict, fate) {
+// DecidedFunc receives the outcome of a request that has left its queue: it is sent according to
+// the prediction, or refused with an error. It must not call the Queue.
+type DecidedFunc func(it *Item, prediction Prediction, err error)
+
+// Pump sends all requests that may be sent now and refuses those that can no longer meet their
+// deadline.
+//
+// If the first request is not ready, ready requests at the head of the next few flows are sent
+// before it: a short request may use an engine at which a long one would have to wait. The first
+// request keeps its position. Once half of the time until its latest start has passed, it can no
+// longer be overtaken: it is sent if an engine would queue it, and blocks the other flows if not.
+func (q *Queue) Pump(now time.Duration, predict Predictor, decided DecidedFunc) {
+	for q.pumpOne(now, predict, decided) {
 	}
 }
 
-// pumpOne decides the first request that can be decided, and tells whether
-// there was one: each changes the order of the others.
-func (q *Queue) pumpOne(now time.Duration, predict Predictor, fate Fate) bool {
+// pumpOne sends or refuses the first request that can be decided, and reports whether there was
+// one. It handles a single request, because each one changes the order of the others.
+func (q *Queue) pumpOne(now time.Duration, predict Predictor, decided DecidedFunc) bool {
 	for _, it := range q.heads(maxHeads) {
-		outlook, err := predict(now, &it.Work)
-		if err == nil && it.Work.Deadline != 0 && now+outlook.ServiceTime > it.Work.Deadline {
+		prediction, err := predict(now, &it.Work)
+		if err == nil && it.Work.Deadline != 0 && now+prediction.ServiceTime > it.Work.Deadline {
 			err = q.lateError()
 		}
 		overdue := now >= it.overdueAt()
 		switch {
 		case err != nil:
 			q.Cancel(now, it)
-		case outlook.Ready || overdue && outlook.Queueable:
+		case prediction.Ready || overdue && prediction.Queueable:
 			q.Send(now, it)
 		case overdue:
 			return false
 		default:
 			continue
 		}
-		fate(it, outlook, err)
+		decided(it, prediction, err)
 		return true
 	}
 	return false
 }
 
-// overdueAt is when half of the time that the request can spare is over.
+// overdueAt returns the time at which half of the interval from arrival to latest start has passed.
 func (it *Item) overdueAt() time.Duration {
 	return it.Arrived + (it.LatestStart-it.Arrived)/2
 }
 
+// lateError returns the refusal of a request that can no longer meet its deadline.
 func (q *Queue) lateError() *failure.Request {
-	return refuse(failure.DeadlineUnreachable, q.retryAfter(0), "the answer can no longer be whole by the deadline")
+	return refusal(failure.DeadlineUnreachable, q.retryAfter(0), "the answer can no longer be whole by the deadline")
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,66 +9,66 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// maxIdleFlows is how many flows are kept for each place in the queue.
-const maxIdleFlows = 4
+// idleFlowsPerSlot is the number of flows kept for each slot of the queue before idle flows are
+// evicted.
+const idleFlowsPerSlot = 4
 
 // Queue holds the waiting requests of one model. It is not safe for concurrent use.
 //
-// Order: each organisation and class is a flow. The flow whose first item would
-// end earliest in virtual time goes next (self-clocked fair queueing), so that
-// backlogged flows get cost in proportion to their weights and a short request
-// goes before a long one that came at the same time. Flows at their concurrency
-// limit are passed over.
+// Order: each organisation and class is a flow. The flow whose first item has the earliest virtual
+// finish time is next (self-clocked fair queueing). Backlogged flows thus receive cost in
+// proportion to their weights, and a short request precedes a long one that arrived at the same
+// time. Flows at their concurrency limit are skipped.
 //
-// Invariants: at most Config.MaxQueue items wait; a flow without items has no
-// place in active; virtual never goes back while anything waits.
+// Invariants: at most Config.MaxQueue items wait; active contains only flows with items; virtual
+// never decreases while any request waits.
 type Queue struct {
-	cfg     Config
-	limits  *Limits
-	active  []*flow
-	flows   map[flowKey]*flow
-	virtual float64
-	waiting int
-	byOrg   map[string]int
-	orders  uint64
-	drain   drain
+	cfg          Config
+	limits       *Limits
+	active       []*flow
+	flows        map[flowKey]*flow
+	virtual      float64
+	waiting      int
+	byOrg        map[string]int
+	lastSequence uint64
+	drain        drainRate
 }
 
-// NewQueue returns an empty queue. Queues of several models share the limits.
+// NewQueue returns an empty queue. The queues of several models share the limits.
 func NewQueue(cfg Config, limits *Limits) *Queue {
 	return &Queue{
 		cfg:    cfg,
 		limits: limits,
 		flows:  make(map[flowKey]*flow),
 		byOrg:  make(map[string]int),
-		drain:  newDrain(&cfg),
+		drain:  newDrainRate(&cfg),
 	}
 }
 
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.waiting }
 
-// Offer queues w, or refuses it at once with a *failure.Request. Service is its
-// predicted time from sending to the whole answer. A request of a lower class
-// may have to make room; it is returned as displaced and has been given up.
-func (q *Queue) Offer(now time.Duration, w Work, service time.Duration) (it, displaced *Item, err error) {
+// Offer queues w, or refuses it immediately with a *failure.Request. serviceTime is the predicted time
+// from sending to the complete response. If the queue is full, a waiting request of a lower class
+// is removed and returned as displaced; the caller has to refuse it.
+func (q *Queue) Offer(now time.Duration, w Work, serviceTime time.Duration) (it, displaced *Item, err error) {
 	q.drain.advance(now, q.waiting > 0)
-	it = q.newItem(now, w, service)
-	wait := q.predict(it)
+	it = q.newItem(now, w, serviceTime)
+	wait := q.predictWait(it)
 	if it.LatestStart < now || now+wait+seconds(q.cfg.Margin*wait.Seconds()) > it.LatestStart {
 		after := q.retryAfter(now + wait - it.LatestStart)
-		return nil, nil, refuse(failure.DeadlineUnreachable, after, "the answer cannot be whole by the deadline")
+		return nil, nil, refusal(failure.DeadlineUnreachable, after, "the answer cannot be whole by the deadline")
 	}
 	if q.byOrg[w.Organisation] >= q.cfg.MaxPerOrganisation {
-		return nil, nil, refuse(failure.QueueFull, q.retryAfter(wait), "the organisation's queue is full")
+		return nil, nil, refusal(failure.QueueFull, q.retryAfter(wait), "the organisation's queue is full")
 	}
 	if q.waiting >= q.cfg.MaxQueue {
 		displaced = q.displace(w.class())
 		if displaced == nil {
-			return nil, nil, refuse(failure.QueueFull, q.retryAfter(wait), "the queue is full")
+			return nil, nil, refusal(failure.QueueFull, q.retryAfter(wait), "the queue is full")
 		}
 	}
-	if err := q.limits.take(now, &it.Work, it.cost); err != nil {
+	if err := q.limits.charge(now, &it.Work, it.cost); err != nil {
 		if displaced != nil {
 			q.insert(displaced)
 		}
@@ -78,23 +78,23 @@
 	return it, displaced, nil
 }
 
-func (q *Queue) newItem(now time.Duration, w Work, service time.Duration) *Item {
-	q.orders++
-	it := &Item{Work: w, Arrived: now, cost: w.cost(&q.cfg), order: q.orders, index: -1}
-	it.key = now + time.Duration(it.cost*float64(q.cfg.DelayPerCost))
+func (q *Queue) newItem(now time.Duration, w Work, serviceTime time.Duration) *Item {
+	q.lastSequence++
+	it := &Item{Work: w, Arrived: now, cost: w.cost(&q.cfg), sequence: q.lastSequence, index: -1}
+	it.sortKey = now + time.Duration(it.cost*float64(q.cfg.DelayPerCost))
 	it.LatestStart = now + q.cfg.MaxWait
 	if w.Deadline != 0 {
-		it.LatestStart = w.Deadline - service
+		it.LatestStart = w.Deadline - serviceTime
 	}
-	it.flow = q.flowOf(&it.Work)
+	it.flow = q.flowFor(&it.Work)
 	return it
 }
 
-func (q *Queue) flowOf(w *Work) *flow {
+func (q *Queue) flowFor(w *Work) *flow {
 	key := flowKey{w.Organisation, w.class()}
 	f := q.flows[key]
 	if f == nil {
-		f = &flow{key: key} // insert keeps it; a refused request leaves nothing behind.
+		f = &flow{key: key} // Stored by insert, so that a refused request leaves no flow.
 	}
 	f.weight = w.weight(&q.cfg)
 	return f
@@ -111,27 +111,29 @@
 	q.byOrg[it.Work.Organisation]++
 }
 
-// predict is how long it would wait: by the time it is sent, each other flow
-// has had its share by weight, but no more than it has waiting.
-func (q *Queue) predict(it *Item) time.Duration {
-	own := it.flow.ahead(it.key)
-	ahead := own
+// predictWait returns the predicted wait of an item. Until it is sent, each other flow receives its
+// share by weight, but no more than the cost it has waiting.
+func (q *Queue) predictWait(it *Item) time.Duration {
+	aheadInFlow := it.flow.ahead(it.sortKey)
+	ahead := aheadInFlow
 	for _, f := range q.active {
 		if f != it.flow {
-			ahead += min(f.cost, (own+it.cost)*f.weight/it.flow.weight)
+			ahead += min(f.cost, (aheadInFlow+it.cost)*f.weight/it.flow.weight)
 		}
 	}
 	return seconds(ahead / q.drain.rate())
 }
 
-// retryAfter is when to come back if excess has to drain first. The spread by
-// order keeps refused callers from coming back together.
+// retryAfter returns the delay after which a refused caller should retry if excess has to drain
+// first. It is spread by the sequence number, so that refused callers do not all retry at the same
+// time.
 func (q *Queue) retryAfter(excess time.Duration) time.Duration {
-	_, spread := math.Modf(float64(q.orders) * math.Phi)
+	_, spread := math.Modf(float64(q.lastSequence) * math.Phi)
 	return max(q.cfg.MinRetryAfter, excess) + seconds(spread*q.cfg.MinRetryAfter.Seconds())
 }
 
-// displace gives up the newest request of the lowest class below class.
+// displace removes and returns the newest request of the lowest class below class, or nil if there
+// is none.
 func (q *Queue) displace(class int) *Item {
 	var victim *Item
 	for _, f := range q.active {
@@ -139,25 +141,27 @@
 			continue
 		}
 		for _, it := range f.items {
-			if victim == nil || it.worse(victim) {
+			if victim == nil || it.displacedBefore(victim) {
 				victim = it
 			}
 		}
 	}
 	if victim != nil {
-		q.take(victim)
+		q.dequeue(victim)
 	}
 	return victim
 }
 
-func (it *Item) worse(o *Item) bool {
+// displacedBefore reports whether it is displaced before o: the lower class first, then the newer
+// request.
+func (it *Item) displacedBefore(o *Item) bool {
 	if it.flow.key.class != o.flow.key.class {
 		return it.flow.key.class > o.flow.key.class
 	}
-	return it.order > o.order
+	return it.sequence > o.sequence
 }
 
-// Head returns the request to send next, or nil when nothing may be sent.
+// Head returns the request to send next, or nil if none may be sent.
 func (q *Queue) Head() *Item {
 	heads := q.heads(1)
 	if len(heads) == 0 {
@@ -166,15 +170,15 @@
 	return heads[0]
 }
 
-// heads returns the first items of up to n flows that may run, in order.
+// heads returns the first items of up to n flows that may run, in order of virtual finish time.
 func (q *Queue) heads(n int) []*Item {
 	var first []*flow
 	for _, f := range q.active {
-		if !q.limits.mayRun(f.key.organisation) {
+		if !q.limits.belowConcurrencyLimit(f.key.organisation) {
 			continue
 		}
-		at := sort.Search(len(first), func(i int) bool { return first[i].end() > f.end() })
-		first = slices.Insert(first, at, f)
+		position := sort.Search(len(first), func(i int) bool { return first[i].finish() > f.finish() })
+		first = slices.Insert(first, position, f)
 		first = first[:min(n, len(first))]
 	}
 	items := make([]*Item, len(first))
@@ -184,29 +188,29 @@
 	return items
 }
 
-// Send takes the head out of the queue and counts it as running. The caller
-// calls Limits.Done when it has ended.
+// Send removes the head from the queue and counts it as running. The caller must call Limits.Done
+// when it has ended.
 func (q *Queue) Send(now time.Duration, head *Item) {
 	q.drain.advance(now, true)
 	q.drain.sent(head.cost)
 	q.virtual = max(q.virtual, head.flow.start)
-	head.flow.start = head.flow.end()
-	q.limits.start(head.Work.Organisation)
-	q.take(head)
+	head.flow.start = head.flow.finish()
+	q.limits.started(head.Work.Organisation)
+	q.dequeue(head)
 }
 
-// Cancel takes a request out whose caller went away or whose latest start has
-// passed. It tells whether the request was still waiting.
+// Cancel removes a request whose caller has disconnected or whose latest start has passed. It
+// reports whether the request was still waiting.
 func (q *Queue) Cancel(now time.Duration, it *Item) bool {
 	if !it.waiting() {
 		return false
 	}
 	q.drain.advance(now, true)
-	q.take(it)
+	q.dequeue(it)
 	return true
 }
 
-func (q *Queue) take(it *Item) {
+func (q *Queue) dequeue(it *Item) {
 	f := it.flow
 	f.remove(it)
 	q.waiting--
@@ -216,8 +220,8 @@
 	if len(f.items) == 0 {
 		q.deactivate(f)
 	}
-	if q.waiting == 0 || len(q.flows) > maxIdleFlows*q.cfg.MaxQueue {
-		q.purge()
+	if q.waiting == 0 || len(q.flows) > idleFlowsPerSlot*q.cfg.MaxQueue {
+		q.evictIdleFlows()
 	}
 }
 
@@ -231,9 +235,9 @@
 	}
 }
 
-// purge forgets idle flows: all when nothing waits, else those whose last
-// request has ended in virtual time.
-func (q *Queue) purge() {
+// evictIdleFlows removes idle flows: all of them if no request waits, otherwise those whose last
+// request has finished in virtual time.
+func (q *Queue) evictIdleFlows() {
 	for key, f := range q.flows {
 		if len(f.items) == 0 && (q.waiting == 0 || f.start <= q.virtual) {
 			delete(q.flows, key)
@@ -244,34 +248,35 @@
 	}
 }
 
-// drain measures the cost a second that leaves the queue while it is not empty.
-type drain struct {
-	memory float64
-	last   time.Duration
-	cost   float64
-	busy   float64
+// drainRate measures the cost per second that leaves the queue while requests wait, as an
+// exponential moving average.
+type drainRate struct {
+	timeConstant float64
+	updatedAt    time.Duration
+	cost         float64
+	backlogged   float64
 }
 
-func newDrain(cfg *Config) drain {
-	memory := cfg.RateTimeConstant.Seconds()
-	return drain{memory: memory, cost: cfg.InitialRate * memory, busy: memory}
+func newDrainRate(cfg *Config) drainRate {
+	timeConstant := cfg.RateTimeConstant.Seconds()
+	return drainRate{timeConstant: timeConstant, cost: cfg.InitialRate * timeConstant, backlogged: timeConstant}
 }
 
-// advance lets time pass; only time with a backlog counts.
-func (d *drain) advance(now time.Duration, backlog bool) {
-	passed := (now - d.last).Seconds()
-	d.last = now
-	if !backlog || passed <= 0 {
+// advance accounts for the time passed since the last call. Only time with a backlog counts.
+func (d *drainRate) advance(now time.Duration, backlog bool) {
+	elapsed := (now - d.updatedAt).Seconds()
+	d.updatedAt = now
+	if !backlog || elapsed <= 0 {
 		return
 	}
-	keep := math.Exp(-passed / d.memory)
-	d.cost *= keep
-	d.busy = d.busy*keep + passed
+	decay := math.Exp(-elapsed / d.timeConstant)
+	d.cost *= decay
+	d.backlogged = d.backlogged*decay + elapsed
 }
 
-func (d *drain) sent(cost float64) { d.cost += cost }
+func (d *drainRate) sent(cost float64) { d.cost += cost }
 
-func (d *drain) rate() float64 { return max(1, d.cost/d.busy) }
+func (d *drainRate) rate() float64 { return max(1, d.cost/d.backlogged) }
 
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, math.MaxInt32) * float64(time.Second))
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// equal reports how got differs from want.
+// equal fails the test if got differs from want.
 func equal(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -36,7 +36,7 @@
 	return Work{Organisation: organisation, Priority: class, PromptTokens: prompt}
 }
 
-// outcome is the reason of a refusal, or "queued".
+// outcome returns the reason of a refusal, or "queued".
 func outcome(err error) string {
 	if err != nil {
 		return string(failure.ReasonOf(err))
@@ -53,8 +53,8 @@
 		{"short before long of the same organisation", []Work{work("a", 0, 8000), work("a", 0, 100)}, []int{1, 0}},
 		{"short before long of another", []Work{work("a", 0, 8000), work("b", 0, 100)}, []int{1, 0}},
 		{"equal in order of arrival", []Work{work("a", 1, 100), work("a", 1, 100)}, []int{0, 1}},
-		{"driver before letter", []Work{work("a", 1, 1000), work("a", 0, 1000)}, []int{1, 0}},
-		{"organisations take turns", []Work{work("a", 1, 100), work("a", 1, 100), work("b", 1, 101)}, []int{0, 2, 1}},
+		{"higher class before lower", []Work{work("a", 1, 1000), work("a", 0, 1000)}, []int{1, 0}},
+		{"organisations alternate", []Work{work("a", 1, 100), work("a", 1, 100), work("b", 1, 101)}, []int{0, 2, 1}},
 		{"heavier organisation goes first", []Work{work("a", 1, 100), {Organisation: "b", Priority: 1, PromptTokens: 150, Weight: 2}}, []int{1, 0}},
 	}
 	for _, test := range tests {
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestSharesFollowWeights keeps three flows backlogged and compares what they get.
+// TestSharesFollowWeights keeps three flows backlogged and compares the cost that each is served.
 func TestSharesFollowWeights(t *testing.T) {
 	q := newQueue(func(c *Config) { c.MaxWait = time.Hour }, unlimited)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -103,13 +103,13 @@
 	total := got["a"] + got["b"] + got["c"]
 	for name, weight := range weights {
 		if share := got[name] / total; share < weight/8*0.9 || share > weight/8*1.1 {
-			t.Errorf("%s got %.3f, want about %.3f", name, share, weight/8)
+			t.Errorf("%s was served a share of %.3f, want about %.3f", name, share, weight/8)
 		}
 	}
 }
 
-// TestLongIsNotStarved offers short requests without end behind a long one.
-func TestLongIsNotStarved(t *testing.T) {
+// TestLongRequestIsNotStarved offers a continuous sequence of short requests after a long one.
+func TestLongRequestIsNotStarved(t *testing.T) {
 	q := newQueue(func(c *Config) { c.MaxWait = time.Hour }, unlimited)
 	long, _, _ := q.Offer(0, work("a", 0, 8000), 0)
 	for i := 1; i < 20_000; i++ {
@@ -137,7 +137,7 @@
 		name   string
 		before []Work
 		w      Work
-		// service is w's; the time is 99 seconds.
+		// service is the predicted service time of w, which is offered at 99 seconds.
 		service time.Duration
 		want    string
 		after   time.Duration
@@ -148,7 +148,7 @@
 		{"others' backlog counts by weight", []Work{work("b", 2, 9000)}, late, 500 * time.Millisecond, "queued", 0},
 		{"organisation's queue full", []Work{work("a", 0, 1), work("a", 0, 1)}, work("a", 0, 1), 0, "queue-full", time.Second},
 		{"queue full", []Work{work("b", 0, 1), work("c", 0, 1)}, work("a", 0, 1), 0, "queue-full", time.Second},
-		{"room made by a lower class", []Work{work("b", 1, 1), work("c", 2, 1)}, work("a", 0, 1), 0, "queued", 0},
+		{"lower class displaced", []Work{work("b", 1, 1), work("c", 2, 1)}, work("a", 0, 1), 0, "queued", 0},
 		{"over its rate", []Work{work("limited", 0, 31_000)}, work("limited", 0, 2000), 0, "organisation-limit", 10 * time.Second},
 	}
 	for _, test := range tests {
@@ -168,52 +168,52 @@
 			_, displaced, err := q.Offer(99*time.Second, test.w, test.service)
 			equal(t, "", test.want, outcome(err))
 			if displaced != nil && (displaced.Work.Organisation != "c" || displaced.waiting()) {
-				t.Errorf("displaced %+v", displaced.Work)
+				t.Errorf("displaced the wrong request: %+v", displaced.Work)
 			}
 			var refusal *failure.Request
 			if errors.As(err, &refusal) && (refusal.Ran != failure.NotRun || refusal.RetryAfter < test.after) {
 				t.Errorf("ran %s, retry after %v, want not-run and at least %v", refusal.Ran, refusal.RetryAfter, test.after)
 			}
 			if q.Len() > 2 {
-				t.Errorf("%d wait, the bound is 2", q.Len())
+				t.Errorf("%d requests wait, want at most 2", q.Len())
 			}
 		})
 	}
 }
 
-// TestPump has a letter for which no engine is ready and questions for which
-// one is, and tells what is sent when.
+// TestPump queues a request with a varying prediction ahead of two requests that are always ready,
+// and checks which of them leave the queue at a given time.
 func TestPump(t *testing.T) {
-	letter := work("a", 0, 100)
-	letter.Deadline = 4 * time.Second
-	question := work("b", 1, 10_000)
+	first := work("a", 0, 100)
+	first.Deadline = 4 * time.Second
+	other := work("b", 1, 10_000)
 	tests := []struct {
-		name    string
-		now     time.Duration
-		letter  Prediction
-		err     error
-		want    []string
-		waiting int
+		name       string
+		now        time.Duration
+		prediction Prediction
+		err        error
+		want       []string
+		waiting    int
 	}{
-		{"passed over", 0, Prediction{}, nil, []string{"b queued", "b queued"}, 1},
-		{"passed over, could queue", 0, Prediction{Queueable: true}, nil, []string{"b queued", "b queued"}, 1},
+		{"overtaken", 0, Prediction{}, nil, []string{"b queued", "b queued"}, 1},
+		{"overtaken, could queue", 0, Prediction{Queueable: true}, nil, []string{"b queued", "b queued"}, 1},
 		{"ready", 0, Prediction{Ready: true}, nil, []string{"a queued", "b queued", "b queued"}, 0},
 		{"overdue, could queue", 2 * time.Second, Prediction{Queueable: true}, nil, []string{"a queued", "b queued", "b queued"}, 0},
-		{"overdue, holds up", 2 * time.Second, Prediction{}, nil, nil, 3},
-		{"too late by now", 2 * time.Second, Prediction{Ready: true, ServiceTime: 3 * time.Second}, nil, []string{"a deadline-unreachable", "b queued", "b queued"}, 0},
-		{"no endpoint", 0, Prediction{}, refuse(failure.NoEndpoint, 0, ""), []string{"a no-endpoint", "b queued", "b queued"}, 0},
+		{"overdue, blocks the others", 2 * time.Second, Prediction{}, nil, nil, 3},
+		{"deadline can no longer be met", 2 * time.Second, Prediction{Ready: true, ServiceTime: 3 * time.Second}, nil, []string{"a deadline-unreachable", "b queued", "b queued"}, 0},
+		{"no endpoint", 0, Prediction{}, refusal(failure.NoEndpoint, 0, ""), []string{"a no-endpoint", "b queued", "b queued"}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			q := newQueue(nil, unlimited)
-			for _, w := range []Work{letter, question, question} {
+			for _, w := range []Work{first, other, other} {
 				if _, _, err := q.Offer(0, w, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
 			predict := func(_ time.Duration, w *Work) (Prediction, error) {
 				if w.Organisation == "a" {
-					return test.letter, test.err
+					return test.prediction, test.err
 				}
 				return Prediction{Ready: true}, nil
 			}
@@ -223,13 +223,13 @@
 			})
 			equal(t, "", test.want, got)
 			if q.Len() != test.waiting {
-				t.Errorf("%d wait, want %d", q.Len(), test.waiting)
+				t.Errorf("%d requests wait, want %d", q.Len(), test.waiting)
 			}
 		})
 	}
 }
 
-func TestConcurrencyIsHeldAndPassedOver(t *testing.T) {
+func TestConcurrencyLimitSkipsFlow(t *testing.T) {
 	q := newQueue(nil, func(name string) OrganisationLimit {
 		if name == "a" {
 			return OrganisationLimit{Concurrent: 1}
@@ -251,8 +251,8 @@
 	equal(t, "", []string{"a", "b", "done", "a"}, got)
 }
 
-// TestLimitsOverNodes checks the stated error bound: what all nodes let through
-// together, however an organisation's callers are spread.
+// TestLimitsOverNodes checks the documented error bound of Limits: the cost that all nodes admit
+// together, however the callers of an organisation are spread.
 func TestLimitsOverNodes(t *testing.T) {
 	const nodes, limit, length = 8, 10_000.0, 60
 	cfg := DefaultLimits()
@@ -269,7 +269,7 @@
 		total := 0.0
 		for i := range length * 100 {
 			w := work("a", 1, 500)
-			if all[pick(i)].take(time.Duration(i)*10*time.Millisecond, &w, 500) == nil {
+			if all[pick(i)].charge(time.Duration(i)*10*time.Millisecond, &w, 500) == nil {
 				total += 500
 			}
 		}
@@ -277,37 +277,38 @@
 		bound := cfg.Slack*limit*length + nodes*max(cfg.MinBurst, cfg.Burst.Seconds()*share)
 		least := share * length
 		if total > bound || total < least {
-			t.Errorf("%s: let through %.0f, want %.0f to %.0f", name, total, least, bound)
+			t.Errorf("%s: admitted %.0f, want %.0f to %.0f", name, total, least, bound)
 		}
 	}
 }
 
-// TestEachRequestHasOneFate takes random steps and checks the bookkeeping.
-func TestEachRequestHasOneFate(t *testing.T) {
+// TestEachRequestHasOneOutcome performs random operations and checks that each queued request is
+// sent, cancelled, displaced or still waiting.
+func TestEachRequestHasOneOutcome(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		q := newQueue(func(c *Config) { c.MaxQueue = 20; c.MaxPerOrganisation = 8 }, unlimited)
 		waiting := make(map[*Item]bool)
-		fates := make(map[string]int)
+		outcomes := make(map[string]int)
 		for i := range 3000 {
 			now := time.Duration(i) * time.Millisecond
 			switch random.IntN(5) {
 			case 0:
 				if head := q.Head(); head != nil {
 					if !waiting[head] {
-						t.Fatalf("seed %d: sent one that does not wait", seed)
+						t.Fatalf("seed %d: the head is not a waiting request", seed)
 					}
 					delete(waiting, head)
 					q.Send(now, head)
-					fates["sent"]++
+					outcomes["sent"]++
 				}
 			case 1:
 				for it := range waiting {
 					delete(waiting, it)
 					if !q.Cancel(now, it) || q.Cancel(now, it) {
-						t.Fatalf("seed %d: cancel told wrong", seed)
+						t.Fatalf("seed %d: Cancel returned the wrong result", seed)
 					}
-					fates["cancelled"]++
+					outcomes["cancelled"]++
 					break
 				}
 			default:
@@ -315,26 +316,25 @@
 				it, displaced, err := q.Offer(now, w, 0)
 				if displaced != nil {
 					delete(waiting, displaced)
-					fates["displaced"]++
+					outcomes["displaced"]++
 				}
 				if err == nil {
 					waiting[it] = true
 				}
-				fates[outcome(err)]++
+				outcomes[outcome(err)]++
 			}
-			if q.Len() != len(waiting) || q.Len() > 20 || len(q.flows) > 20*maxIdleFlows+1 {
-				t.Fatalf("seed %d: %d wait, want %d; %d flows", seed, q.Len(), len(waiting), len(q.flows))
+			if q.Len() != len(waiting) || q.Len() > 20 || len(q.flows) > 20*idleFlowsPerSlot+1 {
+				t.Fatalf("seed %d: %d requests wait, want %d; %d flows", seed, q.Len(), len(waiting), len(q.flows))
 			}
 		}
-		if fates["sent"]+fates["cancelled"]+fates["displaced"]+len(waiting) != fates["queued"] || fates["displaced"] == 0 {
-			t.Errorf("seed %d: %v, %d wait", seed, fates, len(waiting))
+		if outcomes["sent"]+outcomes["cancelled"]+outcomes["displaced"]+len(waiting) != outcomes["queued"] || outcomes["displaced"] == 0 {
+			t.Errorf("seed %d: outcomes %v, %d requests wait", seed, outcomes, len(waiting))
 		}
 	}
 }
 
-// BenchmarkOrganisations gives the slopes of a queue: heap for each
-// organisation with limits, and the time to offer and send one request while n
-// organisations wait.
+// BenchmarkOrganisations measures the heap per organisation with limits, and the time to offer and
+// send one request while n organisations wait.
 func BenchmarkOrganisations(b *testing.B) {
 	for _, n := range []int{1, 100, 500} {
 		var before, after runtime.MemStats
--- a/costs/costs.go
+++ b/costs/costs.go
@@ -1,33 +1,33 @@
-// Package costs holds what the deciding packages assume of an engine's speed.
-// Routing predicts waits from it, the planner of roles predicts goodput from it.
+// Package costs defines the assumed speed of an engine, from which routing predicts waiting times
+// and role planning predicts goodput.
 package costs
 
 import "time"
 
-// Engine is the assumed speeds of one engine.
+// Engine holds the assumed speeds of one engine.
 type Engine struct {
-	// PrefillRate is prompt tokens a second.
+	// PrefillRate is the prefill speed in prompt tokens per second.
 	PrefillRate float64
-	// StepBase is the time of a decode step with an empty batch.
+	// StepBase is the duration of a decode step with an empty batch.
 	StepBase time.Duration
-	// StepPerSequence is what each running sequence adds to a step.
+	// StepPerSequence is the time that each running sequence adds to a step.
 	StepPerSequence time.Duration
-	// StepPerContext is what each token of context being decoded adds to a
-	// step, in nanoseconds.
+	// StepPerContext is the time in nanoseconds that each token of decoded context adds to a step.
 	StepPerContext float64
-	// MixedChunk and DecodeChunk are the prompt tokens that an engine of the
-	// role puts into one step beside its decoding sequences.
+	// MixedChunk and DecodeChunk are the numbers of prompt tokens that an engine of the role
+	// processes in one step along with its decoding sequences.
 	MixedChunk, DecodeChunk int
-	// MaxBatch is the number of sequences that run together.
+	// MaxBatch is the maximum number of sequences that run at the same time.
 	MaxBatch int
-	// MoveLatency and MoveRate (tokens a second) are the cost of moving KV cache.
+	// MoveLatency and MoveRate (tokens per second) are the latency and throughput of a KV cache
+	// transfer between engines.
 	MoveLatency time.Duration
 	MoveRate    float64
 }
 
-// Defaults returns the speeds of an engine of eight accelerators with a model of
-// about 70 billion parameters. The stand-in engine is timed by them too: a test
-// holds enginemodel.DefaultParams to them.
+// Defaults returns the speeds of an engine with eight accelerators and a model of about 70 billion
+// parameters. A test checks that the stand-in engine (enginemodel.DefaultParams) has the same
+// timing.
 func Defaults() Engine {
 	return Engine{
 		PrefillRate:     8000,
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// equal reports how got differs from want.
+// equal fails the test if got differs from want.
 func equal(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -46,7 +46,7 @@
 	return Report{Endpoint: name, State: state, MeasuredAt: at}
 }
 
-func (s *Snapshot) named(name string) *Endpoint {
+func (s *Snapshot) endpoint(name string) *Endpoint {
 	for _, e := range s.Endpoints() {
 		if e.Name == name {
 			return e
@@ -72,27 +72,27 @@
 		{"in order", []Report{report("e", "i", 1, 1), report("e", "i", 2, 2)}, "i 2"},
 		{"older sequence is ignored", []Report{report("e", "i", 2, 2), report("e", "i", 1, 3)}, "i 2"},
 		{"new incarnation", []Report{report("e", "i", 9, 1), report("e", "j", 1, 2)}, "j 1"},
-		{"late report of a dead incarnation", []Report{report("e", "j", 1, 5), report("e", "i", 9, 4)}, "j 1"},
+		{"late report of an exited incarnation", []Report{report("e", "j", 1, 5), report("e", "i", 9, 4)}, "j 1"},
 		{"unknown endpoint", []Report{report("x", "i", 1, 1), report("e", "i", 3, 1)}, "i 3"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			together := newStore(NewInFlightLedger(), "e")
-			together.ApplyReports(10, test.reports...)
-			apart := newStore(NewInFlightLedger(), "e")
+			batched := newStore(NewInFlightLedger(), "e")
+			batched.ApplyReports(10, test.reports...)
+			separate := newStore(NewInFlightLedger(), "e")
 			for _, r := range test.reports {
-				apart.ApplyReports(10, r)
+				separate.ApplyReports(10, r)
 			}
-			for _, s := range []*Store{together, apart} {
-				e := s.Snapshot().named("e")
+			for _, s := range []*Store{batched, separate} {
+				e := s.Snapshot().endpoint("e")
 				equal(t, "", test.want, fmt.Sprint(e.Incarnation, " ", e.Load.Sequence))
 			}
 		})
 	}
 }
 
-// TestGroupsFollowSignals checks that any one signal takes an endpoint out, and
-// that an old snapshot does not change.
+// TestGroupsFollowSignals checks that any single leave signal removes an endpoint from its group,
+// and that earlier snapshots do not change.
 func TestGroupsFollowSignals(t *testing.T) {
 	s := newStore(NewInFlightLedger(), "e1", "e2", "e3", "e4")
 	if got := group(s.Snapshot()); got != nil {
@@ -116,9 +116,9 @@
 	equal(t, "", []string{"e1", "e4"}, group(s.Snapshot()))
 }
 
-// TestSlotIsCleanForItsNextOwner checks that nothing of a dropped endpoint
-// shows in the endpoint that takes its slot.
-func TestSlotIsCleanForItsNextOwner(t *testing.T) {
+// TestReusedSlotKeepsNoState checks that an endpoint in a reused slot has no state of the removed
+// endpoint that had the slot before.
+func TestReusedSlotKeepsNoState(t *testing.T) {
 	s := newStore(NewInFlightLedger(), "e1", "e2")
 	s.ApplyReports(1, report("e1", "i", 1, 1))
 	s.Reserve(1, Reservation{Endpoint: "e1", Attempt: "a", Work: Work{Requests: 1}})
@@ -128,12 +128,12 @@
 	s.SetSpecs(specs("e2", "e3"))
 	s.Release(2, "e1", "a")
 	s.Reserve(2, Reservation{Endpoint: "e1", Attempt: "b", Work: Work{Requests: 1}})
-	got := s.Snapshot().named("e3")
+	got := s.Snapshot().endpoint("e3")
 	if diff := cmp.Diff(&Endpoint{Spec: specs("e3")[0], Slot: 0}, got, cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if n := s.Snapshot().Prefix.Pairs(); n != 0 {
-		t.Errorf("%d pairs left", n)
+		t.Errorf("%d pairs are left in the prefix index", n)
 	}
 }
 
@@ -178,13 +178,13 @@
 		s.ApplyReports(0, report("e", "i", 0, 0))
 		for _, step := range steps {
 			step.do(s)
-			equal(t, fmt.Sprintf("%s, %s", name, step.name), step.want[name], s.Snapshot().named("e").LocalWork)
+			equal(t, fmt.Sprintf("%s, %s", name, step.name), step.want[name], s.Snapshot().endpoint("e").LocalWork)
 		}
 	}
 }
 
-// TestStoreUnderConcurrentUse gives the race detector something to look at and
-// checks that no reservation is lost.
+// TestStoreUnderConcurrentUse exercises the store under the race detector and checks that no
+// reservation is lost.
 func TestStoreUnderConcurrentUse(t *testing.T) {
 	names := []string{"e1", "e2", "e3"}
 	s := newStore(NewInFlightLedger(), names...)
@@ -201,17 +201,17 @@
 		})
 	}
 	group.Wait()
-	open := 0
+	inFlight := 0
 	for _, e := range s.Snapshot().Endpoints() {
-		open += e.LocalWork.InFlight.Requests
+		inFlight += e.LocalWork.InFlight.Requests
 	}
-	if open != 300 {
-		t.Errorf("open is %d, want 300", open)
+	if inFlight != 300 {
+		t.Errorf("%d requests are in flight, want 300", inFlight)
 	}
 }
 
-// BenchmarkStore gives the slopes of a store: heap for each engine
-// known, and processor time for a report, a reservation and its release.
+// BenchmarkStore measures the heap per engine and the processor time of a report, a reservation and
+// its release.
 func BenchmarkStore(b *testing.B) {
 	for _, n := range []int{12, 400, 2400} {
 		names := make([]string, n)
--- a/fleet/ledger.go
+++ b/fleet/ledger.go
@@ -6,189 +6,191 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// Reservation is work that this process sent to an endpoint.
+// Reservation is work that this process sends to an endpoint.
 type Reservation struct {
 	Endpoint string
-	// Attempt is the id that engine.Load.Recent names.
+	// Attempt is the attempt ID, as listed in engine.Load.Recent.
 	Attempt string
 	Work    Work
 }
 
-// Ledger keeps this process's own work at the endpoints, to make up for load
-// reports that lag. A Store calls it under its lock; it needs none of its own.
+// Ledger tracks the work of this process at the endpoints, to compensate for the lag of load
+// reports. A Store calls it under its lock, so implementations need no lock.
 //
-// The three ledgers differ in what counts as unseen by the last report.
-// MatchedLedger follows "Resource Quota - reservations" in keeping what is
-// reserved apart from what is reported as used, until the report has caught up.
+// The implementations differ in the work that they count as missing from the last report.
+// MatchedLedger separates reserved from reported usage until a report includes the reservation,
+// like the reservations of a resource quota.
 type Ledger interface {
 	// Reserve records work that is about to be sent.
 	Reserve(now time.Duration, r Reservation)
-	// MarkPrefilled tells that an attempt's prompt is computed: its prompt tokens
-	// no longer wait. Unknown attempts are ignored.
+	// MarkPrefilled records that the prompt of an attempt has been computed, so that its prompt
+	// tokens no longer wait. Unknown attempts are ignored.
 	MarkPrefilled(endpoint, attempt string)
-	// Release ends it, whatever became of it. Unknown attempts are ignored.
+	// Release ends a reservation, whatever the outcome of the attempt. Unknown attempts are
+	// ignored.
 	Release(endpoint, attempt string)
-	// Observe takes in a load report of an endpoint.
+	// Observe processes a load report of an endpoint.
 	Observe(now time.Duration, endpoint string, load engine.Load)
-	// Forget drops all work at an endpoint that lost it (a new incarnation).
+	// Forget drops all work at an endpoint that has lost it by a restart (a new incarnation).
 	Forget(endpoint string)
-	// LocalWork returns the work at an endpoint.
+	// LocalWork returns the work of this process at an endpoint.
 	LocalWork(now time.Duration, endpoint string) LocalWork
 }
 
-// entry is one reservation in a book.
-type entry struct {
-	work Work
-	at   time.Duration
-	seen bool
+// trackedAttempt is one reservation. reported is set once its work counts as included in the load
+// reports.
+type trackedAttempt struct {
+	work       Work
+	reservedAt time.Duration
+	reported   bool
 }
 
-// book is the reservations at one endpoint. Invariant: own.InFlight is the sum of
-// all entries, own.Unreported the sum of those not seen.
-type book struct {
-	own     LocalWork
-	entries map[string]entry
+// endpointLoad holds the reservations at one endpoint. Invariant: work.InFlight is the sum over all
+// attempts, work.Unreported the sum over those that are not reported.
+type endpointLoad struct {
+	work     LocalWork
+	attempts map[string]trackedAttempt
 }
 
-// books is the bookkeeping that the ledgers share.
-type books map[string]*book
+// loadTracker is the part shared by the ledgers. It is keyed by endpoint name.
+type loadTracker map[string]*endpointLoad
 
-// Reserve implements Ledger. Reserving an attempt twice is idempotent.
-func (b books) Reserve(now time.Duration, r Reservation) {
-	at := b[r.Endpoint]
-	if at == nil {
-		at = &book{entries: make(map[string]entry)}
-		b[r.Endpoint] = at
+// Reserve implements Ledger. It is idempotent for an attempt.
+func (b loadTracker) Reserve(now time.Duration, r Reservation) {
+	load := b[r.Endpoint]
+	if load == nil {
+		load = &endpointLoad{attempts: make(map[string]trackedAttempt)}
+		b[r.Endpoint] = load
 	}
-	if _, twice := at.entries[r.Attempt]; twice {
+	if _, exists := load.attempts[r.Attempt]; exists {
 		return
 	}
-	at.entries[r.Attempt] = entry{work: r.Work, at: now}
-	at.own.InFlight = at.own.InFlight.Add(r.Work)
-	at.own.Unreported = at.own.Unreported.Add(r.Work)
+	load.attempts[r.Attempt] = trackedAttempt{work: r.Work, reservedAt: now}
+	load.work.InFlight = load.work.InFlight.Add(r.Work)
+	load.work.Unreported = load.work.Unreported.Add(r.Work)
 }
 
-// MarkPrefilled implements Ledger. Telling it twice is idempotent.
-func (b books) MarkPrefilled(endpoint, attempt string) {
-	at := b[endpoint]
-	if at == nil {
+// MarkPrefilled implements Ledger. It is idempotent for an attempt.
+func (b loadTracker) MarkPrefilled(endpoint, attempt string) {
+	load := b[endpoint]
+	if load == nil {
 		return
 	}
-	e, ok := at.entries[attempt]
+	e, ok := load.attempts[attempt]
 	if !ok {
 		return
 	}
 	computed := Work{PromptTokens: e.work.PromptTokens}
 	e.work = e.work.sub(computed)
-	at.entries[attempt] = e
-	at.own.InFlight = at.own.InFlight.sub(computed)
-	if !e.seen {
-		at.own.Unreported = at.own.Unreported.sub(computed)
+	load.attempts[attempt] = e
+	load.work.InFlight = load.work.InFlight.sub(computed)
+	if !e.reported {
+		load.work.Unreported = load.work.Unreported.sub(computed)
 	}
 }
 
 // Release implements Ledger.
-func (b books) Release(endpoint, attempt string) {
-	at := b[endpoint]
-	if at == nil {
+func (b loadTracker) Release(endpoint, attempt string) {
+	load := b[endpoint]
+	if load == nil {
 		return
 	}
-	at.see(attempt)
-	e, ok := at.entries[attempt]
+	load.markReported(attempt)
+	e, ok := load.attempts[attempt]
 	if !ok {
 		return
 	}
-	at.own.InFlight = at.own.InFlight.sub(e.work)
-	delete(at.entries, attempt)
-	if len(at.entries) == 0 {
+	load.work.InFlight = load.work.InFlight.sub(e.work)
+	delete(load.attempts, attempt)
+	if len(load.attempts) == 0 {
 		delete(b, endpoint)
 	}
 }
 
 // Forget implements Ledger.
-func (b books) Forget(endpoint string) { delete(b, endpoint) }
+func (b loadTracker) Forget(endpoint string) { delete(b, endpoint) }
 
-func (b *book) see(attempt string) {
-	e, ok := b.entries[attempt]
-	if !ok || e.seen {
+// markReported counts an attempt as included in the load reports.
+func (b *endpointLoad) markReported(attempt string) {
+	e, ok := b.attempts[attempt]
+	if !ok || e.reported {
 		return
 	}
-	e.seen = true
-	b.entries[attempt] = e
-	b.own.Unreported = b.own.Unreported.sub(e.work)
+	e.reported = true
+	b.attempts[attempt] = e
+	b.work.Unreported = b.work.Unreported.sub(e.work)
 }
 
-// ReportedOnlyLedger trusts reports alone: nothing is ever unseen.
-type ReportedOnlyLedger struct{ books }
+// ReportedOnlyLedger relies on load reports alone: no work counts as unreported.
+type ReportedOnlyLedger struct{ loadTracker }
 
 // NewReportedOnlyLedger returns an empty ledger.
-func NewReportedOnlyLedger() *ReportedOnlyLedger { return &ReportedOnlyLedger{make(books)} }
+func NewReportedOnlyLedger() *ReportedOnlyLedger { return &ReportedOnlyLedger{make(loadTracker)} }
 
 // Observe implements Ledger.
 func (*ReportedOnlyLedger) Observe(time.Duration, string, engine.Load) {}
 
 // LocalWork implements Ledger.
 func (l *ReportedOnlyLedger) LocalWork(_ time.Duration, endpoint string) LocalWork {
-	if at := l.books[endpoint]; at != nil {
-		return LocalWork{InFlight: at.own.InFlight}
+	if load := l.loadTracker[endpoint]; load != nil {
+		return LocalWork{InFlight: load.work.InFlight}
 	}
 	return LocalWork{}
 }
 
-// InFlightLedger adds all own work in flight to the report, seen by it or not.
-type InFlightLedger struct{ books }
+// InFlightLedger counts all local work in flight as unreported.
+type InFlightLedger struct{ loadTracker }
 
 // NewInFlightLedger returns an empty ledger.
-func NewInFlightLedger() *InFlightLedger { return &InFlightLedger{make(books)} }
+func NewInFlightLedger() *InFlightLedger { return &InFlightLedger{make(loadTracker)} }
 
 // Observe implements Ledger.
 func (*InFlightLedger) Observe(time.Duration, string, engine.Load) {}
 
 // LocalWork implements Ledger.
 func (l *InFlightLedger) LocalWork(_ time.Duration, endpoint string) LocalWork {
-	if at := l.books[endpoint]; at != nil {
-		return at.own
+	if load := l.loadTracker[endpoint]; load != nil {
+		return load.work
 	}
 	return LocalWork{}
 }
 
-// MatchedLedger counts work as unseen until a report names its attempt, or
-// until it expires (a report names a bounded number of attempts).
+// MatchedLedger counts work as unreported until a report lists its attempt, or until it expires (a
+// report lists a bounded number of attempts).
 type MatchedLedger struct {
-	books
+	loadTracker
 	expiry time.Duration
 }
 
-// DefaultExpiry is longer than the reports' usual lag.
+// DefaultExpiry exceeds the usual lag of load reports.
 const DefaultExpiry = 4 * time.Second
 
-// NewMatchedLedger returns an empty ledger whose reservations count as seen
-// after expiry.
+// NewMatchedLedger returns an empty ledger in which reservations count as reported after expiry.
 func NewMatchedLedger(expiry time.Duration) *MatchedLedger {
-	return &MatchedLedger{books: make(books), expiry: expiry}
+	return &MatchedLedger{loadTracker: make(loadTracker), expiry: expiry}
 }
 
 // Observe implements Ledger.
 func (l *MatchedLedger) Observe(_ time.Duration, endpoint string, load engine.Load) {
-	at := l.books[endpoint]
-	if at == nil {
+	tracked := l.loadTracker[endpoint]
+	if tracked == nil {
 		return
 	}
 	for _, attempt := range load.Recent {
-		at.see(attempt)
+		tracked.markReported(attempt)
 	}
 }
 
-// LocalWork implements Ledger. It expires what is too old first.
+// LocalWork implements Ledger. It first marks expired reservations as reported.
 func (l *MatchedLedger) LocalWork(now time.Duration, endpoint string) LocalWork {
-	at := l.books[endpoint]
-	if at == nil {
+	load := l.loadTracker[endpoint]
+	if load == nil {
 		return LocalWork{}
 	}
-	for attempt, e := range at.entries {
-		if !e.seen && now-e.at >= l.expiry {
-			at.see(attempt)
+	for attempt, e := range load.attempts {
+		if !e.reported && now-e.reservedAt >= l.expiry {
+			load.markReported(attempt)
 		}
 	}
-	return at.own
+	return load.work
 }
--- a/fleet/poller.go
+++ b/fleet/poller.go
@@ -13,35 +13,35 @@
 	"github.com/springweir/springweir/internal/loop"
 )
 
-// Source is what a Poller reads of one engine; engine.Engine is one.
-// Implementations are safe for concurrent use.
+// Source reads the state of one engine for a Poller; engine.Engine implements it. Implementations
+// must be safe for concurrent use.
 type Source interface {
 	// State reads the engine's state and its load report.
 	State(ctx context.Context) (engine.State, error)
-	// Events reads cache events from sequence since; zero asks for everything.
+	// Events reads cache events from sequence since. Zero requests all of them.
 	Events(ctx context.Context, since uint64) (engine.CacheEvents, error)
 }
 
-// PollScope is what a node asks an engine in a round.
+// PollScope is what a poll reads from an engine.
 type PollScope uint8
 
-// The questions.
+// Scopes of a poll.
 const (
-	// PollNothing leaves the engine alone.
+	// PollNothing skips the engine.
 	PollNothing PollScope = iota
-	// PollState asks for the state and the load report.
+	// PollState reads the state and the load report.
 	PollState
-	// PollStateAndCache asks for the cache events as well.
+	// PollStateAndCache also reads the cache events.
 	PollStateAndCache
 )
 
-// PollerConfig holds the choices of a Poller.
+// PollerConfig configures a Poller.
 type PollerConfig struct {
 	// Interval is the time between two polls of an engine.
 	Interval time.Duration
-	// Timeout bounds one poll.
+	// Timeout bounds the duration of a poll.
 	Timeout time.Duration
-	// Workers is the number of polls at once.
+	// Workers is the number of concurrent polls.
 	Workers int
 }
 
@@ -50,68 +50,68 @@
 	pollsFailed = metrics.NewCounter("springweir_fleet_poll_failures_total")
 )
 
-// Poller reads the engines that are this node's to poll into a Store, with a
-// pool of workers. An engine that does not answer holds up one worker for at
-// most Timeout and is not asked again meanwhile.
+// Poller reads the engines assigned to this node into a Store, with a pool of workers. An engine
+// that does not respond occupies one worker for at most Timeout and is not polled again in the
+// meantime.
 //
-// Lock order: Poller.mu is never held with another lock.
+// Lock order: no other lock is taken under Poller.mu.
 type Poller struct {
 	cfg   PollerConfig
 	store *Store
 	now   func() time.Duration
-	// open returns the source of an endpoint.
-	open func(e *Endpoint) Source
-	// mine tells what this node asks an endpoint (see package peer/share).
-	mine func(e *Endpoint) PollScope
-	// heard gets each report, to be shared with peers. It may be nil.
-	heard func(Report)
+	// sourceOf returns the source of an endpoint.
+	sourceOf func(e *Endpoint) Source
+	// scopeOf returns what this node polls of an endpoint (see package peer/share).
+	scopeOf func(e *Endpoint) PollScope
+	// onReport receives each report, to be shared with peers.
+	onReport func(Report)
 
 	mu      sync.Mutex
 	polling map[string]bool
 }
 
-// NewPoller returns a poller that reads into store.
-func NewPoller(cfg PollerConfig, store *Store, now func() time.Duration, open func(*Endpoint) Source, mine func(*Endpoint) PollScope, heard func(Report)) *Poller {
-	if heard == nil {
-		heard = func(Report) {}
+// NewPoller returns a poller that reads into store. onReport may be nil.
+func NewPoller(cfg PollerConfig, store *Store, now func() time.Duration, sourceOf func(*Endpoint) Source, scopeOf func(*Endpoint) PollScope, onReport func(Report)) *Poller {
+	if onReport == nil {
+		onReport = func(Report) {}
 	}
-	return &Poller{cfg: cfg, store: store, now: now, open: open, mine: mine, heard: heard, polling: make(map[string]bool)}
+	return &Poller{cfg: cfg, store: store, now: now, sourceOf: sourceOf, scopeOf: scopeOf, onReport: onReport, polling: make(map[string]bool)}
 }
 
-// Run polls until ctx ends.
+// Run polls until ctx is done.
 func (p *Poller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	todo := make(chan poll)
+	tasks := make(chan pollTask)
 	for range p.cfg.Workers {
 		group.Go(func() error {
-			for one := range todo {
-				p.poll(ctx, one)
+			for task := range tasks {
+				p.poll(ctx, task)
 			}
 			return nil
 		})
 	}
 	group.Go(func() error {
-		defer close(todo)
-		p.schedule(ctx, todo)
+		defer close(tasks)
+		p.schedule(ctx, tasks)
 		return nil
 	})
 	return group.Wait()
 }
 
-// schedule hands out each engine once in an interval, evenly spread over it.
-func (p *Poller) schedule(ctx context.Context, todo chan<- poll) {
+// schedule queues each engine once per interval, evenly spread over the interval.
+func (p *Poller) schedule(ctx context.Context, tasks chan<- pollTask) {
 	for ctx.Err() == nil {
 		round := time.NewTimer(p.cfg.Interval)
 		due := p.due()
 		pause := p.cfg.Interval / time.Duration(len(due)+1)
-		for _, one := range due {
-			if !p.begin(one.endpoint.Name) {
+		for _, task := range due {
+			if !p.tryStart(task.endpoint.Name) {
 				continue
 			}
 			select {
-			case todo <- one:
+			case tasks <- task:
 			case <-ctx.Done():
-				p.end(one.endpoint.Name)
+				p.finish(task.endpoint.Name)
 				return
 			}
 			loop.Sleep(ctx, pause)
@@ -125,26 +125,28 @@
 	}
 }
 
-// poll is one endpoint to be asked.
-type poll struct {
+// pollTask is one endpoint to poll.
+type pollTask struct {
 	endpoint *Endpoint
-	question PollScope
+	scope    PollScope
 }
 
-func (p *Poller) due() []poll {
-	var due []poll
+// due returns the engines to poll in this interval.
+func (p *Poller) due() []pollTask {
+	var due []pollTask
 	for _, e := range p.store.Snapshot().Endpoints() {
 		if e.Kind != Engine {
 			continue
 		}
-		if q := p.mine(e); q != PollNothing {
-			due = append(due, poll{endpoint: e, question: q})
+		if scope := p.scopeOf(e); scope != PollNothing {
+			due = append(due, pollTask{endpoint: e, scope: scope})
 		}
 	}
 	return due
 }
 
-func (p *Poller) begin(name string) bool {
+// tryStart marks an endpoint as being polled, and reports whether it was not already.
+func (p *Poller) tryStart(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.polling[name] {
@@ -154,18 +156,18 @@
 	return true
 }
 
-func (p *Poller) end(name string) {
+func (p *Poller) finish(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.polling, name)
 }
 
-func (p *Poller) poll(ctx context.Context, one poll) {
-	e := one.endpoint
-	defer p.end(e.Name)
+func (p *Poller) poll(ctx context.Context, task pollTask) {
+	e := task.endpoint
+	defer p.finish(e.Name)
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
-	if err := p.read(ctx, e, one.question); err != nil {
+	if err := p.read(ctx, e, task.scope); err != nil {
 		pollsFailed.Inc()
 		klog.V(2).Infof("fleet: poll of %s failed: %v", e.Name, err)
 		return
@@ -173,11 +175,11 @@
 	pollsDone.Inc()
 }
 
-func (p *Poller) read(ctx context.Context, e *Endpoint, q PollScope) error {
-	source := p.open(e)
-	// The state is taken as measured when the question left, so that a slow
-	// answer never looks fresher than it is.
-	asked := p.now()
+func (p *Poller) read(ctx context.Context, e *Endpoint, scope PollScope) error {
+	source := p.sourceOf(e)
+	// The state counts as measured when the request was sent, so that a slow response never appears
+	// more recent than it is.
+	sentAt := p.now()
 	state, err := source.State(ctx)
 	if err != nil {
 		return err
@@ -185,11 +187,11 @@
 	r := Report{
 		Endpoint:   e.Name,
 		State:      state,
-		MeasuredAt: asked - time.Duration(state.Load.AgeMillis)*time.Millisecond,
+		MeasuredAt: sentAt - time.Duration(state.Load.AgeMillis)*time.Millisecond,
 	}
 	p.store.ApplyReports(p.now(), r)
-	p.heard(r)
-	if q == PollState {
+	p.onReport(r)
+	if scope == PollState {
 		return nil
 	}
 	since := p.store.EventsSince(e.Name)
--- a/fleet/poller_test.go
+++ b/fleet/poller_test.go
@@ -12,15 +12,15 @@
 	"github.com/springweir/springweir/prefix"
 )
 
-// script is a Source that answers from memory, or never when frozen.
-type script struct {
-	mu     sync.Mutex
-	frozen bool
-	polls  uint64
-	asked  []uint64
+// fakeSource is a Source that responds from memory, or blocks until the context is done if frozen.
+type fakeSource struct {
+	mu           sync.Mutex
+	frozen       bool
+	polls        uint64
+	eventQueries []uint64
 }
 
-func (s *script) State(ctx context.Context) (engine.State, error) {
+func (s *fakeSource) State(ctx context.Context) (engine.State, error) {
 	s.mu.Lock()
 	s.polls++
 	polls, frozen := s.polls, s.frozen
@@ -32,11 +32,11 @@
 	return engine.State{Incarnation: "i", Role: engine.Mixed, Load: engine.Load{Sequence: polls, AgeMillis: 100}}, nil
 }
 
-func (s *script) Events(_ context.Context, since uint64) (engine.CacheEvents, error) {
+func (s *fakeSource) Events(_ context.Context, since uint64) (engine.CacheEvents, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, since)
-	switch len(s.asked) {
+	s.eventQueries = append(s.eventQueries, since)
+	switch len(s.eventQueries) {
 	case 1:
 		return engine.CacheEvents{Incarnation: "i", Snapshot: []uint64{1}, Next: 5}, nil
 	case 2:
@@ -51,13 +51,13 @@
 		now := func() time.Duration { return time.Since(start) }
 		s := NewStore("a", NewInFlightLedger(), prefix.NewViews(1000))
 		s.SetSpecs(specs("e1", "e2", "frozen", "other"))
-		sources := map[string]*script{"e1": {}, "e2": {}, "frozen": {frozen: true}, "other": {}}
-		questions := map[string]PollScope{"e1": PollStateAndCache, "e2": PollState, "frozen": PollStateAndCache}
+		sources := map[string]*fakeSource{"e1": {}, "e2": {}, "frozen": {frozen: true}, "other": {}}
+		scopes := map[string]PollScope{"e1": PollStateAndCache, "e2": PollState, "frozen": PollStateAndCache}
 		var shared atomic.Int64
 		cfg := PollerConfig{Interval: time.Second, Timeout: 3300 * time.Millisecond, Workers: 2}
 		p := NewPoller(cfg, s, now,
 			func(e *Endpoint) Source { return sources[e.Name] },
-			func(e *Endpoint) PollScope { return questions[e.Name] },
+			func(e *Endpoint) PollScope { return scopes[e.Name] },
 			func(Report) { shared.Add(1) })
 		ctx, cancel := context.WithTimeout(t.Context(), 9900*time.Millisecond)
 		defer cancel()
@@ -73,19 +73,19 @@
 		if sources["other"].polls != 0 || shared.Load() != 20 {
 			t.Errorf("other polled %d times, %d reports shared", sources["other"].polls, shared.Load())
 		}
-		if e2 := sources["e2"]; e2.polls != 10 || len(e2.asked) != 0 {
-			t.Errorf("e2 was polled %d times and asked for its cache %d times, want 10 and 0", e2.polls, len(e2.asked))
+		if e2 := sources["e2"]; e2.polls != 10 || len(e2.eventQueries) != 0 {
+			t.Errorf("e2 was polled %d times and its cache events were read %d times, want 10 and 0", e2.polls, len(e2.eventQueries))
 		}
 		snapshot := s.Snapshot()
-		if e := snapshot.named("e1"); !e.Reported || now()-e.MeasuredAt < 600*time.Millisecond {
-			t.Errorf("e1 known %v, measured %v ago", e.Reported, now()-e.MeasuredAt)
+		if e := snapshot.endpoint("e1"); !e.Reported || now()-e.MeasuredAt < 600*time.Millisecond {
+			t.Errorf("e1: reported %v, measured %v ago", e.Reported, now()-e.MeasuredAt)
 		}
-		if snapshot.named("frozen").Reported {
-			t.Error("the frozen engine is known")
+		if snapshot.endpoint("frozen").Reported {
+			t.Error("the frozen engine counts as reported")
 		}
-		hit := snapshot.Prefix.Chain([]uint64{1, 2}).Depth(snapshot.named("e1").Slot)
-		if hit.Blocks != 2 || hit.Uncertain || sources["e1"].asked[2] != 0 {
-			t.Errorf("after a gap: %+v, asked %v", hit, sources["e1"].asked)
+		hit := snapshot.Prefix.Chain([]uint64{1, 2}).Depth(snapshot.endpoint("e1").Slot)
+		if hit.Blocks != 2 || hit.Uncertain || sources["e1"].eventQueries[2] != 0 {
+			t.Errorf("after a gap: %+v, events requested from %v", hit, sources["e1"].eventQueries)
 		}
 	})
 }
--- a/fleet/reserve.go
+++ b/fleet/reserve.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RecordSpill counts prompt tokens sent to another zone against its room.
+// RecordSpill counts prompt tokens sent to another zone against its prompt budget.
 func (s *Store) RecordSpill(zone string, promptTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -19,8 +19,8 @@
 	s.snapshot.Store(&next)
 }
 
-// Reserve records work that is about to be sent, so that the next decision sees
-// it. An endpoint that was dropped meanwhile has no book and is ignored.
+// Reserve records work that is about to be sent, so that the next decision includes it. Endpoints
+// that have been removed are ignored.
 func (s *Store) Reserve(now time.Duration, r Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,17 +28,17 @@
 		return
 	}
 	s.ledger.Reserve(now, r)
-	s.refresh(now, r.Endpoint)
+	s.refreshLocalWork(now, r.Endpoint)
 }
 
-// MarkPrefilled records that an attempt's prompt is computed (its first token came),
-// so that it no longer counts as waiting for prefill. While reports are stale
-// nothing else tells so before the whole answer is done.
+// MarkPrefilled records that the prompt of an attempt has been computed (its first token has
+// arrived), so that it no longer counts as waiting for prefill. While load reports are stale, this
+// is the only such indication before the response is complete.
 func (s *Store) MarkPrefilled(now time.Duration, endpoint, attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.MarkPrefilled(endpoint, attempt)
-	s.refresh(now, endpoint)
+	s.refreshLocalWork(now, endpoint)
 }
 
 // Release ends a reservation.
@@ -46,11 +46,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Release(endpoint, attempt)
-	s.refresh(now, endpoint)
+	s.refreshLocalWork(now, endpoint)
 }
 
-func (s *Store) refresh(now time.Duration, endpoint string) {
-	if e := s.copyOf(endpoint); e != nil {
+func (s *Store) refreshLocalWork(now time.Duration, endpoint string) {
+	if e := s.clone(endpoint); e != nil {
 		e.LocalWork = s.ledger.LocalWork(now, endpoint)
 		s.publish(e)
 	}
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -8,20 +8,20 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// pageSize is the number of endpoints copied when one of them changes.
+// pageSize is the number of endpoint pointers copied when one endpoint changes.
 const pageSize = 32
 
 type page [pageSize]*Endpoint
 
-// Snapshot is an immutable picture of one zone. Its methods take no lock.
+// Snapshot is the immutable state of one zone. Its methods take no lock.
 //
-// Invariant: groups hold only slots of endpoints that are Available.
+// Invariant: groups contains only slots of endpoints that are Available.
 type Snapshot struct {
-	// Zone is the zone whose endpoints it holds.
+	// Zone is the zone of the endpoints.
 	Zone string
 	// EntryVMs is the number of live entry VMs in the zone, at least one.
 	EntryVMs int
-	// Prefix is the view of the engines' prefix caches, never nil.
+	// Prefix is the index of the engines' prefix caches. It is never nil.
 	Prefix *prefix.Index
 	// Zones are the summaries of the other zones.
 	Zones []ZoneSummary
@@ -31,10 +31,10 @@
 	groups map[GroupKey][]prefix.Slot
 }
 
-// Len returns the number of slots; some may be empty.
+// Len returns the number of slots, including empty ones.
 func (s *Snapshot) Len() int { return s.size }
 
-// At returns the endpoint in slot, or nil when the slot is empty.
+// At returns the endpoint in slot, or nil if the slot is empty.
 func (s *Snapshot) At(slot prefix.Slot) *Endpoint {
 	if int(slot) >= s.size {
 		return nil
@@ -42,17 +42,17 @@
 	return s.pages[slot/pageSize][slot%pageSize]
 }
 
-// Group returns the slots of the available endpoints of a group. The caller
-// must not change it.
+// Group returns the slots of the available endpoints of a group. The caller must not modify the
+// result.
 func (s *Snapshot) Group(key GroupKey) []prefix.Slot { return s.groups[key] }
 
-// Engines returns the group of available engines that have a loaded, in role.
+// Engines returns the slots of the available engines in role that have a loaded.
 func (s *Snapshot) Engines(a weightstore.Artifact, role engine.Role) []prefix.Slot {
 	return s.groups[GroupKey{Kind: Engine, Artifact: a, Role: role}]
 }
 
-// Endpoints returns all endpoints in slot order. It is for planning and status
-// pages; a routing decision uses groups.
+// Endpoints returns all endpoints in slot order. It is meant for planning and status pages; routing
+// decisions use groups.
 func (s *Snapshot) Endpoints() []*Endpoint {
 	all := make([]*Endpoint, 0, s.size)
 	for slot := range s.size {
@@ -63,8 +63,8 @@
 	return all
 }
 
-// with returns a copy of s in which the given endpoints take their slots. Only
-// the pages they stand on are copied, and the groups only when needed.
+// with returns a copy of s with the changed endpoints in their slots. It copies only the affected
+// pages, and rebuilds the groups only if a group may have changed.
 func (s *Snapshot) with(changed ...*Endpoint) *Snapshot {
 	next := *s
 	next.pages = slices.Clone(s.pages)
@@ -80,7 +80,7 @@
 	return &next
 }
 
-// put stores e in slot, copying the page unless it was already copied from base.
+// put stores e in slot, copying the page unless it has already been copied from base.
 func (s *Snapshot) put(base *Snapshot, slot prefix.Slot, e *Endpoint) {
 	n := int(slot) / pageSize
 	for len(s.pages) <= n {
@@ -110,20 +110,20 @@
 
 func (s *Snapshot) group(e *Endpoint) {
 	if e.Kind == Service {
-		s.join(GroupKey{Kind: Service, Service: e.Service}, e.Slot)
+		s.addMember(GroupKey{Kind: Service, Service: e.Service}, e.Slot)
 		return
 	}
 	for _, a := range e.Loaded {
-		s.join(GroupKey{Kind: Engine, Artifact: a, Role: e.Role}, e.Slot)
+		s.addMember(GroupKey{Kind: Engine, Artifact: a, Role: e.Role}, e.Slot)
 		if a.Version != "" {
 			a.Version = ""
-			s.join(GroupKey{Kind: Engine, Artifact: a, Role: e.Role}, e.Slot)
+			s.addMember(GroupKey{Kind: Engine, Artifact: a, Role: e.Role}, e.Slot)
 		}
 	}
 }
 
-// join adds slot to a group once: two versions of a model on one engine are one member.
-func (s *Snapshot) join(key GroupKey, slot prefix.Slot) {
+// addMember adds slot to a group once: an engine with two versions of a model is one member.
+func (s *Snapshot) addMember(key GroupKey, slot prefix.Slot) {
 	members := s.groups[key]
 	if n := len(members); n > 0 && members[n-1] == slot {
 		return
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -11,20 +11,20 @@
 	"github.com/springweir/springweir/prefix"
 )
 
-// Report is what an endpoint said of itself, by own poll or through a peer.
+// Report is the reported state of an endpoint, from a poll by this process or through a peer.
 type Report struct {
 	Endpoint string
 	State    engine.State
-	// MeasuredAt is when the load was measured, by this process's clock: the
-	// time of receipt less every age on the way.
+	// MeasuredAt is the time of the load measurement on the clock of this process: the time of
+	// receipt minus the ages added along the way.
 	MeasuredAt time.Duration
 }
 
-// Store folds specs, reports, cache events, health and own work into snapshots.
-// It is safe for concurrent use; Snapshot takes no lock.
+// Store combines specs, reports, cache events, health and local work into snapshots. It is safe for
+// concurrent use; Snapshot takes no lock.
 //
-// Lock order: Store.mu, then the lock inside prefix.Views. Nothing is called
-// back under Store.mu, and no I/O is done under it.
+// Lock order: Store.mu, then the lock inside prefix.Views. No callbacks and no I/O happen under
+// Store.mu.
 type Store struct {
 	mu     sync.Mutex
 	slots  map[string]prefix.Slot
@@ -42,45 +42,45 @@
 	return s
 }
 
-// Snapshot returns the newest picture.
+// Snapshot returns the latest snapshot.
 func (s *Store) Snapshot() *Snapshot { return s.snapshot.Load() }
 
-// SetSpecs makes specs the zone's endpoints. Endpoints not named are dropped;
-// those that stay keep their reports, health and own work.
+// SetSpecs replaces the endpoints of the zone. Endpoints that are not listed are removed; those
+// that remain keep their reports, health and local work.
 func (s *Store) SetSpecs(specs []Spec) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	named := make(map[string]bool, len(specs))
+	listed := make(map[string]bool, len(specs))
 	changed := make([]*Endpoint, 0, len(specs))
 	for _, spec := range specs {
-		named[spec.Name] = true
+		listed[spec.Name] = true
 	}
-	if s.anyOutside(named) {
-		s.drop(named)
+	if s.hasUnlisted(listed) {
+		s.removeUnlisted(listed)
 	}
 	for _, spec := range specs {
-		if e := s.respec(spec); e != nil {
+		if e := s.withSpec(spec); e != nil {
 			changed = append(changed, e)
 		}
 	}
 	s.publish(changed...)
 }
 
-// anyOutside tells whether there is an endpoint that is not named.
-func (s *Store) anyOutside(named map[string]bool) bool {
+// hasUnlisted reports whether the store has an endpoint that is not listed.
+func (s *Store) hasUnlisted(listed map[string]bool) bool {
 	for name := range s.slots {
-		if !named[name] {
+		if !listed[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// respec returns the endpoint as it is with spec, or nil when spec is no news.
-func (s *Store) respec(spec Spec) *Endpoint {
+// withSpec returns the endpoint updated with spec, or nil if spec has not changed.
+func (s *Store) withSpec(spec Spec) *Endpoint {
 	slot, ok := s.slots[spec.Name]
 	if !ok {
-		slot = s.takeSlot()
+		slot = s.allocateSlot()
 		s.slots[spec.Name] = slot
 		return &Endpoint{Spec: spec, Slot: slot}
 	}
@@ -92,7 +92,8 @@
 	return &e
 }
 
-func (s *Store) takeSlot() prefix.Slot {
+// allocateSlot returns a free slot.
+func (s *Store) allocateSlot() prefix.Slot {
 	if n := len(s.free); n > 0 {
 		slot := s.free[n-1]
 		s.free = s.free[:n-1]
@@ -101,13 +102,13 @@
 	return prefix.Slot(len(s.slots))
 }
 
-// drop removes the endpoints that are not named.
-func (s *Store) drop(named map[string]bool) {
+// removeUnlisted removes the endpoints that are not listed.
+func (s *Store) removeUnlisted(listed map[string]bool) {
 	base := s.Snapshot()
 	next := *base
 	next.pages = slices.Clone(base.pages)
 	for name, slot := range s.slots {
-		if named[name] {
+		if listed[name] {
 			continue
 		}
 		delete(s.slots, name)
@@ -121,8 +122,8 @@
 	s.snapshot.Store(&next)
 }
 
-// ApplyReports takes in reports that arrived at now. A report older than the one held
-// of the same incarnation is ignored.
+// ApplyReports applies reports received at now. A report older than the current one of the same
+// endpoint is ignored.
 func (s *Store) ApplyReports(now time.Duration, reports ...Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,11 +131,11 @@
 	seen := make(map[string]bool, len(reports))
 	for _, r := range reports {
 		if seen[r.Endpoint] {
-			// The second report of an endpoint is judged against the first.
+			// A second report of an endpoint is compared with the first.
 			s.publish(changed...)
 			changed = changed[:0]
 		}
-		if e := s.report(now, r); e != nil {
+		if e := s.withReport(now, r); e != nil {
 			changed = append(changed, e)
 			seen[r.Endpoint] = true
 		}
@@ -142,10 +143,10 @@
 	s.publish(changed...)
 }
 
-// report returns the endpoint as it is after r, or nil when r is no news.
-func (s *Store) report(now time.Duration, r Report) *Endpoint {
-	e := s.copyOf(r.Endpoint)
-	if e == nil || stale(e, r) {
+// withReport returns the endpoint updated with r, or nil if r is outdated or its endpoint unknown.
+func (s *Store) withReport(now time.Duration, r Report) *Endpoint {
+	e := s.clone(r.Endpoint)
+	if e == nil || outdated(e, r) {
 		return nil
 	}
 	if e.Reported && e.Incarnation != r.State.Incarnation {
@@ -164,10 +165,10 @@
 	return e
 }
 
-// stale tells whether r is older than what is held. Within an incarnation the
-// sequence decides; between two, the time of measurement does, so that a late
-// report of a dead incarnation does not bring it back.
-func stale(e *Endpoint, r Report) bool {
+// outdated reports whether r is older than the current report. Within an incarnation the sequence
+// decides. Between incarnations the time of measurement decides, so that a late report of an exited
+// incarnation does not replace the current one.
+func outdated(e *Endpoint, r Report) bool {
 	if !e.Reported {
 		return false
 	}
@@ -177,8 +178,8 @@
 	return r.State.Load.Sequence < e.Load.Sequence
 }
 
-// ApplyEvents takes in an engine's answer to a question for cache events from
-// sequence since. They show in the next snapshot that PublishPrefixes makes.
+// ApplyEvents applies the response of an engine to a request for cache events from sequence since.
+// The events become visible in the next snapshot by PublishPrefixes.
 func (s *Store) ApplyEvents(endpoint string, since uint64, batch engine.CacheEvents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +188,8 @@
 	}
 }
 
-// EventsSince returns the sequence to ask an engine's events from; zero asks
-// for a snapshot.
+// EventsSince returns the sequence from which to request an engine's events. Zero requests a
+// snapshot.
 func (s *Store) EventsSince(endpoint string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,8 +200,8 @@
 	return s.views.Since(slot)
 }
 
-// PublishPrefixes makes the events taken in so far visible, in one step for all
-// engines because each publication copies what changed.
+// PublishPrefixes makes the applied events visible, in one step for all engines because each
+// publication copies the changed parts of the index.
 func (s *Store) PublishPrefixes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,45 +210,45 @@
 	s.snapshot.Store(&next)
 }
 
-// SetHealth sets an endpoint's health.
+// SetHealth sets the health of an endpoint.
 func (s *Store) SetHealth(endpoint string, status health.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.at(endpoint); e != nil && e.Health != status {
+	if e := s.lookup(endpoint); e != nil && e.Health != status {
 		next := *e
 		next.Health = status
 		s.publish(&next)
 	}
 }
 
-// SetWithheld sets whether this process may send to an endpoint.
+// SetWithheld sets whether this process must not send requests to an endpoint.
 func (s *Store) SetWithheld(endpoint string, withheld bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.at(endpoint); e != nil && e.Withheld != withheld {
+	if e := s.lookup(endpoint); e != nil && e.Withheld != withheld {
 		next := *e
 		next.Withheld = withheld
 		s.publish(&next)
 	}
 }
 
-// SetZones sets the newest summaries of the other zones and the number of live
-// entry VMs in this one. A summary as old as the one held keeps its PromptTokensSent.
-func (s *Store) SetZones(zones []ZoneSummary, entries int) {
+// SetZones sets the latest summaries of the other zones and the number of live entry VMs in this
+// zone. A summary that has not been replaced keeps its PromptTokensSent.
+func (s *Store) SetZones(zones []ZoneSummary, entryVMs int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := *s.Snapshot()
 	old := next.Zones
 	next.Zones = slices.Clone(zones)
 	for i := range next.Zones {
-		next.Zones[i].keepSent(old)
+		next.Zones[i].carryPromptTokensSent(old)
 	}
-	next.EntryVMs = max(1, entries)
+	next.EntryVMs = max(1, entryVMs)
 	s.snapshot.Store(&next)
 }
 
-// keepSent takes over what was counted against the same summary before.
-func (z *ZoneSummary) keepSent(old []ZoneSummary) {
+// carryPromptTokensSent copies the tokens already counted against the same summary.
+func (z *ZoneSummary) carryPromptTokensSent(old []ZoneSummary) {
 	for _, o := range old {
 		if o.Zone == z.Zone && o.CreatedAt == z.CreatedAt {
 			z.PromptTokensSent = max(z.PromptTokensSent, o.PromptTokensSent)
@@ -255,8 +256,8 @@
 	}
 }
 
-// at returns the endpoint as it is, or nil.
-func (s *Store) at(endpoint string) *Endpoint {
+// lookup returns the current endpoint, or nil if it is unknown.
+func (s *Store) lookup(endpoint string) *Endpoint {
 	slot, ok := s.slots[endpoint]
 	if !ok {
 		return nil
@@ -264,8 +265,9 @@
 	return s.Snapshot().At(slot)
 }
 
-func (s *Store) copyOf(endpoint string) *Endpoint {
-	e := s.at(endpoint)
+// clone returns a copy of the current endpoint for modification, or nil if it is unknown.
+func (s *Store) clone(endpoint string) *Endpoint {
+	e := s.lookup(endpoint)
 	if e == nil {
 		return nil
 	}
--- a/health/config.go
+++ b/health/config.go
@@ -4,27 +4,30 @@
 	"time"
 )
 
-// Config holds the thresholds.
+// Config holds the thresholds of a Tracker.
 type Config struct {
-	// ConsecutiveFailures and ConsecutiveSilent eject when reached.
+	// ConsecutiveFailures is the number of consecutive failures that causes an ejection,
+	// ConsecutiveSilent the number of consecutive requests without any response.
 	ConsecutiveFailures, ConsecutiveSilent int
-	// Window is the time over which failure rates are taken; a rate needs
-	// MinRequests in it.
+	// Window is the period over which failure rates are measured. MinRequests is the number of
+	// requests in it that a rate requires.
 	Window      time.Duration
 	MinRequests int
-	// MinRate is the failure rate below which nothing is ejected for its rate,
-	// and RateFactor how many times its peers' rate it must be.
+	// MinRate is the lowest failure rate that can cause an ejection. RateFactor is the multiple of
+	// its peers' failure rate that it must also reach.
 	MinRate, RateFactor float64
-	// BaseEjection doubles with each ejection up to MaxEjection, and is halved
-	// for each Forgive spent healthy.
+	// BaseEjection is the duration of the first ejection. It doubles with each further ejection up
+	// to MaxEjection. One doubling is cancelled for each period of Forgive that the endpoint has
+	// been healthy.
 	BaseEjection, MaxEjection, Forgive time.Duration
-	// MaxFraction of a group may be ejected at once, but one of two may.
+	// MaxFraction is the largest part of a group that may be ejected at the same time. One member
+	// of a group of at least two may always be ejected.
 	MaxFraction float64
-	// TrialTimeout is when a trial without a result is given up.
+	// TrialTimeout is the time after which a trial without a result is abandoned.
 	TrialTimeout time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default thresholds.
 func DefaultConfig() Config {
 	return Config{
 		ConsecutiveFailures: 5,
--- a/health/eject.go
+++ b/health/eject.go
@@ -7,10 +7,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// maxLevel bounds the doublings of an ejection.
+// maxLevel bounds the number of doublings of the ejection time.
 const maxLevel = 16
 
-// The causes of an ejection, as counted.
+// Causes of an ejection, as labelled in the metrics.
 const (
 	causeFailures = "failures"
 	causeSilent   = "silent"
@@ -18,27 +18,27 @@
 	causeTrial    = "trial"
 )
 
-// count counts ejections, and those not made because a group needs its members.
+// count counts ejections, and ejections omitted because the group would become too small.
 func count(name, cause string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("springweir_health_%s{cause=%q}", name, cause)).Inc()
 }
 
-// outlier tells why m should be ejected, or nothing.
+// outlier returns the cause for which m should be ejected, or an empty string.
 func (t *Tracker) outlier(now time.Duration, m *member) string {
 	switch {
 	case m.failures >= t.cfg.ConsecutiveFailures:
 		return causeFailures
-	case m.silent >= t.cfg.ConsecutiveSilent:
+	case m.unresponsive >= t.cfg.ConsecutiveSilent:
 		return causeSilent
-	case t.rateStandsOut(now, m):
+	case t.rateIsOutlier(now, m):
 		return causeRate
 	}
 	return ""
 }
 
-// rateStandsOut compares m's failure rate with that of its peers together: when
-// all fail alike, the cause is elsewhere and ejecting one helps nobody.
-func (t *Tracker) rateStandsOut(now time.Duration, m *member) bool {
+// rateIsOutlier compares the failure rate of m with the combined rate of its peers in each group.
+// If all of them fail alike, the cause lies elsewhere and ejecting one does not help.
+func (t *Tracker) rateIsOutlier(now time.Duration, m *member) bool {
 	total, failed := m.recent.sum(now, t.cfg.Window)
 	rate := float64(failed) / float64(max(1, total))
 	if total < t.cfg.MinRequests || rate < t.cfg.MinRate {
@@ -60,25 +60,26 @@
 	return true
 }
 
-// mayEject tells whether every group of m can do without it.
+// mayEject reports whether every group of m stays within its limit if m is ejected.
 func (t *Tracker) mayEject(m *member) bool {
 	for _, g := range m.groups {
 		members := t.groups[g]
-		if t.out(members)+1 > t.allowed(len(members)) {
+		if t.unavailable(members)+1 > t.maxUnavailable(len(members)) {
 			return false
 		}
 	}
 	return len(m.groups) > 0
 }
 
-// allowed is the number of a group's members that may be out at once. It is
-// less than size, so that the last one stays.
-func (t *Tracker) allowed(size int) int {
+// maxUnavailable returns the number of members of a group that may be unavailable at the same time.
+// It is less than size, so that the last healthy member is never ejected.
+func (t *Tracker) maxUnavailable(size int) int {
 	byFraction := max(1, int(t.cfg.MaxFraction*float64(size)))
 	return max(0, min(byFraction, size-1))
 }
 
-func (t *Tracker) out(members []*member) int {
+// unavailable returns the number of members that are not healthy.
+func (t *Tracker) unavailable(members []*member) int {
 	n := 0
 	for _, m := range members {
 		if m.status.Phase != Healthy {
@@ -91,34 +92,35 @@
 func (t *Tracker) eject(now time.Duration, m *member, cause string) {
 	count("ejected_total", cause)
 	if t.cfg.Forgive > 0 && m.status.Phase == Healthy {
-		m.level = max(0, m.level-int((now-m.returned)/t.cfg.Forgive))
+		m.level = max(0, m.level-int((now-m.healthySince)/t.cfg.Forgive))
 	}
-	away := min(t.cfg.MaxEjection, t.cfg.BaseEjection<<m.level)
-	t.become(m, Status{Phase: Ejected, Until: now + away})
+	duration := min(t.cfg.MaxEjection, t.cfg.BaseEjection<<m.level)
+	t.setStatus(m, Status{Phase: Ejected, Until: now + duration})
 	m.level = min(maxLevel, m.level+1)
 }
 
-// heal returns m to work with a clean record but for its level.
-func (t *Tracker) heal(now time.Duration, m *member) {
-	t.become(m, Status{})
-	m.returned = now
-	m.failures, m.silent = 0, 0
+// readmit makes m healthy and resets its record, except for the level of its next ejection.
+func (t *Tracker) readmit(now time.Duration, m *member) {
+	t.setStatus(m, Status{})
+	m.healthySince = now
+	m.failures, m.unresponsive = 0, 0
 	m.recent = window{}
 }
 
-// window counts over the last one to two halves of a period.
+// window counts results over a sliding period in two half-period buckets, so that a sum covers
+// between half a period and a whole one.
 type window struct {
 	start         time.Duration
 	total, failed [2]int
 }
 
-// turn moves the halves so that index 0 is the one that holds now.
-func (w *window) turn(now, period time.Duration) {
+// rotate advances the buckets so that index 0 contains now.
+func (w *window) rotate(now, period time.Duration) {
 	half := period / 2
-	switch late := now - w.start; {
-	case late < half:
+	switch elapsed := now - w.start; {
+	case elapsed < half:
 		return
-	case late < 2*half:
+	case elapsed < 2*half:
 		w.total[1], w.failed[1] = w.total[0], w.failed[0]
 		w.start += half
 	default:
@@ -129,12 +131,12 @@
 }
 
 func (w *window) add(now, period time.Duration, total, failed int) {
-	w.turn(now, period)
+	w.rotate(now, period)
 	w.total[0] += total
 	w.failed[0] += failed
 }
 
 func (w *window) sum(now, period time.Duration) (total, failed int) {
-	w.turn(now, period)
+	w.rotate(now, period)
 	return w.total[0] + w.total[1], w.failed[0] + w.failed[1]
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// equal reports how got differs from want.
+// equal fails the test if got differs from want.
 func equal(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -27,7 +27,7 @@
 	return t
 }
 
-// send sends n requests one after the other and returns how many were let through.
+// send sends n requests one after the other and returns the number that were admitted.
 func send(t *Tracker, now time.Duration, name string, n int, result Result) int {
 	sent := 0
 	for range n {
@@ -53,7 +53,7 @@
 			send(k, 0, "e0", 1, Succeeded)
 			send(k, 0, "e0", 4, Failed)
 		}, Status{}},
-		{"abandoned tells nothing", func(k *Tracker) {
+		{"abandoned requests are ignored", func(k *Tracker) {
 			send(k, 0, "e0", 4, Failed)
 			send(k, 0, "e0", 9, Abandoned)
 		}, Status{}},
@@ -72,7 +72,7 @@
 				send(k, 0, "e1", 2, Succeeded)
 			}
 		}, Status{Ejected, 2 * second}},
-		{"all fail alike", func(k *Tracker) {
+		{"all fail at the same rate", func(k *Tracker) {
 			for range 20 {
 				for _, name := range []string{"e0", "e1", "e2", "e3"} {
 					send(k, 0, name, 1, Succeeded)
@@ -80,7 +80,7 @@
 				}
 			}
 		}, Status{}},
-		{"old failures are forgotten", func(k *Tracker) {
+		{"old failures expire", func(k *Tracker) {
 			for i := range 8 {
 				send(k, time.Duration(i)*10*second, "e0", 1, Failed)
 				send(k, time.Duration(i)*10*second, "e0", 1, Succeeded)
@@ -102,7 +102,7 @@
 			send(k, 0, "e0", 5, Failed)
 			k.Set("e0", "i", []string{"g", "h"})
 		}, Status{Ejected, 2 * second}},
-		{"needed alone in another group", func(k *Tracker) {
+		{"last member of another group", func(k *Tracker) {
 			send(k, 0, "e0", 5, Failed)
 			k.Set("e0", "i", []string{"g", "h"})
 		}, Status{}},
@@ -122,19 +122,19 @@
 	}
 }
 
-// TestTrials follows one endpoint through half-open trials.
+// TestTrials follows one endpoint through several half-open trials.
 func TestTrials(t *testing.T) {
 	k := trackerOf(2)
 	send(k, 0, "e0", 5, Failed)
 	if _, ok := k.Begin(second, "e0"); ok {
-		t.Fatal("an ejected endpoint took a request")
+		t.Fatal("a request was admitted to an ejected endpoint")
 	}
 	first, ok := k.Begin(2*second, "e0")
 	if !ok || !first.Trial() {
 		t.Fatal("no trial after the ejection")
 	}
 	if _, ok := k.Begin(3*second, "e0"); ok {
-		t.Fatal("two trials at once")
+		t.Fatal("two trials at the same time")
 	}
 	k.End(3*second, first, Failed)
 	equal(t, "after a failed trial", Status{Ejected, 7 * second}, k.Status("e0"))
@@ -150,7 +150,7 @@
 	}
 	k.End(23*second, third, Succeeded)
 	if k.Status("e0").Phase != Trial {
-		t.Error("the result of a trial that was given up counted")
+		t.Error("the late result of an abandoned trial was counted")
 	}
 	k.End(24*second, fourth, Succeeded)
 	equal(t, "after a good trial", Status{}, k.Status("e0"))
@@ -162,8 +162,8 @@
 	equal(t, "long after", Status{Ejected, 402 * second}, k.Status("e0"))
 }
 
-// TestChangesMirrorStatus checks that a mirror fed by TakeChanges alone is always
-// equal, also when a call about one endpoint changes another.
+// TestChangesMirrorStatus checks that a copy maintained from TakeChanges alone always equals the
+// status, also when a call for one endpoint changes another.
 func TestChangesMirrorStatus(t *testing.T) {
 	k := trackerOf(3)
 	mirror := make(map[string]Status)
@@ -185,7 +185,7 @@
 	equal(t, "", []Phase{Ejected, Trial, Ejected, Healthy}, phases)
 }
 
-func TestSomeAlwaysStay(t *testing.T) {
+func TestEjectionIsBoundedByGroupSize(t *testing.T) {
 	for size, want := range map[int]int{1: 0, 2: 1, 3: 1, 6: 2, 12: 4} {
 		k := trackerOf(size)
 		out := 0
@@ -196,12 +196,12 @@
 			}
 		}
 		if out != want {
-			t.Errorf("of %d, %d were ejected, want %d", size, out, want)
+			t.Errorf("group of %d: %d were ejected, want %d", size, out, want)
 		}
 	}
 }
 
-// TestInvariants takes random steps and checks the invariants after each.
+// TestInvariants performs random operations and checks the invariants after each.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -223,8 +223,8 @@
 				}
 			}
 			for g, members := range k.groups {
-				if out := k.out(members); out > k.allowed(len(members)) || out == len(members) {
-					t.Fatalf("seed %d, step %d: %d of %d in %s are out", seed, i, out, len(members), g)
+				if out := k.unavailable(members); out > k.maxUnavailable(len(members)) || out == len(members) {
+					t.Fatalf("seed %d, step %d: %d of %d in %s are unavailable", seed, i, out, len(members), g)
 				}
 			}
 		}
--- a/health/status.go
+++ b/health/status.go
@@ -1,42 +1,42 @@
-// Package health finds endpoints that do badly and keeps work from them: a pure
-// state machine over times that are passed in. An endpoint is ejected after
-// consecutive failures, for a failure rate far above its peers', or for first
-// tokens that never come (a frozen process that still accepts connections). It
-// returns through half-open trials, one at a time.
+// Package health detects endpoints that fail and excludes them from new work. It is a pure state
+// machine over times passed in by the caller. An endpoint is ejected after consecutive failures,
+// for a failure rate far above that of its peers, or for first tokens that never arrive (a frozen
+// process that still accepts connections). It is readmitted through half-open trials, one at a
+// time.
 //
 // Times are monotonic durations since the start of the process.
 package health
 
 import "time"
 
-// Phase is where an endpoint stands.
+// Phase is the phase of an endpoint in the ejection cycle.
 type Phase uint8
 
-// The phases.
+// Phases of an endpoint.
 const (
-	// Healthy endpoints take work.
+	// Healthy endpoints accept requests.
 	Healthy Phase = iota
-	// Ejected endpoints take none until Status.Until.
+	// Ejected endpoints accept no requests until Status.Until.
 	Ejected
-	// Trial endpoints have one trial request under way and take no other.
+	// Trial endpoints have one trial request in flight and accept no others.
 	Trial
 )
 
-// Status is what routing needs to know of an endpoint's health.
+// Status is the health of an endpoint as used by routing.
 type Status struct {
 	Phase Phase
-	// Until is when an ejected endpoint may take a trial, or when a trial is
-	// given up.
+	// Until is the time at which an ejected endpoint may receive a trial, or at which a trial
+	// without a result is abandoned.
 	Until time.Duration
 }
 
-// Usable tells whether a request may be sent at now. An ejected endpoint whose
-// time is over is half-open: the next request sent there is its trial.
+// Usable reports whether a request may be sent at now. An ejected endpoint whose Until has passed
+// is half-open: the next request sent to it is its trial.
 func (s Status) Usable(now time.Duration) bool {
 	return s.Phase == Healthy || now >= s.Until
 }
 
-// HalfOpen tells whether a request sent at now would be a trial.
+// HalfOpen reports whether a request sent at now would be a trial.
 func (s Status) HalfOpen(now time.Duration) bool {
 	return s.Phase != Healthy && now >= s.Until
 }
--- a/health/tracker.go
+++ b/health/tracker.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// Result is how a request to an endpoint went.
+// Result is the outcome of a request to an endpoint.
 type Result uint8
 
-// The results.
+// Outcomes of a request.
 const (
-	// Succeeded means that the endpoint did its part.
+	// Succeeded means that the endpoint handled the request.
 	Succeeded Result = iota
-	// Failed means that the endpoint broke, refused without cause or gave a
-	// wrong answer.
+	// Failed means that the endpoint failed, refused the request without cause or sent an invalid
+	// response.
 	Failed
-	// Unresponsive means that nothing came for so long that the attempt was given up.
+	// Unresponsive means that the attempt timed out without any response.
 	Unresponsive
-	// Abandoned tells nothing of the endpoint: the caller went away.
+	// Abandoned says nothing about the endpoint: the caller disconnected.
 	Abandoned
 )
 
-// Ticket binds a result to the request that it is about. The zero Ticket is not valid.
+// Ticket associates a result with its request. The zero Ticket is not valid.
 type Ticket struct {
 	endpoint    string
 	incarnation string
-	// trial is the number of the trial that the request is, or zero.
+	// trial is the number of the trial if the request is one, otherwise zero.
 	trial uint64
 }
 
-// Trial tells whether the request is a half-open trial.
+// Trial reports whether the request is a half-open trial.
 func (t Ticket) Trial() bool { return t.trial != 0 }
 
-// Tracker follows the endpoints of one zone. It is safe for concurrent use: mu
-// guards every field, and nothing else is locked or called under it.
+// Tracker tracks the health of the endpoints of one zone. It is safe for concurrent use: mu guards
+// every field, and no other lock is taken and no callback made under it.
 //
-// Invariants: in each group with members at least one is healthy; at most
-// allowed(size) are not; an endpoint has at most one trial whose result counts.
+// Invariants: each non-empty group has at least one healthy member, and at most
+// maxUnavailable(size) members that are not; an endpoint has at most one trial whose result counts.
 type Tracker struct {
 	mu      sync.Mutex
 	cfg     Config
 	members map[string]*member
 	groups  map[string][]*member
 	trials  uint64
-	// changed names the members whose status changed since TakeChanges.
+	// changed contains the names of the members whose status has changed since TakeChanges.
 	changed map[string]bool
 }
 
-// Change is a new status of an endpoint.
+// Change is the new status of an endpoint.
 type Change struct {
 	Endpoint string
 	Status   Status
@@ -56,38 +56,38 @@
 
 // member is the state of one endpoint.
 type member struct {
-	name        string
-	incarnation string
-	groups      []string
-	status      Status
-	trial       uint64
-	failures    int
-	silent      int
+	name         string
+	incarnation  string
+	groups       []string
+	status       Status
+	trial        uint64
+	failures     int
+	unresponsive int
 	// level is the number of doublings of the next ejection.
-	level    int
-	returned time.Duration
-	recent   window
+	level        int
+	healthySince time.Duration
+	recent       window
 }
 
-// NewTracker returns a tracker without members.
+// NewTracker returns a tracker without endpoints.
 func NewTracker(cfg Config) *Tracker {
 	return &Tracker{cfg: cfg, members: make(map[string]*member), groups: make(map[string][]*member), changed: make(map[string]bool)}
 }
 
-// Configure changes the thresholds. What is known of the endpoints stays; a group
-// of which fewer may now be out gets some of them back.
+// Configure replaces the thresholds. The state of the endpoints is kept, but a group of which fewer
+// members may now be unavailable has some of them readmitted.
 func (t *Tracker) Configure(cfg Config) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cfg = cfg
 	for group := range t.groups {
-		t.relieve(group)
+		t.enforceMinimum(group)
 	}
 }
 
-// TakeChanges returns the endpoints whose status has changed since the last
-// call, with the newest. A call about one endpoint may change another: the last
-// one of a group is returned to work.
+// TakeChanges returns the endpoints whose status has changed since the last call, with their
+// current status. A call for one endpoint may change another, because endpoints are readmitted when
+// their group becomes too small.
 func (t *Tracker) TakeChanges() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,15 +103,15 @@
 	return changes
 }
 
-// become gives m a new status.
-func (t *Tracker) become(m *member, s Status) {
+// setStatus changes the status of m and marks it as changed.
+func (t *Tracker) setStatus(m *member, s Status) {
 	m.status = s
 	t.changed[m.name] = true
 }
 
-// Set adds an endpoint or takes in its new incarnation, which starts healthy.
-// Groups are the sets within which it may not be the last one ejected, such as
-// the engines of a pool that serve the same model in the same role.
+// Set adds an endpoint or updates its incarnation and groups. A new incarnation starts healthy.
+// Groups are the sets of which it may not be the last healthy member, such as the engines of a pool
+// that serve the same model in the same role.
 func (t *Tracker) Set(name, incarnation string, groups []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,58 +120,58 @@
 		return
 	}
 	if m == nil || m.incarnation != incarnation {
-		t.leave(m)
+		t.removeFromGroups(m)
 		m = &member{name: name, incarnation: incarnation}
 		t.members[name] = m
 		t.changed[name] = true
 	} else {
-		t.leave(m)
+		t.removeFromGroups(m)
 	}
 	m.groups = slices.Clone(groups)
 	for _, g := range groups {
 		t.groups[g] = append(t.groups[g], m)
-		t.relieve(g)
+		t.enforceMinimum(g)
 	}
 }
 
-// Remove drops an endpoint.
+// Remove removes an endpoint.
 func (t *Tracker) Remove(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leave(t.members[name])
+	t.removeFromGroups(t.members[name])
 	delete(t.members, name)
 }
 
-// leave takes m out of its groups and keeps their invariant.
-func (t *Tracker) leave(m *member) {
+// removeFromGroups removes m from its groups and restores their invariant. m may be nil.
+func (t *Tracker) removeFromGroups(m *member) {
 	if m == nil {
 		return
 	}
 	for _, g := range m.groups {
 		t.groups[g] = slices.DeleteFunc(t.groups[g], func(o *member) bool { return o == m })
-		t.relieve(g)
+		t.enforceMinimum(g)
 		if len(t.groups[g]) == 0 {
 			delete(t.groups, g)
 		}
 	}
 }
 
-// relieve returns endpoints of a group that has become too small to do without
-// them, the one with the least time left first.
-func (t *Tracker) relieve(group string) {
+// enforceMinimum readmits members of a group while too many of them are unavailable, starting with
+// the one with the earliest Until.
+func (t *Tracker) enforceMinimum(group string) {
 	members := t.groups[group]
-	for t.out(members) > t.allowed(len(members)) {
-		var first *member
+	for t.unavailable(members) > t.maxUnavailable(len(members)) {
+		var earliest *member
 		for _, m := range members {
-			if m.status.Phase != Healthy && (first == nil || m.status.Until < first.status.Until) {
-				first = m
+			if m.status.Phase != Healthy && (earliest == nil || m.status.Until < earliest.status.Until) {
+				earliest = m
 			}
 		}
-		t.heal(first.status.Until, first)
+		t.readmit(earliest.status.Until, earliest)
 	}
 }
 
-// Status returns the health of an endpoint; an unknown one is healthy.
+// Status returns the health of an endpoint. An unknown endpoint is healthy.
 func (t *Tracker) Status(name string) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,8 +181,8 @@
 	return Status{}
 }
 
-// Begin is called before a request is sent. It tells whether it may be, and
-// takes the trial if the endpoint is half-open.
+// Begin must be called before a request is sent. It reports whether the request may be sent, and
+// makes it the trial if the endpoint is half-open.
 func (t *Tracker) Begin(now time.Duration, name string) (Ticket, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,13 +198,13 @@
 		t.trials++
 		m.trial = t.trials
 		ticket.trial = m.trial
-		t.become(m, Status{Phase: Trial, Until: now + t.cfg.TrialTimeout})
+		t.setStatus(m, Status{Phase: Trial, Until: now + t.cfg.TrialTimeout})
 	}
 	return ticket, true
 }
 
-// StillValid tells whether the endpoint of a ticket may still be sent to: it has neither started
-// again nor been ejected since, and a trial still is the ticket's own.
+// StillValid reports whether the endpoint of a ticket may still receive the request: it has not
+// been restarted or ejected since Begin, and a trial in progress is the one of the ticket.
 func (t *Tracker) StillValid(now time.Duration, ticket Ticket) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,32 +220,33 @@
 	return m.status.Usable(now)
 }
 
-// RecordActivity is called when a token or answer comes from an endpoint: it is slow
-// perhaps, but not frozen.
+// RecordActivity is called when a token or a response arrives from an endpoint. It resets the count
+// of consecutive unresponsive requests, because the endpoint may be slow but is not frozen.
 func (t *Tracker) RecordActivity(ticket Ticket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m := t.about(ticket); m != nil {
-		m.silent = 0
+	if m := t.memberOf(ticket); m != nil {
+		m.unresponsive = 0
 	}
 }
 
-// End takes in the result of a request. Results that come late, for another
-// incarnation or for a trial that was given up, count for nothing.
+// End records the result of a request. Results of another incarnation or of an abandoned trial are
+// ignored.
 func (t *Tracker) End(now time.Duration, ticket Ticket, result Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := t.about(ticket)
+	m := t.memberOf(ticket)
 	switch {
 	case m == nil:
 	case ticket.trial != 0:
 		t.endTrial(now, m, ticket.trial, result)
 	case m.status.Phase == Healthy:
-		t.endUsual(now, m, result)
+		t.endRegular(now, m, result)
 	}
 }
 
-func (t *Tracker) about(ticket Ticket) *member {
+// memberOf returns the member of a ticket, or nil if its incarnation is not the current one.
+func (t *Tracker) memberOf(ticket Ticket) *member {
 	m := t.members[ticket.endpoint]
 	if m == nil || m.incarnation != ticket.incarnation {
 		return nil
@@ -253,30 +254,32 @@
 	return m
 }
 
+// endTrial applies the result of a trial.
 func (t *Tracker) endTrial(now time.Duration, m *member, trial uint64, result Result) {
 	if m.status.Phase != Trial || m.trial != trial {
 		return
 	}
 	switch result {
 	case Succeeded:
-		t.heal(now, m)
+		t.readmit(now, m)
 	case Abandoned:
-		t.become(m, Status{Phase: Ejected, Until: now})
+		t.setStatus(m, Status{Phase: Ejected, Until: now})
 	default:
 		t.eject(now, m, causeTrial)
 	}
 }
 
-func (t *Tracker) endUsual(now time.Duration, m *member, result Result) {
+// endRegular applies the result of a request to a healthy endpoint.
+func (t *Tracker) endRegular(now time.Duration, m *member, result Result) {
 	switch result {
 	case Abandoned:
 		return
 	case Succeeded:
-		m.failures, m.silent = 0, 0
+		m.failures, m.unresponsive = 0, 0
 		m.recent.add(now, t.cfg.Window, 1, 0)
 		return
 	case Unresponsive:
-		m.silent++
+		m.unresponsive++
 	}
 	m.failures++
 	m.recent.add(now, t.cfg.Window, 1, 1)
--- a/prefix/hash.go
+++ b/prefix/hash.go
@@ -1,9 +1,9 @@
-// Package prefix hashes the blocks of a prompt and keeps a bounded view of
-// which engine holds which block in its prefix cache.
+// Package prefix hashes the blocks of a prompt and maintains a bounded index of the engines that
+// hold each block in their prefix cache.
 //
-// Engines publish cache events late and with gaps, so the view is a hint: a
-// wrong entry costs time (a prefill that was thought to be cached) and never a
-// wrong answer, because the engine itself decides what it reuses.
+// Engines publish cache events late and with gaps, so the index is a hint: a wrong entry costs time
+// (a prefill that was expected to be cached) and never causes a wrong response, because the engine
+// itself decides what it reuses.
 package prefix
 
 import (
@@ -13,18 +13,17 @@
 )
 
 const (
-	// BlockTokens is the number of tokens that one block stands for.
+	// BlockTokens is the number of tokens represented by one block.
 	BlockTokens = 16
-	// BlockBytes is the number of bytes of prompt text in one block, at about
-	// four bytes a token.
+	// BlockBytes is the number of bytes of prompt text in one block, at about four bytes per token.
 	BlockBytes = 64
-	// MaxBlocks bounds the hashes of one prompt; what follows is not hashed.
+	// MaxBlocks bounds the number of hashes of a prompt. The rest of a longer prompt is not hashed.
 	MaxBlocks = 8192
 )
 
-// Hashes returns the chained hashes of the whole blocks of prompt: each covers
-// its block and all blocks before it. The namespace keeps caches apart that may
-// not share blocks (model, adapter and version). A last partial block is left out.
+// Hashes returns the chained hashes of the complete blocks of prompt: each hash covers its block
+// and all preceding blocks. A partial block at the end is omitted. The namespace (model, adapter
+// and version) separates caches that cannot share blocks.
 func Hashes(namespace, prompt string) []uint64 {
 	blocks := min(len(prompt)/BlockBytes, MaxBlocks)
 	if blocks == 0 {
--- a/prefix/index.go
+++ b/prefix/index.go
@@ -9,30 +9,30 @@
 	shardCount = 1 << shardBits
 )
 
-// Slot names an engine in the index; package fleet hands the slots out.
+// Slot identifies an engine in the index. Package fleet allocates the slots.
 type Slot = uint16
 
 // Hit is an engine that holds the first Blocks blocks of a prompt.
 type Hit struct {
 	Slot   Slot
 	Blocks int
-	// Uncertain is set while the engine's view has a gap.
+	// Uncertain is set while the event stream of the engine has a gap.
 	Uncertain bool
 }
 
-// Index is an immutable view of all engines' prefix caches. Lookups take no lock.
+// Index is an immutable index of the prefix caches of all engines. Lookups take no lock.
 //
-// Invariant: each shard is sorted by (hash, owner) without duplicates, so the
-// owners of a hash are one run found by binary search.
+// Invariant: each shard is sorted by (hash, owner) without duplicates, so the owners of a hash are
+// contiguous and found by binary search.
 type Index struct {
-	// level keeps one hash in 2^level.
+	// level is the sampling level: one hash in 2^level is kept.
 	level     uint8
 	shards    []*shard
 	pairs     int
 	uncertain map[Slot]bool
 }
 
-// shard keeps the two columns apart, so that a pair takes 10 bytes.
+// shard stores hashes and owners in separate slices, so that a pair takes 10 bytes.
 type shard struct {
 	hashes []uint64
 	owners []Slot
@@ -48,16 +48,17 @@
 	return ix
 }
 
-// Pairs returns the number of (block, engine) pairs held.
+// Pairs returns the number of (block, engine) pairs.
 func (ix *Index) Pairs() int { return ix.pairs }
 
 // Level returns the sampling level: one block in 2^Level is kept.
 func (ix *Index) Level() int { return int(ix.level) }
 
+// sampled reports whether the mixed hash m is kept at the current level.
 func (ix *Index) sampled(m uint64) bool { return m&(1<<ix.level-1) == 0 }
 
-// run returns the owners of the mixed hash m.
-func (ix *Index) run(m uint64) []Slot {
+// ownersOf returns the engines that hold the block with the mixed hash m.
+func (ix *Index) ownersOf(m uint64) []Slot {
 	s := ix.shards[m>>(64-shardBits)]
 	lo := sort.Search(len(s.hashes), func(i int) bool { return s.hashes[i] >= m })
 	hi := lo
@@ -67,16 +68,17 @@
 	return s.owners[lo:hi]
 }
 
-func holds(run []Slot, slot Slot) bool {
+func containsSlot(run []Slot, slot Slot) bool {
 	i := sort.Search(len(run), func(i int) bool { return run[i] >= slot })
 	return i < len(run) && run[i] == slot
 }
 
-// Chain is a prompt's blocks, prepared once for several lookups.
+// Chain is the sequence of blocks of a prompt, prepared for several lookups.
 type Chain struct {
 	ix     *Index
 	hashes []uint64
-	// blocks are the sampled blocks, counted from one; nil when all are.
+	// blocks contains the numbers of the sampled blocks, starting at one. It is nil if all blocks
+	// are sampled.
 	blocks []int32
 }
 
@@ -98,7 +100,7 @@
 	return c
 }
 
-// size is the number of blocks that can be looked up.
+// size returns the number of sampled blocks.
 func (c Chain) size() int {
 	if c.ix.level == 0 {
 		return len(c.hashes)
@@ -106,7 +108,7 @@
 	return len(c.blocks)
 }
 
-// block is the number of the n-th block that can be looked up, both from one.
+// block returns the number of the n-th sampled block. Both numbers start at one.
 func (c Chain) block(n int) int {
 	if c.ix.level == 0 {
 		return n
@@ -114,27 +116,27 @@
 	return int(c.blocks[n-1])
 }
 
-// owners are the engines that hold the n-th block that can be looked up.
+// owners returns the engines that hold the n-th sampled block.
 func (c Chain) owners(n int) []Slot {
-	return c.ix.run(splitmix.Mix(c.hashes[c.block(n)-1]))
+	return c.ix.ownersOf(splitmix.Mix(c.hashes[c.block(n)-1]))
 }
 
-// Depth returns how many leading blocks the engine in slot is thought to hold.
+// Depth returns the number of leading blocks that the engine in slot is expected to hold.
 func (c Chain) Depth(slot Slot) Hit {
-	n := c.deepest(func(run []Slot) bool { return holds(run, slot) })
+	n := c.longestPrefix(func(run []Slot) bool { return containsSlot(run, slot) })
 	if n == 0 {
 		return Hit{Slot: slot}
 	}
 	return c.hit(slot, n)
 }
 
-// Best appends to hits up to limit engines that hold the longest prefixes,
-// longest first. Where more engines hold the same prefix than there is room
-// for, offset chooses where in their run to start, so that different callers
-// see different ones. It looks at O(log blocks) blocks, whatever the number of engines.
+// Best appends to hits up to limit engines that hold the longest prefixes, longest first. If more
+// engines hold the same prefix than fit, offset selects the position in their list at which to
+// start, so that different callers get different engines. It looks up O(log blocks) blocks,
+// independent of the number of engines.
 func (c Chain) Best(hits []Hit, limit int, offset uint64) []Hit {
 	first := len(hits)
-	for n := c.deepest(func(run []Slot) bool { return len(run) > 0 }); n > 0; n /= 2 {
+	for n := c.longestPrefix(func(run []Slot) bool { return len(run) > 0 }); n > 0; n /= 2 {
 		run := c.owners(n)
 		for i := range run {
 			if len(hits)-first >= limit {
@@ -162,10 +164,10 @@
 	return Hit{Slot: slot, Blocks: c.block(n), Uncertain: c.ix.uncertain[slot]}
 }
 
-// deepest returns how many leading sampled blocks ok accepts. A chained hash
-// stands for all blocks before it and engines evict from the end of a chain, so
-// ok is taken as monotone and searched by halving; a hole in the view makes the
-// answer too short, and an eviction not yet heard of makes it too long.
-func (c Chain) deepest(ok func(run []Slot) bool) int {
-	return sort.Search(c.size(), func(i int) bool { return !ok(c.owners(i + 1)) })
+// longestPrefix returns the number of leading sampled blocks that accept accepts. A chained hash
+// represents all preceding blocks and engines evict from the end of a chain, so accept is treated
+// as monotone and evaluated by binary search. A missing entry in the index makes the result too
+// short, and an eviction that has not been received makes it too long.
+func (c Chain) longestPrefix(accept func(run []Slot) bool) int {
+	return sort.Search(c.size(), func(i int) bool { return !accept(c.owners(i + 1)) })
 }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/internal/splitmix"
 )
 
-// equal reports how got differs from want.
+// equal fails the test if got differs from want.
 func equal(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -45,7 +45,7 @@
 	}
 	for _, test := range tests {
 		if got := common(test.namespace, test.prompt); got != test.want {
-			t.Errorf("%s: %d blocks in common, want %d", test.name, got, test.want)
+			t.Errorf("%s: %d common blocks, want %d", test.name, got, test.want)
 		}
 	}
 	if n := len(Hashes("m", strings.Repeat("a", (MaxBlocks+5)*BlockBytes))); n != MaxBlocks {
@@ -53,7 +53,7 @@
 	}
 }
 
-func chainOf(n int, seed uint64) []uint64 {
+func hashChain(n int, seed uint64) []uint64 {
 	hashes := make([]uint64, n)
 	for i := range hashes {
 		hashes[i] = seed<<32 + uint64(i)
@@ -70,23 +70,23 @@
 }
 
 func TestGapsAndResync(t *testing.T) {
-	c := chainOf(8, 1)
+	c := hashChain(8, 1)
 	type step struct {
-		name  string
-		since uint64
-		batch engine.CacheEvents
-		want  Hit
-		ask   uint64
+		name      string
+		since     uint64
+		batch     engine.CacheEvents
+		want      Hit
+		wantSince uint64
 	}
 	steps := []step{
 		{"all events", 0, engine.CacheEvents{Incarnation: "i", Events: stored(1, c[:3]...), Next: 4}, Hit{Blocks: 3}, 4},
 		{"more, some seen", 4, engine.CacheEvents{Incarnation: "i", Events: stored(3, c[2:4]...), Next: 5}, Hit{Blocks: 4}, 5},
 		{"a gap", 5, engine.CacheEvents{Incarnation: "i", Events: stored(7, c[4]), Next: 8}, Hit{Blocks: 5, Uncertain: true}, 0},
-		{"a late whole answer", 0, engine.CacheEvents{Incarnation: "i", Snapshot: c[:1], Next: 2}, Hit{Blocks: 5, Uncertain: true}, 0},
+		{"a late complete response", 0, engine.CacheEvents{Incarnation: "i", Snapshot: c[:1], Next: 2}, Hit{Blocks: 5, Uncertain: true}, 0},
 		{"resync", 0, engine.CacheEvents{Incarnation: "i", Snapshot: c[:2], Next: 9}, Hit{Blocks: 2}, 9},
 		{"evicted", 9, engine.CacheEvents{Incarnation: "i", Events: []engine.CacheEvent{{Sequence: 9, Hash: c[1]}}, Next: 10}, Hit{Blocks: 1}, 10},
 		{"a gap at the end", 10, engine.CacheEvents{Incarnation: "i", Events: stored(10, c[1]), Next: 15}, Hit{Blocks: 2, Uncertain: true}, 0},
-		{"asked too old, emptied", 0, engine.CacheEvents{Incarnation: "i", Next: 20}, Hit{}, 20},
+		{"sequence too old, all blocks removed", 0, engine.CacheEvents{Incarnation: "i", Next: 20}, Hit{}, 20},
 		{"restart, middle of its stream", 20, engine.CacheEvents{Incarnation: "j", Events: stored(21, c...), Next: 29}, Hit{Blocks: 8, Uncertain: true}, 0},
 		{"restart", 0, engine.CacheEvents{Incarnation: "k", Events: stored(1, c[0]), Next: 2}, Hit{Blocks: 1}, 2},
 	}
@@ -94,11 +94,11 @@
 	for _, s := range steps {
 		v.Apply(0, s.since, s.batch)
 		equal(t, s.name, s.want, v.Publish().Chain(c).Depth(0))
-		equal(t, fmt.Sprintf("%s: since", s.name), s.ask, v.Since(0))
+		equal(t, fmt.Sprintf("%s: since", s.name), s.wantSince, v.Since(0))
 	}
 }
 
-// TestAgainstModel drives random steps and compares every pair with a plain set.
+// TestAgainstModel performs random operations and compares the index with a set of pairs.
 func TestAgainstModel(t *testing.T) {
 	type pair struct {
 		slot Slot
@@ -139,7 +139,7 @@
 		}
 		got := make(map[pair]bool)
 		for h := range uint64(50) {
-			for _, slot := range v.Publish().run(splitmix.Mix(h)) {
+			for _, slot := range v.Publish().ownersOf(splitmix.Mix(h)) {
 				got[pair{slot, h}] = true
 			}
 		}
@@ -151,7 +151,7 @@
 
 func TestBestIsLongestFirstAndBounded(t *testing.T) {
 	v := NewViews(1 << 20)
-	c := chainOf(64, 3)
+	c := hashChain(64, 3)
 	for slot := range Slot(20) {
 		depth := 16
 		if slot == 11 {
@@ -160,33 +160,33 @@
 		v.Apply(slot, 0, engine.CacheEvents{Snapshot: c[:depth], Next: 1})
 	}
 	chain := v.Publish().Chain(c)
-	met := make(map[Slot]bool)
+	found := make(map[Slot]bool)
 	for offset := range uint64(40) {
 		hits := chain.Best(nil, 3, offset)
 		if len(hits) != 3 || hits[0] != (Hit{Slot: 11, Blocks: 60}) {
 			t.Fatalf("offset %d: %v", offset, hits)
 		}
-		met[hits[1].Slot] = true
+		found[hits[1].Slot] = true
 	}
-	if len(met) < 15 {
-		t.Errorf("only %d different engines were seen", len(met))
+	if len(found) < 15 {
+		t.Errorf("only %d different engines were returned", len(found))
 	}
 }
 
-// TestBoundCoarsens checks that the bound holds, that long prefixes are still
-// found, and that the view is refined once there is room again.
+// TestBoundCoarsens checks that the limit is observed by coarser sampling, that long prefixes are
+// still found, and that the sampling level is lowered when there is capacity again.
 func TestBoundCoarsens(t *testing.T) {
 	const limit = 4000
 	v := NewViews(limit)
 	for slot := range Slot(40) {
-		v.Apply(slot, 0, engine.CacheEvents{Snapshot: chainOf(500, uint64(slot)+1), Next: 1})
+		v.Apply(slot, 0, engine.CacheEvents{Snapshot: hashChain(500, uint64(slot)+1), Next: 1})
 	}
 	ix := v.Publish()
 	if ix.Pairs() > limit || ix.Level() != 3 {
 		t.Errorf("%d pairs at level %d", ix.Pairs(), ix.Level())
 	}
 	for slot := range Slot(40) {
-		hits := ix.Chain(chainOf(500, uint64(slot)+1)).Best(nil, 4, 0)
+		hits := ix.Chain(hashChain(500, uint64(slot)+1)).Best(nil, 4, 0)
 		if len(hits) != 1 || hits[0].Slot != slot || hits[0].Blocks < 400 {
 			t.Errorf("slot %d: %v", slot, hits)
 		}
@@ -196,11 +196,11 @@
 	}
 	for range 3 {
 		v.Publish()
-		v.Apply(39, v.Since(39), engine.CacheEvents{Snapshot: chainOf(500, 40), Next: 1})
+		v.Apply(39, v.Since(39), engine.CacheEvents{Snapshot: hashChain(500, 40), Next: 1})
 	}
 	ix = v.Publish()
 	want := Hit{Slot: 39, Blocks: 500}
-	if got := ix.Chain(chainOf(500, 40)).Depth(39); got != want || ix.Level() != 0 {
+	if got := ix.Chain(hashChain(500, 40)).Depth(39); got != want || ix.Level() != 0 {
 		t.Errorf("after refining: %v at level %d", got, ix.Level())
 	}
 }
@@ -212,14 +212,14 @@
 	runtime.ReadMemStats(&before)
 	v := NewViews(1 << 20)
 	for slot := range Slot(engines) {
-		v.Apply(slot, 0, engine.CacheEvents{Snapshot: chainOf(blocks, uint64(slot)+1), Next: 1})
+		v.Apply(slot, 0, engine.CacheEvents{Snapshot: hashChain(blocks, uint64(slot)+1), Next: 1})
 	}
 	ix := v.Publish()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	perBlock := float64(after.HeapAlloc-before.HeapAlloc) / float64(ix.Pairs())
 	b.Run("lookup", func(b *testing.B) {
-		c := chainOf(blocks, 7)
+		c := hashChain(blocks, 7)
 		hits := make([]Hit, 0, 4)
 		b.ReportAllocs()
 		for b.Loop() {
--- a/prefix/shard.go
+++ b/prefix/shard.go
@@ -1,7 +1,7 @@
 package prefix
 
-// merged returns s with deltas (sorted by hash, owner, order) folded in and the
-// old pairs of cleared owners left out. The last delta of a pair wins.
+// merged returns s with deltas (sorted by hash, owner, order) applied and the old pairs of cleared
+// owners removed. The last delta of a pair takes precedence.
 func (s *shard) merged(deltas []delta, cleared map[Slot]bool) *shard {
 	out := &shard{
 		hashes: make([]uint64, 0, len(s.hashes)+len(deltas)),
@@ -12,8 +12,8 @@
 		if j+1 < len(deltas) && deltas[j+1].hash == d.hash && deltas[j+1].slot == d.slot {
 			continue
 		}
-		for i < len(s.hashes) && s.before(i, d) {
-			out.keep(s, i, cleared)
+		for i < len(s.hashes) && s.precedes(i, d) {
+			out.appendPair(s, i, cleared)
 			i++
 		}
 		if i < len(s.hashes) && s.hashes[i] == d.hash && s.owners[i] == d.slot {
@@ -25,18 +25,18 @@
 		}
 	}
 	for ; i < len(s.hashes); i++ {
-		out.keep(s, i, cleared)
+		out.appendPair(s, i, cleared)
 	}
 	return out
 }
 
-// before tells whether the pair at i sorts before d's.
-func (s *shard) before(i int, d delta) bool {
+// precedes reports whether the pair at i sorts before the pair of d.
+func (s *shard) precedes(i int, d delta) bool {
 	return s.hashes[i] < d.hash || s.hashes[i] == d.hash && s.owners[i] < d.slot
 }
 
-// keep appends the pair of from at i unless its owner is cleared.
-func (s *shard) keep(from *shard, i int, cleared map[Slot]bool) {
+// appendPair appends the pair at index i of from unless its owner is cleared.
+func (s *shard) appendPair(from *shard, i int, cleared map[Slot]bool) {
 	if cleared[from.owners[i]] {
 		return
 	}
@@ -44,7 +44,7 @@
 	s.owners = append(s.owners, from.owners[i])
 }
 
-// resample drops the pairs that the index's level no longer keeps.
+// resample removes the pairs that are not sampled at the current level.
 func (ix *Index) resample() {
 	ix.pairs = 0
 	for i, s := range ix.shards {
--- a/prefix/views.go
+++ b/prefix/views.go
@@ -9,33 +9,33 @@
 	"github.com/springweir/springweir/internal/splitmix"
 )
 
-// DefaultPairs is the default global bound on (block, engine) pairs: 2 million
-// pairs of 10 bytes stay within 20 MB.
+// DefaultPairs is the default bound on the total number of (block, engine) pairs: 2 million pairs
+// of 10 bytes take up to 20 MB.
 const DefaultPairs = 2 << 20
 
-// maxPending bounds the deltas kept between two calls of Publish.
+// maxPending bounds the number of deltas buffered between two calls of Publish.
 const maxPending = 64 << 10
 
-// Views folds the cache events of all engines into an Index. It is safe for
-// concurrent use. mu guards every field; no other lock is taken under it.
+// Views maintains an Index from the cache events of all engines. It is safe for concurrent use: mu
+// guards every field, and no other lock is taken under it.
 type Views struct {
 	mu      sync.Mutex
 	limit   int
 	current *Index
-	engines map[Slot]*view
-	// pending are deltas not yet in current; cleared are slots whose pairs in
-	// current are void. Invariant: a delta of a cleared slot is newer than the
+	engines map[Slot]*engineView
+	// pending contains the deltas that are not yet in current. cleared contains the slots whose
+	// pairs in current are invalid. Invariant: all deltas of a cleared slot are newer than its
 	// clearing.
 	pending []delta
 	cleared map[Slot]bool
-	// orders numbers the deltas, so that the last one of a pair wins.
-	orders int
+	// lastOrder is the number of the last delta. The highest number of a pair takes precedence.
+	lastOrder int
 }
 
-// view is what is known of one engine's event stream.
-type view struct {
+// engineView is the position in the event stream of one engine.
+type engineView struct {
 	incarnation string
-	// next is the sequence of the next event; zero asks for a snapshot.
+	// next is the sequence of the next event. Zero requests a snapshot.
 	next      uint64
 	uncertain bool
 }
@@ -52,13 +52,13 @@
 	return &Views{
 		limit:   limit,
 		current: newIndex(),
-		engines: make(map[Slot]*view),
+		engines: make(map[Slot]*engineView),
 		cleared: make(map[Slot]bool),
 	}
 }
 
-// Since returns the sequence to ask slot's engine for next, and zero when a
-// snapshot is wanted because the view is new or has a gap.
+// Since returns the sequence from which to request the next events of the engine in slot. It is
+// zero if a snapshot is required, because the engine is new or its stream has a gap.
 func (v *Views) Since(slot Slot) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -69,37 +69,37 @@
 	return e.next
 }
 
-// Apply folds in slot's engine's answer to a question from sequence since. Since
-// zero asks for everything, so its answer (a snapshot, or all events) replaces
-// what was held. A batch of a new incarnation clears the view. A jump in the
-// sequence marks it uncertain, until everything was asked for again; events
-// already seen are skipped.
+// Apply applies the response of the engine in slot to a request for events from sequence since. A
+// since of zero requests everything, so its response (a snapshot, or all events) replaces the
+// current blocks. A batch of a new incarnation removes the blocks of the previous one. A gap in the
+// sequence marks the engine as uncertain until everything has been requested again. Events that
+// have already been applied are skipped.
 func (v *Views) Apply(slot Slot, since uint64, batch engine.CacheEvents) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := v.engines[slot]
 	if e == nil || e.incarnation != batch.Incarnation {
 		v.clear(slot)
-		e = &view{incarnation: batch.Incarnation, uncertain: since != 0}
+		e = &engineView{incarnation: batch.Incarnation, uncertain: since != 0}
 		v.engines[slot] = e
 	}
-	whole := since == 0 || batch.Snapshot != nil
-	if whole && batch.Next < e.next {
-		return // A late answer to an earlier question.
+	complete := since == 0 || batch.Snapshot != nil
+	if complete && batch.Next < e.next {
+		return // A late response to an earlier request.
 	}
-	if whole {
+	if complete {
 		v.clear(slot)
-		*e = view{incarnation: batch.Incarnation}
+		*e = engineView{incarnation: batch.Incarnation}
 	}
 	for _, h := range batch.Snapshot {
-		v.add(delta{hash: splitmix.Mix(h), slot: slot, stored: true})
+		v.addDelta(delta{hash: splitmix.Mix(h), slot: slot, stored: true})
 	}
-	v.events(slot, e, batch)
+	v.applyEvents(slot, e, batch)
 }
 
-// events folds in a batch's events. Those of a batch with a snapshot are older
-// than the snapshot, or follow it.
-func (v *Views) events(slot Slot, e *view, batch engine.CacheEvents) {
+// applyEvents applies the events of a batch. Events in a batch with a snapshot either precede the
+// snapshot or directly follow it.
+func (v *Views) applyEvents(slot Slot, e *engineView, batch engine.CacheEvents) {
 	for _, ev := range batch.Events {
 		if ev.Sequence < e.next {
 			continue
@@ -108,7 +108,7 @@
 			e.uncertain = true
 		}
 		e.next = ev.Sequence + 1
-		v.add(delta{hash: splitmix.Mix(ev.Hash), slot: slot, stored: ev.Stored})
+		v.addDelta(delta{hash: splitmix.Mix(ev.Hash), slot: slot, stored: ev.Stored})
 	}
 	if e.next != 0 && batch.Next > e.next && batch.Snapshot == nil {
 		e.uncertain = true
@@ -116,7 +116,7 @@
 	e.next = max(e.next, batch.Next)
 }
 
-// Forget drops everything known of slot, so that the slot can be used again.
+// Forget removes all state of slot, so that the slot can be reused.
 func (v *Views) Forget(slot Slot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -129,19 +129,19 @@
 	v.cleared[slot] = true
 }
 
-func (v *Views) add(d delta) {
+func (v *Views) addDelta(d delta) {
 	if !v.current.sampled(d.hash) {
 		return
 	}
-	v.orders++
-	d.order = v.orders
+	v.lastOrder++
+	d.order = v.lastOrder
 	v.pending = append(v.pending, d)
 	if len(v.pending) >= maxPending {
 		v.flush()
 	}
 }
 
-// Publish folds the pending deltas in and returns the newest index.
+// Publish applies the pending deltas and returns the new index.
 func (v *Views) Publish() *Index {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -156,7 +156,7 @@
 		uncertain: v.uncertainSlots(),
 	}
 	v.merge(next)
-	v.bound(next)
+	v.enforceLimit(next)
 	v.current = next
 }
 
@@ -170,7 +170,7 @@
 	return slots
 }
 
-// merge folds the pending deltas into next's shards and empties them.
+// merge applies the pending deltas to the shards of next and clears them.
 func (v *Views) merge(next *Index) {
 	slices.SortFunc(v.pending, compareDeltas)
 	rest := v.pending
@@ -189,11 +189,11 @@
 	clear(v.cleared)
 }
 
-// bound halves the sample until the limit holds. Coarser is better than
-// forgetting whole engines: a prefix of some blocks is still found, its length
-// known less exactly. When little is held again the sample is refined, for
-// which every engine has to be read anew.
-func (v *Views) bound(next *Index) {
+// enforceLimit raises the sampling level until next is within the limit. Coarser sampling is
+// preferable to dropping whole engines: the prefixes are still found, with a less exact length.
+// When few pairs are left the level is lowered again, which requires reading the events of every
+// engine from the start.
+func (v *Views) enforceLimit(next *Index) {
 	for next.pairs > v.limit {
 		next.level++
 		next.resample()
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -10,69 +10,73 @@
 	"github.com/springweir/springweir/fleet"
 )
 
-// NoEndpointError is a request for which no endpoint can be used now.
+// NoEndpointError reports that no endpoint can currently serve a request.
 type NoEndpointError struct {
-	// What names the model or service asked for.
-	What string
-	// Unserved is set when no available endpoint serves it at all.
+	// Target is the requested model or service.
+	Target string
+	// Unserved is set when no available endpoint serves Target at all.
 	Unserved bool
-	// Left counts the endpoints left out, by filter.
-	Left map[string]int
+	// Excluded counts the excluded endpoints by the name of the first filter that rejected each, or
+	// by "prefill-only" and "unpaired".
+	Excluded map[string]int
 }
 
 // Error implements error.
 func (e *NoEndpointError) Error() string {
 	if e.Unserved {
-		return fmt.Sprintf("no available endpoint serves %s", e.What)
+		return fmt.Sprintf("no available endpoint serves %s", e.Target)
 	}
-	parts := make([]string, 0, len(e.Left))
-	for name, n := range e.Left {
+	parts := make([]string, 0, len(e.Excluded))
+	for name, n := range e.Excluded {
 		parts = append(parts, fmt.Sprintf("%d %s", n, name))
 	}
 	sort.Strings(parts)
-	return fmt.Sprintf("no endpoint can take %s now: %s", e.What, strings.Join(parts, ", "))
+	return fmt.Sprintf("no endpoint can take %s now: %s", e.Target, strings.Join(parts, ", "))
 }
 
 // Reason implements failure.Coded.
 func (e *NoEndpointError) Reason() failure.Reason { return failure.NoEndpoint }
 
-// refusal explains why nothing was found. It is off the hot path.
-func (d *decider) refusal() error {
-	err := &NoEndpointError{What: d.r.Service, Left: make(map[string]int)}
-	if err.What == "" {
-		err.What = d.r.Artifact.Model
+// noEndpointError builds the error for a request without candidates. It visits every endpoint,
+// which is acceptable because it is off the hot path.
+func (d *decider) noEndpointError() error {
+	err := &NoEndpointError{Target: d.r.Service, Excluded: make(map[string]int)}
+	if err.Target == "" {
+		err.Target = d.r.Artifact.Model
 	}
 	members := 0
 	for _, e := range d.s.Endpoints() {
-		if !e.Available() || !d.wanted(e) {
+		if !e.Available() || !d.matchesRequest(e) {
 			continue
 		}
 		members++
-		d.blame(e, err.Left)
+		d.countExclusion(e, err.Excluded)
 	}
 	err.Unserved = members == 0
 	return err
 }
 
-// wanted tells whether e serves what is asked for, whatever its role.
-func (d *decider) wanted(e *fleet.Endpoint) bool {
+// matchesRequest reports whether e serves the requested service or artifact, whatever its role.
+func (d *decider) matchesRequest(e *fleet.Endpoint) bool {
 	if d.r.Service != "" {
 		return e.Kind == fleet.Service && e.Service == d.r.Service
 	}
 	return e.Kind == fleet.Engine && serves(e, d.r)
 }
 
-// blame counts the first filter that leaves e out.
-func (d *decider) blame(e *fleet.Endpoint, left map[string]int) {
+// countExclusion increments the count of the first filter that rejects e. An endpoint that passes
+// every filter could not serve the request alone: it is a prefill engine, or no partner was found
+// for it.
+func (d *decider) countExclusion(e *fleet.Endpoint, excluded map[string]int) {
 	for _, f := range d.cfg.Filters {
-		if !f.Keep(e, d.r) {
-			left[f.Name()]++
+		if !f.Accept(e, d.r) {
+			excluded[f.Name()]++
 			return
 		}
 	}
 	if e.Role == engine.Prefill {
-		left["prefill-only"]++
+		excluded["prefill-only"]++
 		return
 	}
-	left["unpaired"]++
+	excluded["unpaired"]++
 }
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -10,17 +10,17 @@
 	"github.com/springweir/springweir/prefix"
 )
 
-// Costs are the assumed speeds of an engine, and how far reports are trusted.
+// Costs holds the assumed speeds of an engine and the limits within which load reports are trusted.
 type Costs struct {
 	costs.Engine
-	// PeerWorkFactor is how much unseen work each other entry of the zone, up to
-	// maxOthers of them, is assumed to have at an engine, as a part of the own.
+	// PeerWorkFactor estimates the unreported work of each other entry VM of the zone (up to
+	// maxPeers of them) at an engine, as a multiple of the local unreported work.
 	PeerWorkFactor float64
-	// MaxReportAge is the age from which a load report is no longer believed.
+	// MaxReportAge is the age from which a load report is ignored.
 	MaxReportAge time.Duration
 }
 
-// DefaultCosts returns the defaults.
+// DefaultCosts returns the default costs.
 func DefaultCosts() Costs {
 	return Costs{
 		Engine:         costs.Defaults(),
@@ -29,50 +29,52 @@
 	}
 }
 
-// Part is the part of a request's work that an engine would do.
-type Part uint8
+// Stage is the stage of a request's work that an engine performs.
+type Stage uint8
 
-// The parts.
+// Stages of a request.
 const (
-	// Whole is prefill and decode on one engine.
-	Whole Part = iota
-	// PrefillHalf ends with the prompt's KV cache.
-	PrefillHalf
-	// DecodeHalf starts by importing it.
-	DecodeHalf
+	// Colocated is prefill and decode on the same engine.
+	Colocated Stage = iota
+	// PrefillStage computes the KV cache of the prompt.
+	PrefillStage
+	// DecodeStage imports that KV cache and generates the output.
+	DecodeStage
 )
 
-// Estimate is what serving a request on an engine is predicted to cost.
+// Estimate is the predicted cost of serving a request on an engine, or on a pair of engines.
 type Estimate struct {
-	// Endpoint serves the request; nil means that there is none.
+	// Endpoint serves the request. It is nil if there is no candidate.
 	Endpoint *fleet.Endpoint
-	// First prefills for Endpoint in a pair.
-	First *fleet.Endpoint
-	Part  Part
-	// Load is the engine's load as assumed, reports and own work together.
-	Load Assumed
-	// Cached is the part of the prompt thought to be cached.
-	Cached int
-	// Queue, Prefill and Move are the times before the first step of decode.
-	Queue, Prefill, Move time.Duration
-	// PerToken is the time of one step.
+	// PrefillEndpoint computes the prompt for Endpoint. It is nil unless the stages run on a pair
+	// of engines.
+	PrefillEndpoint *fleet.Endpoint
+	Stage           Stage
+	// Load is the estimated load of Endpoint.
+	Load EstimatedLoad
+	// CachedTokens is the number of prompt tokens expected to be in the engine's prefix cache.
+	CachedTokens int
+	// Queue, Prefill and Transfer are the durations before the first decode step: waiting,
+	// computing the prompt and importing its KV cache.
+	Queue, Prefill, Transfer time.Duration
+	// PerToken is the duration of one decode step.
 	PerToken time.Duration
-	// Output is the number of steps.
-	Output int
-	// Cost is the weighted sum of the scorers, in seconds.
+	// OutputSteps is the number of decode steps.
+	OutputSteps int
+	// Cost is the weighted sum of the scores, in seconds.
 	Cost float64
 }
 
-// TTFT is the predicted time to the first token.
-func (e *Estimate) TTFT() time.Duration { return e.Queue + e.Prefill + e.Move + e.PerToken }
+// TTFT returns the predicted time to the first token.
+func (e *Estimate) TTFT() time.Duration { return e.Queue + e.Prefill + e.Transfer + e.PerToken }
 
-// Completion is the predicted time to the whole answer.
+// Completion returns the predicted time to the complete response.
 func (e *Estimate) Completion() time.Duration {
-	return e.TTFT() + time.Duration(max(0, e.Output-1))*e.PerToken
+	return e.TTFT() + time.Duration(max(0, e.OutputSteps-1))*e.PerToken
 }
 
-// step is the time of one decode step of n sequences over context tokens.
-func (c *Costs) step(n, context int) time.Duration {
+// stepTime returns the duration of a decode step of n sequences with context tokens in total.
+func (c *Costs) stepTime(n, context int) time.Duration {
 	if n == 0 {
 		return 0
 	}
@@ -80,64 +82,65 @@
 	return c.StepBase + time.Duration(min(n, c.MaxBatch))*c.StepPerSequence + perContext
 }
 
-// prefill is the time to compute tokens. Beside decoding sequences they go in
-// chunks, each of which waits for a decode step.
-func (c *Costs) prefill(tokens int, role engine.Role, step time.Duration) time.Duration {
-	alone := seconds(float64(tokens) / c.PrefillRate)
+// prefillTime returns the time to compute tokens of prompt. On an engine that also decodes, the
+// prompt is processed in chunks, each of which waits for a decode step.
+func (c *Costs) prefillTime(tokens int, role engine.Role, step time.Duration) time.Duration {
+	compute := seconds(float64(tokens) / c.PrefillRate)
 	if role == engine.Prefill || tokens <= 0 {
-		return max(0, alone)
+		return max(0, compute)
 	}
-	chunks := float64(tokens) / float64(c.chunk(role))
-	return alone + time.Duration(chunks*float64(step))
+	chunks := float64(tokens) / float64(c.chunkSize(role))
+	return compute + time.Duration(chunks*float64(step))
 }
 
-func (c *Costs) chunk(role engine.Role) int {
+// chunkSize returns the number of prompt tokens per step of an engine of the role.
+func (c *Costs) chunkSize(role engine.Role) int {
 	if role == engine.Decode {
 		return c.DecodeChunk
 	}
 	return c.MixedChunk
 }
 
-// interference is the part of a decode step spent on other requests' prompts.
-// A queue of eight chunks counts as one that is seldom empty.
+// interference returns the part of a decode step spent on the prompts of other requests. A prefill
+// queue of eight chunks is treated as never empty.
 func (c *Costs) interference(role engine.Role, waiting int) time.Duration {
-	chunk := c.chunk(role)
-	busy := min(1, float64(waiting)/float64(8*chunk))
-	return seconds(busy * float64(chunk) / c.PrefillRate)
+	chunk := c.chunkSize(role)
+	occupancy := min(1, float64(waiting)/float64(8*chunk))
+	return seconds(occupancy * float64(chunk) / c.PrefillRate)
 }
 
-// room is the wait for cache memory or a place in the batch. Both come free as
-// running requests end; with n of them at even distances from their end, the
-// k-th ends after k/(n+1) of an answer.
-func (c *Costs) room(a Assumed, need, output int, step time.Duration) time.Duration {
+// capacityWait returns the wait for cache memory or a slot in the batch. Both are released as
+// running requests complete: with n of them evenly spread over their decode phase, the k-th
+// completes after k/(n+1) of the time of a response.
+func (c *Costs) capacityWait(a EstimatedLoad, tokens, output int, step time.Duration) time.Duration {
 	n := float64(min(a.Requests, c.MaxBatch))
-	ends := max(0, float64(a.Requests+1-c.MaxBatch))
-	if missing := a.KVUsed + need - a.KVTotal; a.KVTotal > 0 && missing > 0 {
-		each := float64(a.KVUsed) / max(1, n)
-		ends = max(ends, math.Ceil(float64(missing)/max(1, each)))
+	completions := max(0, float64(a.Requests+1-c.MaxBatch))
+	if shortfall := a.KVUsed + tokens - a.KVTotal; a.KVTotal > 0 && shortfall > 0 {
+		perRequest := float64(a.KVUsed) / max(1, n)
+		completions = max(completions, math.Ceil(float64(shortfall)/max(1, perRequest)))
 	}
-	return time.Duration(ends / (n + 1) * float64(output) * float64(step))
+	return time.Duration(completions / (n + 1) * float64(output) * float64(step))
 }
 
-// estimate predicts what part of the request costs on e.
-func (d *decider) estimate(e *fleet.Endpoint, part Part) Estimate {
+// estimate predicts the cost of a stage of the request on e.
+func (d *decider) estimate(e *fleet.Endpoint, stage Stage) Estimate {
 	c := &d.cfg.Costs
-	load := d.load(e)
-	cached := d.cached(e)
+	load := d.estimateLoad(e)
+	cached := d.cachedTokens(e)
 	out := &d.scratch
-	*out = Estimate{Endpoint: e, Part: part, Load: load, Cached: cached}
-	step := c.step(load.Requests, load.ContextTokens)
-	if part != DecodeHalf {
-		out.Queue = c.prefill(load.PromptTokens, e.Role, step)
-		out.Prefill = c.prefill(d.r.PromptTokens-cached, e.Role, step)
+	*out = Estimate{Endpoint: e, Stage: stage, Load: load, CachedTokens: cached}
+	step := c.stepTime(load.Requests, load.ContextTokens)
+	if stage != DecodeStage {
+		out.Queue = c.prefillTime(load.PromptTokens, e.Role, step)
+		out.Prefill = c.prefillTime(d.r.PromptTokens-cached, e.Role, step)
 	} else {
-		out.Move = c.move(d.r.PromptTokens)
+		out.Transfer = c.transferTime(d.r.PromptTokens)
 	}
-	if part != PrefillHalf {
-		out.Output = max(1, d.r.OutputTokens)
-		out.PerToken = c.step(load.Requests+1, load.ContextTokens+d.r.PromptTokens)
+	if stage != PrefillStage {
+		out.OutputSteps = max(1, d.r.OutputTokens)
+		out.PerToken = c.stepTime(load.Requests+1, load.ContextTokens+d.r.PromptTokens)
 		out.PerToken += c.interference(e.Role, load.PromptTokens)
-		out.Queue += c.room(load, d.r.PromptTokens+d.r.OutputTokens, out.Output, out.PerToken)
+		out.Queue += c.capacityWait(load, d.r.PromptTokens+d.r.OutputTokens, out.OutputSteps, out.PerToken)
 	}
 	for _, s := range d.cfg.Scorers {
 		out.Cost += s.Weight * s.Scorer.Score(c, out, d.r)
@@ -145,13 +148,14 @@
 	return *out
 }
 
-func (c *Costs) move(tokens int) time.Duration {
+// transferTime returns the time to transfer the KV cache of tokens.
+func (c *Costs) transferTime(tokens int) time.Duration {
 	return c.MoveLatency + seconds(float64(tokens)/c.MoveRate)
 }
 
-// cached is the part of the prompt thought to be cached on e. The last token is
-// always computed. A view with a gap counts for half.
-func (d *decider) cached(e *fleet.Endpoint) int {
+// cachedTokens returns the number of prompt tokens expected to be cached on e. The last token is
+// always computed. If the cache view of e has a gap, half of the tokens are counted.
+func (d *decider) cachedTokens(e *fleet.Endpoint) int {
 	hit := d.chain.Depth(e.Slot)
 	tokens := min(hit.Blocks*prefix.BlockTokens, d.r.PromptTokens-1)
 	if hit.Uncertain {
@@ -160,14 +164,14 @@
 	return max(0, tokens)
 }
 
-// join makes a pair's estimate of its halves.
-func join(first, second Estimate, r *Request) Estimate {
-	out := second
-	out.First = first.Endpoint
-	out.Cached = first.Cached
-	out.Queue = first.Queue + second.Queue
-	out.Prefill = first.Prefill
-	out.Cost = first.Cost + second.Cost
+// combine returns the estimate of a pair from the estimates of its two stages.
+func combine(prefill, decode Estimate, r *Request) Estimate {
+	out := decode
+	out.PrefillEndpoint = prefill.Endpoint
+	out.CachedTokens = prefill.CachedTokens
+	out.Queue = prefill.Queue + decode.Queue
+	out.Prefill = prefill.Prefill
+	out.Cost = prefill.Cost + decode.Cost
 	return out
 }
 
--- a/routing/load.go
+++ b/routing/load.go
@@ -5,91 +5,93 @@
 	"github.com/springweir/springweir/fleet"
 )
 
-// maxOthers bounds the entries whose unseen work is assumed: among more than
-// these an entry's own work tells little of what the others send.
-const maxOthers = 8
+// maxPeers bounds the number of entry VMs whose unreported work is estimated. Above this number the
+// local work says little about what the others send.
+const maxPeers = 8
 
-// meanOver bounds the engines whose own work is averaged, so that a decision's
-// cost does not grow with the fleet.
-const meanOver = 16
+// meanSampleSize bounds the number of engines whose local work is averaged, so that the cost of a
+// decision does not grow with the fleet.
+const meanSampleSize = 16
 
-// Assumed is an engine's load as routing assumes it to be.
-type Assumed struct {
-	// Requests are running or waiting; PromptTokens wait for prefill;
-	// ContextTokens are being decoded over.
+// EstimatedLoad is the load of an engine as estimated from its reports and the tracked work.
+type EstimatedLoad struct {
+	// Requests are waiting or running. PromptTokens wait for prefill. ContextTokens belong to
+	// sequences being decoded.
 	Requests, PromptTokens, ContextTokens int
-	// KVUsed and KVTotal are tokens of cache memory; zero KVTotal is unknown.
+	// KVUsed and KVTotal are the used and total tokens of cache memory. A KVTotal of zero is
+	// unknown.
 	KVUsed, KVTotal int
 }
 
-// load is what e is assumed to have to do. A report that is too old is not
-// believed at all; the entries' work in flight is then the better guess.
-func (d *decider) load(e *fleet.Endpoint) Assumed {
+// estimateLoad returns the estimated load of e. A report older than MaxReportAge is ignored in
+// favour of the work in flight from the entry VMs, which is then the better estimate.
+func (d *decider) estimateLoad(e *fleet.Endpoint) EstimatedLoad {
 	c := &d.cfg.Costs
 	if e.Age(d.r.Now) > c.MaxReportAge {
-		return guess(e, d.others(e.Role))
+		return loadWithoutReport(e, d.peerWork(e.Role))
 	}
-	return c.reported(e, d.s.EntryVMs)
+	return c.loadFromReport(e, d.s.EntryVMs)
 }
 
-// reported adds to the report what it cannot include.
-func (c *Costs) reported(e *fleet.Endpoint, entries int) Assumed {
-	unseen := e.LocalWork.Unreported.Scale(1 + c.PeerWorkFactor*float64(min(entries-1, maxOthers)))
-	return Assumed{
-		Requests:      e.Load.Waiting + e.Load.Running + unseen.Requests,
-		PromptTokens:  e.Load.WaitingTokens + unseen.PromptTokens,
-		ContextTokens: e.Load.DecodeTokens + unseen.ContextTokens,
-		KVUsed:        e.Load.KVUsed + unseen.ContextTokens,
+// loadFromReport returns the reported load plus the work that the report cannot include.
+func (c *Costs) loadFromReport(e *fleet.Endpoint, entryVMs int) EstimatedLoad {
+	unreported := e.LocalWork.Unreported.Scale(1 + c.PeerWorkFactor*float64(min(entryVMs-1, maxPeers)))
+	return EstimatedLoad{
+		Requests:      e.Load.Waiting + e.Load.Running + unreported.Requests,
+		PromptTokens:  e.Load.WaitingTokens + unreported.PromptTokens,
+		ContextTokens: e.Load.DecodeTokens + unreported.ContextTokens,
+		KVUsed:        e.Load.KVUsed + unreported.ContextTokens,
 		KVTotal:       e.Load.KVTotal,
 	}
 }
 
-// guess is the load of an engine without a report: the own work and that of the
-// other entries. Of the prompts not yet computed half is taken as done.
-func guess(e *fleet.Endpoint, others fleet.Work) Assumed {
-	all := e.LocalWork.InFlight.Add(others)
-	return Assumed{
-		Requests:      all.Requests,
-		PromptTokens:  all.PromptTokens / 2,
-		ContextTokens: all.ContextTokens,
-		KVUsed:        all.ContextTokens,
+// loadWithoutReport estimates the load of an engine without a current report as the sum of the
+// local work in flight and the estimated work of the other entry VMs. Half of the outstanding
+// prompt tokens count as already computed.
+func loadWithoutReport(e *fleet.Endpoint, peerWork fleet.Work) EstimatedLoad {
+	total := e.LocalWork.InFlight.Add(peerWork)
+	return EstimatedLoad{
+		Requests:      total.Requests,
+		PromptTokens:  total.PromptTokens / 2,
+		ContextTokens: total.ContextTokens,
+		KVUsed:        total.ContextTokens,
 		KVTotal:       e.Load.KVTotal,
 	}
 }
 
-// roleWork is the work that the other entries are assumed to have at each
-// engine of a role.
+// roleWork is the estimated work of the other entry VMs at each engine of a role.
 type roleWork struct {
 	role engine.Role
 	work fleet.Work
 }
 
-// others guesses what the zone's other entries have in flight at an engine of
-// role: as much each as this one has at such engines on average. The own work at
-// one engine is a bad guess of theirs, since each entry has few requests there.
-func (d *decider) others(role engine.Role) fleet.Work {
-	for _, known := range d.elsewhere[:d.nelsewhere] {
-		if known.role == role {
-			return known.work
+// peerWork estimates the work that the other entry VMs of the zone have in flight at an engine of
+// the role: for each of them, the mean of the local work at such engines. The local work at a
+// single engine is a poor estimate, because each entry VM has only a few requests there.
+func (d *decider) peerWork(role engine.Role) fleet.Work {
+	for _, cached := range d.peerWorkByRole[:d.npeerWork] {
+		if cached.role == role {
+			return cached.work
 		}
 	}
-	work := d.mean(role, float64(d.s.EntryVMs-1))
-	d.elsewhere[d.nelsewhere] = roleWork{role, work}
-	d.nelsewhere++
+	work := d.meanWork(role, float64(d.s.EntryVMs-1))
+	d.peerWorkByRole[d.npeerWork] = roleWork{role, work}
+	d.npeerWork++
 	return work
 }
 
-// mean is the mean own work at the engines of a role, times factor.
-func (d *decider) mean(role engine.Role, factor float64) fleet.Work {
+// meanWork returns the mean of the local work at the engines of a role, multiplied by factor. It
+// samples at most meanSampleSize engines.
+func (d *decider) meanWork(role engine.Role, factor float64) fleet.Work {
 	members := d.s.Engines(d.r.Artifact, role)
-	n := min(len(members), meanOver)
-	from := 0
+	n := min(len(members), meanSampleSize)
+	start := 0
 	if len(members) > n {
-		from = d.rng.IntN(len(members))
+		start = d.rng.IntN(len(members))
 	}
 	var sum fleet.Work
 	for i := range n {
-		sum = sum.Add(d.s.At(members[(from+i)%len(members)]).LocalWork.InFlight)
+		sum = sum.Add(d.s.At(members[(start+i)%len(members)]).LocalWork.InFlight)
 	}
 	return sum.Scale(factor / float64(max(1, n)))
 }
--- a/routing/metrics.go
+++ b/routing/metrics.go
@@ -7,44 +7,44 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counters of the usual decisions, made beforehand because each request has one.
+// Counters of the most frequent decisions, created once to avoid a lookup for each request.
 var (
-	decidedWhole = metrics.NewCounter(`springweir_routing_decided_total{kind="whole"}`)
-	decidedPair  = metrics.NewCounter(`springweir_routing_decided_total{kind="pair"}`)
-	decidedTrial = metrics.NewCounter(`springweir_routing_decided_total{kind="trial"}`)
+	colocatedDecisions     = metrics.NewCounter(`springweir_routing_decided_total{kind="whole"}`)
+	disaggregatedDecisions = metrics.NewCounter(`springweir_routing_decided_total{kind="pair"}`)
+	trialDecisions         = metrics.NewCounter(`springweir_routing_decided_total{kind="trial"}`)
 )
 
-// CountDecision counts a decision's result: refusals by what left the endpoints out,
-// spills by zone, pairs and trials. Decide itself stays free of side effects.
+// CountDecision updates the metrics for the result of Decide, which itself has no side effects:
+// refusals by the reason of exclusion, spills by zone, pairs and trials.
 func CountDecision(d Decision, err error) {
-	var none *NoEndpointError
+	var noEndpoint *NoEndpointError
 	switch {
-	case errors.As(err, &none):
-		countRefusal(none)
+	case errors.As(err, &noEndpoint):
+		countRefusal(noEndpoint)
 	case err != nil:
-		count("springweir_routing_refused_total", "cause", "other")
+		increment("springweir_routing_refused_total", "cause", "other")
 	case d.Zone != "":
-		count("springweir_routing_spilled_total", "zone", d.Zone)
+		increment("springweir_routing_spilled_total", "zone", d.Zone)
 	case d.PrefillEndpoint != nil:
-		decidedPair.Inc()
+		disaggregatedDecisions.Inc()
 	default:
-		decidedWhole.Inc()
+		colocatedDecisions.Inc()
 	}
 	if d.Trial {
-		decidedTrial.Inc()
+		trialDecisions.Inc()
 	}
 }
 
 func countRefusal(err *NoEndpointError) {
 	if err.Unserved {
-		count("springweir_routing_refused_total", "cause", "unserved")
+		increment("springweir_routing_refused_total", "cause", "unserved")
 	}
-	for cause := range err.Left {
-		count("springweir_routing_refused_total", "cause", cause)
+	for cause := range err.Excluded {
+		increment("springweir_routing_refused_total", "cause", cause)
 	}
 }
 
-func count(name, label, value string) {
-	full := fmt.Sprintf("%s{%s=%q}", name, label, value)
-	metrics.GetOrCreateCounter(full).Inc()
+func increment(name, label, value string) {
+	series := fmt.Sprintf("%s{%s=%q}", name, label, value)
+	metrics.GetOrCreateCounter(series).Inc()
 }
--- a/routing/metrics_test.go
+++ b/routing/metrics_test.go
@@ -17,21 +17,21 @@
 		err      error
 		want     []string
 	}{
-		{"whole", Decision{}, nil, []string{`decided_total{kind="whole"}`}},
+		{"colocated", Decision{}, nil, []string{`decided_total{kind="whole"}`}},
 		{"pair", Decision{PrefillEndpoint: &fleet.Endpoint{}}, nil, []string{`decided_total{kind="pair"}`}},
 		{"trial", Decision{Trial: true}, nil, []string{`decided_total{kind="whole"}`, `decided_total{kind="trial"}`}},
 		{"spilled", Decision{Zone: "b"}, nil, []string{`spilled_total{zone="b"}`}},
 		{"unserved", Decision{}, &NoEndpointError{Unserved: true}, []string{`refused_total{cause="unserved"}`}},
-		{"left out", Decision{}, &NoEndpointError{Left: map[string]int{"fits": 2}}, []string{`refused_total{cause="fits"}`}},
+		{"excluded", Decision{}, &NoEndpointError{Excluded: map[string]int{"fits": 2}}, []string{`refused_total{cause="fits"}`}},
 		{"other", Decision{}, context.Canceled, []string{`refused_total{cause="other"}`}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			before := counted(all)
+			before := counterValues(counterNames)
 			CountDecision(tc.decision, tc.err)
 			var got []string
-			for i, n := range counted(all) {
+			for i, n := range counterValues(counterNames) {
 				if n == before[i]+1 {
-					got = append(got, all[i])
+					got = append(got, counterNames[i])
 				}
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
@@ -41,13 +41,13 @@
 	}
 }
 
-// all are the counters of the test, in the order in which want has them.
-var all = []string{
+// counterNames are the counters under test, in the order of the want lists.
+var counterNames = []string{
 	`decided_total{kind="whole"}`, `decided_total{kind="pair"}`, `decided_total{kind="trial"}`,
 	`spilled_total{zone="b"}`, `refused_total{cause="unserved"}`, `refused_total{cause="fits"}`, `refused_total{cause="other"}`,
 }
 
-func counted(names []string) []uint64 {
+func counterValues(names []string) []uint64 {
 	var out []uint64
 	for _, name := range names {
 		out = append(out, metrics.GetOrCreateCounter("springweir_routing_"+name).Get())
--- a/routing/plugins_test.go
+++ b/routing/plugins_test.go
@@ -14,9 +14,9 @@
 func TestFilters(t *testing.T) {
 	ejected := health.Status{Phase: health.Ejected, Until: now + 1}
 	r := &Request{PromptTokens: 60, OutputTokens: 40, Now: now, Tried: []string{"e1"}}
-	once := &Request{Now: now, NoTrial: true}
-	if (Healthy{}).Keep(&fleet.Endpoint{Health: health.Status{Phase: health.Ejected, Until: now}}, once) {
-		t.Error("a call that may not be repeated would be a trial")
+	notRepeatable := &Request{Now: now, NoTrial: true}
+	if (Healthy{}).Accept(&fleet.Endpoint{Health: health.Status{Phase: health.Ejected, Until: now}}, notRepeatable) {
+		t.Error("a call that must not be repeated was accepted as a trial")
 	}
 	tests := []struct {
 		filter Filter
@@ -34,7 +34,7 @@
 		{Fits{}, fleet.Endpoint{}, true},
 	}
 	for i, test := range tests {
-		if got := test.filter.Keep(&test.e, r); got != test.want {
+		if got := test.filter.Accept(&test.e, r); got != test.want {
 			t.Errorf("%d, %s: got %v", i, test.filter.Name(), got)
 		}
 	}
@@ -43,10 +43,10 @@
 func TestScorers(t *testing.T) {
 	costs := Costs{Engine: costs.Engine{PrefillRate: 1000, StepPerSequence: time.Millisecond, StepPerContext: 1000, MaxBatch: 8}}
 	r := &Request{PromptTokens: 1000}
-	e := Estimate{Load: Assumed{Requests: 4}, Cached: 500, Queue: time.Second, Prefill: 2 * time.Second, Move: 3 * time.Second, PerToken: 100 * time.Millisecond, Output: 11}
-	part := func(p Part) Estimate {
+	e := Estimate{Load: EstimatedLoad{Requests: 4}, CachedTokens: 500, Queue: time.Second, Prefill: 2 * time.Second, Transfer: 3 * time.Second, PerToken: 100 * time.Millisecond, OutputSteps: 11}
+	stage := func(p Stage) Estimate {
 		half := e
-		half.Part = p
+		half.Stage = p
 		return half
 	}
 	full := e
@@ -57,12 +57,12 @@
 		e      Estimate
 		want   float64
 	}{
-		{"queue, prefill, move and a step", FirstToken{}, e, 6.1},
-		{"the other steps", Tokens{}, e, 1},
-		{"4 wait for 500 tokens and 11 longer steps", Disturbance{}, e, 4*0.5 + 4*0.002*11},
-		{"prefill half", Disturbance{}, part(PrefillHalf), 4 * 0.5},
-		{"decode half", Disturbance{}, part(DecodeHalf), 4 * 0.002 * 11},
-		{"no more run than fit", Disturbance{}, full, 8*0.5 + 8*0.002*11},
+		{"queue, prefill, transfer and a step", TimeToFirstToken{}, e, 6.1},
+		{"the other steps", DecodeTime{}, e, 1},
+		{"4 wait for 500 tokens and 11 longer steps", Interference{}, e, 4*0.5 + 4*0.002*11},
+		{"prefill stage", Interference{}, stage(PrefillStage), 4 * 0.5},
+		{"decode stage", Interference{}, stage(DecodeStage), 4 * 0.002 * 11},
+		{"bounded by the batch size", Interference{}, full, 8*0.5 + 8*0.002*11},
 	}
 	for _, test := range tests {
 		if got := test.scorer.Score(&costs, &test.e, r); math.Abs(got-test.want) > 1e-9 {
@@ -71,24 +71,24 @@
 	}
 }
 
-func TestAssumedLoad(t *testing.T) {
+func TestLoadFromReport(t *testing.T) {
 	costs := Costs{PeerWorkFactor: 0.5}
-	open := fleet.Work{Requests: 4, PromptTokens: 100, ContextTokens: 200}
-	unseen := fleet.Work{Requests: 2, PromptTokens: 50, ContextTokens: 100}
+	inFlight := fleet.Work{Requests: 4, PromptTokens: 100, ContextTokens: 200}
+	unreported := fleet.Work{Requests: 2, PromptTokens: 50, ContextTokens: 100}
 	e := fleet.Endpoint{
 		Load:      engine.Load{Waiting: 1, Running: 2, WaitingTokens: 10, DecodeTokens: 20, KVUsed: 30, KVTotal: 400},
-		LocalWork: fleet.LocalWork{InFlight: open, Unreported: unseen},
+		LocalWork: fleet.LocalWork{InFlight: inFlight, Unreported: unreported},
 	}
 	tests := []struct {
-		name    string
-		entries int
-		want    Assumed
+		name     string
+		entryVMs int
+		want     EstimatedLoad
 	}{
-		{"alone", 1, Assumed{5, 60, 120, 130, 400}},
-		{"three entries", 3, Assumed{7, 110, 220, 230, 400}},
-		{"others are bounded", 100, Assumed{13, 260, 520, 530, 400}},
+		{"alone", 1, EstimatedLoad{5, 60, 120, 130, 400}},
+		{"three entry VMs", 3, EstimatedLoad{7, 110, 220, 230, 400}},
+		{"peers are bounded", 100, EstimatedLoad{13, 260, 520, 530, 400}},
 	}
 	for _, test := range tests {
-		equal(t, test.name, test.want, costs.reported(&e, test.entries))
+		equal(t, test.name, test.want, costs.loadFromReport(&e, test.entryVMs))
 	}
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,10 +1,9 @@
-// Package routing chooses the endpoints for a request: filters leave out what
-// cannot serve it, scorers predict what each candidate would cost, and the
-// cheapest of a few candidates is picked.
+// Package routing selects the endpoints for a request: filters exclude the endpoints that cannot
+// serve it, scorers predict the cost of each candidate, and the cheapest candidate is selected.
 //
-// Decide is a pure function of a snapshot, a request and a source of random
-// numbers. It looks at a bounded number of candidates (those that hold the
-// longest prefixes and a random few), so its cost does not grow with the fleet.
+// Decide is a pure function of a snapshot, a request and a source of random numbers. It considers a
+// bounded number of candidates (those that hold the longest cached prefixes and a random sample),
+// so its cost does not grow with the fleet.
 package routing
 
 import (
@@ -16,52 +15,53 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Request is what a decision needs to know of a request.
+// Request describes a request to be routed.
 type Request struct {
-	// Artifact is the model, adapter and version asked for; an empty version
-	// takes any. It is unused when Service is set.
+	// Artifact is the requested model, adapter and version. An empty version accepts any. It is
+	// unused when Service is set.
 	Artifact weightstore.Artifact
-	// Service names the plain service called; empty for a generation.
+	// Service is the name of the called service. It is empty for a generation.
 	Service string
-	// PromptTokens is the length of the prompt and of any text to resume after.
+	// PromptTokens is the length of the prompt, including generated text to resume after.
 	PromptTokens int
-	// OutputTokens is the expected length of the answer.
+	// OutputTokens is the expected length of the response.
 	OutputTokens int
 	// PrefixHashes are the prompt's chained block hashes (prefix.Hashes).
 	PrefixHashes []uint64
 	Priority     engine.Priority
-	// Now and Deadline are by the snapshot's clock; zero Deadline means none.
+	// Now and Deadline are on the clock of the snapshot. A Deadline of zero means none.
 	Now, Deadline time.Duration
-	// Tried are the names of endpoints not to use again.
+	// Tried lists the names of the endpoints that must not be used again.
 	Tried []string
-	// FromOtherZone is set on a request that came from another zone: it may not leave
-	// this one again.
+	// FromOtherZone is set on a request forwarded by another zone. It must not leave this zone
+	// again.
 	FromOtherZone bool
-	// NoTrial keeps the request off half-open endpoints: it is set on calls that
-	// may not be repeated elsewhere when the trial fails.
+	// NoTrial excludes half-open endpoints. It is set for calls that must not be repeated elsewhere
+	// if the trial fails.
 	NoTrial bool
-	// Prefilled is set when the prompt's KV cache waits for an importer: an engine of the own zone
-	// is wanted that decodes.
+	// Prefilled is set when the KV cache of the prompt is ready to be imported. The request then
+	// needs an engine of the local zone that decodes.
 	Prefilled bool
 }
 
-// Decision is where to send a request.
+// Decision is the destination of a request: endpoints of the local zone or another zone.
 type Decision struct {
-	// Endpoint answers the request. It is nil when Zone is set.
+	// Endpoint serves the request. It is nil when Zone is set.
 	Endpoint *fleet.Endpoint
-	// PrefillEndpoint computes the prompt and hands its KV cache to Endpoint; nil when
+	// PrefillEndpoint computes the prompt and transfers its KV cache to Endpoint. It is nil when
 	// Endpoint does both.
 	PrefillEndpoint *fleet.Endpoint
-	// Zone is the other zone whose entries should take the request, if any.
+	// Zone is the other availability zone that the request is forwarded to, if any.
 	Zone string
-	// CachedTokens is the part of the prompt thought to be cached where it is prefilled.
+	// CachedTokens is the number of prompt tokens expected to be cached on the engine that
+	// prefills.
 	CachedTokens int
-	// Queue is the predicted wait at the endpoints before the request is begun.
+	// Queue is the predicted wait at the endpoints before processing starts.
 	Queue time.Duration
-	// TTFT, PerToken and Completion are the predicted times to the first token,
-	// between tokens, and to the whole answer.
+	// TTFT, PerToken and Completion are the predicted time to the first token, time between tokens,
+	// and time to the complete response.
 	TTFT, PerToken, Completion time.Duration
-	// Cost is what was compared, in seconds.
+	// Cost is the compared cost, in seconds.
 	Cost float64
 	// Considered is the number of candidates scored.
 	Considered int
@@ -69,11 +69,12 @@
 	Trial bool
 }
 
-// Config holds the choices of a Router.
+// Config configures a Router.
 type Config struct {
-	// RandomCandidates is the number of random candidates of each kind (power of k choices).
+	// RandomCandidates is the number of random candidates of each role (power of k choices).
 	RandomCandidates int
-	// PrefixCandidates is the number of candidates taken for their cached prefix.
+	// PrefixCandidates is the number of candidates selected for their cached prefix, at most
+	// maxHits.
 	PrefixCandidates int
 	// Disaggregate allows prefill and decode on different engines.
 	Disaggregate bool
@@ -81,11 +82,11 @@
 	ColocateOnDecode bool
 	Costs            Costs
 	Filters          []Filter
-	Scorers          []Weighted
+	Scorers          []WeightedScorer
 	Spill            SpillConfig
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		RandomCandidates: 4,
@@ -99,129 +100,131 @@
 	}
 }
 
-// Router decides with one configuration. It is immutable and safe for concurrent use.
+// Router makes routing decisions with one configuration. It is immutable and safe for concurrent
+// use.
 type Router struct{ cfg Config }
 
 // New returns a router.
 func New(cfg Config) *Router { return &Router{cfg: cfg} }
 
-// Rand is the part of math/rand/v2's Rand that a decision uses.
+// Rand is the subset of the methods of rand.Rand (math/rand/v2) that a decision uses.
 type Rand interface {
 	Uint64() uint64
 	IntN(n int) int
 }
 
-// Decide chooses where r goes. Errors are *NoEndpointError.
+// Decide selects the destination of r. Its errors are of type *NoEndpointError.
 func (ro *Router) Decide(s *fleet.Snapshot, r *Request, rng Rand) (Decision, error) {
-	local, err := ro.local(s, r, rng)
+	local, err := ro.decideLocal(s, r, rng)
 	if r.Prefilled {
 		return local, err
 	}
-	zone, spills := ro.spill(s, r, local, err == nil, rng)
-	if spills {
-		return zone, nil
+	remote, spilled := ro.spill(s, r, local, err == nil, rng)
+	if spilled {
+		return remote, nil
 	}
 	return local, err
 }
 
-// local chooses in the own zone.
-func (ro *Router) local(s *fleet.Snapshot, r *Request, rng Rand) (Decision, error) {
+// decideLocal selects endpoints of the local zone.
+func (ro *Router) decideLocal(s *fleet.Snapshot, r *Request, rng Rand) (Decision, error) {
 	d := &decider{Router: ro, s: s, r: r, rng: rng}
 	if r.Service != "" {
-		return d.service()
+		return d.decideService()
 	}
-	return d.generation()
+	return d.decideGeneration()
 }
 
 // decider is the state of one decision.
 type decider struct {
 	*Router
-	s     *fleet.Snapshot
-	r     *Request
-	rng   Rand
-	chain prefix.Chain
-	hits  [maxHits]prefix.Hit
-	nhits int
-	seen  int
-	// elsewhere remembers what others returned, for the three roles at most.
-	elsewhere  [3]roleWork
-	nelsewhere int
-	// scratch is the estimate being scored, kept here so that it is not
-	// allocated for each candidate.
+	s          *fleet.Snapshot
+	r          *Request
+	rng        Rand
+	chain      prefix.Chain
+	hits       [maxHits]prefix.Hit
+	nhits      int
+	considered int
+	// peerWorkByRole caches the results of peerWork, one for each of the three roles at most.
+	peerWorkByRole [3]roleWork
+	npeerWork      int
+	// scratch is the estimate being scored. It is a field to avoid an allocation for each
+	// candidate.
 	scratch Estimate
 }
 
 // maxHits bounds Config.PrefixCandidates.
 const maxHits = 16
 
-func (d *decider) generation() (Decision, error) {
+func (d *decider) decideGeneration() (Decision, error) {
 	d.chain = d.s.Prefix.Chain(d.r.PrefixHashes)
 	limit := min(d.cfg.PrefixCandidates, maxHits)
 	d.nhits = len(d.chain.Best(d.hits[:0], limit, d.rng.Uint64()))
 
-	best := d.whole()
+	best := d.cheapestPlan()
 	if d.r.Prefilled {
-		best = d.importer()
+		best = d.cheapestDecoder()
 	}
 	if best.Endpoint == nil {
-		return Decision{}, d.refusal()
+		return Decision{}, d.noEndpointError()
 	}
-	return d.decision(best), nil
+	return d.newDecision(best), nil
 }
 
-// whole returns the best engine, or pair of them, for a prompt that nobody has prefilled.
-func (d *decider) whole() Estimate {
-	best := d.best(Whole, engine.Mixed)
+// cheapestPlan returns the cheapest engine, or pair of engines, for a prompt that has not been
+// prefilled.
+func (d *decider) cheapestPlan() Estimate {
+	best := d.cheapest(Colocated, engine.Mixed)
 	if d.cfg.ColocateOnDecode {
-		best = cheaper(best, d.best(Whole, engine.Decode))
+		best = cheaper(best, d.cheapest(Colocated, engine.Decode))
 	}
 	if d.cfg.Disaggregate {
-		best = cheaper(best, d.pair())
+		best = cheaper(best, d.cheapestPair())
 	}
 	return best
 }
 
-// importer returns the best engine to import a prompt's KV cache and decode.
-func (d *decider) importer() Estimate {
-	return cheaper(d.best(DecodeHalf, engine.Decode), d.best(DecodeHalf, engine.Mixed))
+// cheapestDecoder returns the cheapest engine to import the KV cache of a prompt and decode.
+func (d *decider) cheapestDecoder() Estimate {
+	return cheaper(d.cheapest(DecodeStage, engine.Decode), d.cheapest(DecodeStage, engine.Mixed))
 }
 
-// pair returns the best pair of a prefill and a decode engine. The cost of a
-// pair is the sum of what each half costs (the move depends on the decode
-// engine alone), so the best halves are the best pair.
-func (d *decider) pair() Estimate {
-	first := d.best(PrefillHalf, engine.Prefill)
-	if first.Endpoint == nil {
+// cheapestPair returns the cheapest pair of a prefill and a decode engine. The cost of a pair is
+// the sum of the costs of its stages (the transfer depends on the decode engine alone), so each
+// stage can be selected separately.
+func (d *decider) cheapestPair() Estimate {
+	prefill := d.cheapest(PrefillStage, engine.Prefill)
+	if prefill.Endpoint == nil {
 		return Estimate{}
 	}
-	second := d.importer()
-	if second.Endpoint == nil {
+	decode := d.cheapestDecoder()
+	if decode.Endpoint == nil {
 		return Estimate{}
 	}
-	return join(first, second, d.r)
+	return combine(prefill, decode, d.r)
 }
 
-func (d *decider) decision(e Estimate) Decision {
+func (d *decider) newDecision(e Estimate) Decision {
 	out := Decision{
 		Endpoint:     e.Endpoint,
-		CachedTokens: e.Cached,
+		CachedTokens: e.CachedTokens,
 		Queue:        e.Queue,
 		TTFT:         e.TTFT(),
 		PerToken:     e.PerToken,
 		Completion:   e.Completion(),
 		Cost:         e.Cost,
-		Considered:   d.seen,
+		Considered:   d.considered,
 		Trial:        e.Endpoint.Health.HalfOpen(d.r.Now),
 	}
-	if e.First != nil {
-		out.PrefillEndpoint = e.First
-		out.Trial = out.Trial || e.First.Health.HalfOpen(d.r.Now)
+	if e.PrefillEndpoint != nil {
+		out.PrefillEndpoint = e.PrefillEndpoint
+		out.Trial = out.Trial || e.PrefillEndpoint.Health.HalfOpen(d.r.Now)
 	}
 	return out
 }
 
-// service picks the endpoint with the least own work in flight among a few.
-func (d *decider) service() (Decision, error) {
+// decideService selects the endpoint with the fewest local requests in flight from a random sample.
+func (d *decider) decideService() (Decision, error) {
 	var best *fleet.Endpoint
 	members := d.s.Group(fleet.GroupKey{Kind: fleet.Service, Service: d.r.Service})
 	d.sample(members, func(e *fleet.Endpoint) {
@@ -230,7 +233,7 @@
 		}
 	})
 	if best == nil {
-		return Decision{}, d.refusal()
+		return Decision{}, d.noEndpointError()
 	}
-	return Decision{Endpoint: best, Considered: d.seen, Trial: best.Health.HalfOpen(d.r.Now)}, nil
+	return Decision{Endpoint: best, Considered: d.considered, Trial: best.Health.HalfOpen(d.r.Now)}, nil
 }
--- a/routing/spill.go
+++ b/routing/spill.go
@@ -7,20 +7,21 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// SpillConfig holds the choices for sending to another zone.
+// SpillConfig configures the forwarding of requests to other availability zones.
 type SpillConfig struct {
-	// Enabled allows it.
+	// Enabled allows forwarding to other zones.
 	Enabled bool
-	// MaxAge is the age from which a zone's summary is no longer believed; a
-	// zone that is cut off is left alone after it.
+	// MaxAge is the age from which the summary of a zone is ignored, so that a partitioned zone
+	// receives no more requests.
 	MaxAge time.Duration
-	// Margin is how much earlier than here an answer must be expected there.
+	// Margin is how much earlier than in the local zone the response must be expected in another
+	// zone.
 	Margin time.Duration
-	// Horizon is the time within which room offered to others must be worked off.
+	// Horizon is the time within which the prompt tokens offered to other zones can be prefilled.
 	Horizon time.Duration
 }
 
-// DefaultSpill returns the defaults.
+// DefaultSpill returns the default configuration.
 func DefaultSpill() SpillConfig {
 	return SpillConfig{
 		Enabled: true,
@@ -30,9 +31,9 @@
 	}
 }
 
-// spill decides whether r goes to another zone: only when the own zone cannot
-// make its deadline (or has no endpoint at all), and another has room and time.
-// A request that has hopped once stays, so nothing goes back and forth.
+// spill selects another zone for r if the local zone cannot meet the deadline or has no usable
+// endpoint, and the other zone has the prompt budget and can meet the deadline. A request received
+// from another zone stays, so that requests do not bounce between zones.
 func (ro *Router) spill(s *fleet.Snapshot, r *Request, local Decision, served bool, rng Rand) (Decision, bool) {
 	if !ro.cfg.Spill.Enabled || r.FromOtherZone || r.Service != "" {
 		return Decision{}, false
@@ -44,7 +45,7 @@
 	offset := rng.IntN(max(1, len(s.Zones)))
 	for i := range s.Zones {
 		z := &s.Zones[(i+offset)%len(s.Zones)]
-		d, ok := ro.elsewhere(z, r)
+		d, ok := ro.estimateZone(z, r)
 		if !ok || served && d.Completion+ro.cfg.Spill.Margin > local.Completion {
 			continue
 		}
@@ -55,12 +56,13 @@
 	return best, found
 }
 
-// elsewhere predicts the answer of another zone, if it can make the deadline.
-func (ro *Router) elsewhere(z *fleet.ZoneSummary, r *Request) (Decision, bool) {
+// estimateZone predicts the response times of another zone, and reports whether the zone can accept
+// r and meet its deadline.
+func (ro *Router) estimateZone(z *fleet.ZoneSummary, r *Request) (Decision, bool) {
 	if !z.Reachable || r.Now-z.CreatedAt > ro.cfg.Spill.MaxAge || z.PromptBudget-z.PromptTokensSent < r.PromptTokens {
 		return Decision{}, false
 	}
-	if !offers(z.Models, r.Artifact) {
+	if !hasArtifact(z.Models, r.Artifact) {
 		return Decision{}, false
 	}
 	prefill := seconds(float64(r.PromptTokens) / ro.cfg.Costs.PrefillRate)
@@ -74,9 +76,10 @@
 	return d, r.Deadline == 0 || r.Now+d.Completion <= r.Deadline
 }
 
-func offers(models []weightstore.Artifact, want weightstore.Artifact) bool {
+// hasArtifact reports whether models contains the requested artifact. An empty version matches any.
+func hasArtifact(models []weightstore.Artifact, requested weightstore.Artifact) bool {
 	for _, a := range models {
-		if a.Model == want.Model && a.Adapter == want.Adapter && (want.Version == "" || want.Version == a.Version) {
+		if a.Model == requested.Model && a.Adapter == requested.Adapter && (requested.Version == "" || requested.Version == a.Version) {
 			return true
 		}
 	}
