--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -20,7 +20,7 @@
 		return z
 	}
 	request := func(change func(*Request)) *Request {
-		r := ask(4000, 50)
+		r := newRequest(4000, 50)
 		r.Deadline = now + 4*time.Second
 		if change != nil {
 			change(r)
@@ -29,32 +29,32 @@
 	}
 	free := member{name: "e1", role: engine.Mixed}
 	full := member{name: "e1", role: engine.Mixed, load: engine.Load{Running: 40, WaitingTokens: 80_000, DecodeTokens: 100_000}}
-	gone := member{name: "e1", role: engine.Mixed, leaving: true}
+	leaving := member{name: "e1", role: engine.Mixed, leaving: true}
 	tests := []struct {
 		name  string
-		own   member
+		local member
 		zones []fleet.ZoneSummary
 		r     *Request
 		want  string
 	}{
-		{"own zone has time", free, []fleet.ZoneSummary{idle}, request(nil), "e1"},
-		{"own zone is full", full, []fleet.ZoneSummary{idle}, request(nil), "zone:b"},
-		{"own zone has none", gone, []fleet.ZoneSummary{idle}, request(nil), "zone:b"},
-		{"no deadline, none here", gone, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Deadline = 0 }), "zone:b"},
-		{"no deadline, slow here", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Deadline = 0 }), "e1"},
-		{"hopped already", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.FromOtherZone = true }), "e1"},
-		{"hopped already, none here", gone, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.FromOtherZone = true }), "no available endpoint serves m"},
-		{"cut off", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Reachable = false })}, request(nil), "e1"},
+		{"local zone meets the deadline", free, []fleet.ZoneSummary{idle}, request(nil), "e1"},
+		{"local zone is full", full, []fleet.ZoneSummary{idle}, request(nil), "zone:b"},
+		{"local zone has no endpoint", leaving, []fleet.ZoneSummary{idle}, request(nil), "zone:b"},
+		{"no deadline, no local endpoint", leaving, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Deadline = 0 }), "zone:b"},
+		{"no deadline, slow local endpoint", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.Deadline = 0 }), "e1"},
+		{"from another zone", full, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.FromOtherZone = true }), "e1"},
+		{"from another zone, no local endpoint", leaving, []fleet.ZoneSummary{idle}, request(func(r *Request) { r.FromOtherZone = true }), "no available endpoint serves m"},
+		{"partitioned", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Reachable = false })}, request(nil), "e1"},
 		{"summary too old", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.CreatedAt = now - 4*time.Second })}, request(nil), "e1"},
-		{"no room", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.PromptBudget = 3000 })}, request(nil), "e1"},
-		{"room used up by own sends", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.PromptTokensSent = 97_000 })}, request(nil), "e1"},
-		{"too late there as well", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.TTFT = 5 * time.Second })}, request(nil), "e1"},
-		{"model not there", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Models = nil })}, request(nil), "e1"},
+		{"budget too small", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.PromptBudget = 3000 })}, request(nil), "e1"},
+		{"budget used up", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.PromptTokensSent = 97_000 })}, request(nil), "e1"},
+		{"too late in the other zone as well", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.TTFT = 5 * time.Second })}, request(nil), "e1"},
+		{"model not in the other zone", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.Models = nil })}, request(nil), "e1"},
 		{"the faster of two", full, []fleet.ZoneSummary{zone(func(z *fleet.ZoneSummary) { z.TTFT = time.Second }), zone(func(z *fleet.ZoneSummary) { z.Zone = "c" })}, request(nil), "zone:c"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := build(t, test.own)
+			s := newFleet(t, test.local)
 			s.SetZones(test.zones, 1)
 			for seed := range uint64(5) {
 				got := route(New(DefaultConfig()).Decide(s.Snapshot(), test.r, rng(seed)))
@@ -64,18 +64,18 @@
 	}
 }
 
-// TestSummaryOffersARoomThatRunsOut joins the two sides: zone b's summary is
-// taken by zone a, which spills until its part of the room is used.
-func TestSummaryOffersARoomThatRunsOut(t *testing.T) {
+// TestSummaryBudgetIsExhausted passes the summary of zone b to zone a, which forwards requests
+// until the prompt budget is used up and again after the next summary.
+func TestSummaryBudgetIsExhausted(t *testing.T) {
 	ro := New(DefaultConfig())
-	other := build(t, member{name: "f1", role: engine.Mixed}, member{name: "f2", role: engine.Prefill},
+	other := newFleet(t, member{name: "f1", role: engine.Mixed}, member{name: "f2", role: engine.Prefill},
 		member{name: "f3", role: engine.Mixed, age: time.Minute}, member{name: "f4", role: engine.Mixed, leaving: true})
 	summary := ro.Summary(other.Snapshot(), now, 2)
 	want := fleet.ZoneSummary{Zone: "a", CreatedAt: now, Reachable: true, PromptBudget: 4000, PerToken: 18150 * time.Microsecond, Models: []weightstore.Artifact{model}}
 	equal(t, "", want, summary)
 	summary.Zone = "b"
-	s := build(t)
-	r := ask(1500, 50)
+	s := newFleet(t)
+	r := newRequest(1500, 50)
 	var got []string
 	for range 3 {
 		s.SetZones([]fleet.ZoneSummary{summary}, 1)
@@ -89,10 +89,10 @@
 	equal(t, "", []string{"zone:b", "zone:b", "no available endpoint serves m", "zone:b"}, got)
 }
 
-// TestServices checks that a service call goes to the endpoint with the least
-// own work, never to another service, and is not spilled.
-func TestServices(t *testing.T) {
-	s := build(t)
+// TestServiceWithLeastInFlight checks that a service call goes to the endpoint of that service with
+// the least local work in flight, and is not forwarded to another zone.
+func TestServiceWithLeastInFlight(t *testing.T) {
+	s := newFleet(t)
 	s.SetSpecs([]fleet.Spec{
 		{Name: "s1", Kind: fleet.Service, Service: "slots"},
 		{Name: "s2", Kind: fleet.Service, Service: "slots"},
--- a/routing/summary.go
+++ b/routing/summary.go
@@ -10,30 +10,30 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Summary is what this zone tells the others of its room. Each of senders entry
-// VMs elsewhere is offered an equal part of half of the room, so that all of
-// them together cannot fill the zone before its next summary. A zone whose
-// reports are stale offers nothing.
+// Summary returns what this zone reports to other zones about its free capacity. Each of the
+// senders, the entry VMs of other zones, receives an equal share of half of the available prompt
+// budget, so that together they cannot fill the zone before its next summary. Engines with stale
+// reports are not counted.
 func (ro *Router) Summary(s *fleet.Snapshot, now time.Duration, senders int) fleet.ZoneSummary {
 	out := fleet.ZoneSummary{Zone: s.Zone, CreatedAt: now, Reachable: true}
 	var waits, steps []time.Duration
-	room := 0
+	budget := 0
 	for _, e := range s.Endpoints() {
 		if e.Kind != fleet.Engine || !e.Available() || !e.Health.Usable(now) || e.Age(now) > ro.cfg.Costs.MaxReportAge {
 			continue
 		}
-		out.Models = withArtifacts(out.Models, e.Loaded)
-		load := ro.cfg.Costs.reported(e, s.EntryVMs)
-		step := ro.cfg.Costs.step(load.Requests, load.ContextTokens)
+		out.Models = addMissing(out.Models, e.Loaded)
+		load := ro.cfg.Costs.loadFromReport(e, s.EntryVMs)
+		step := ro.cfg.Costs.stepTime(load.Requests, load.ContextTokens)
 		if e.Role != engine.Decode {
-			waits = append(waits, ro.cfg.Costs.prefill(load.PromptTokens, e.Role, step))
-			room += ro.roomOf(load)
+			waits = append(waits, ro.cfg.Costs.prefillTime(load.PromptTokens, e.Role, step))
+			budget += ro.promptBudget(load)
 		}
 		if e.Role != engine.Prefill {
-			steps = append(steps, ro.cfg.Costs.step(load.Requests+1, load.ContextTokens))
+			steps = append(steps, ro.cfg.Costs.stepTime(load.Requests+1, load.ContextTokens))
 		}
 	}
-	out.PromptBudget = room / 2 / max(1, senders)
+	out.PromptBudget = budget / 2 / max(1, senders)
 	out.TTFT, out.PerToken = median(waits), median(steps)
 	if len(steps) == 0 {
 		out.PromptBudget = 0
@@ -41,20 +41,20 @@
 	return out
 }
 
-// roomOf is the prompt tokens that an engine can prefill within Spill.Horizon,
-// bounded by its free cache memory.
-func (ro *Router) roomOf(load Assumed) int {
-	room := int(ro.cfg.Costs.PrefillRate*ro.cfg.Spill.Horizon.Seconds()) - load.PromptTokens
+// promptBudget returns the number of prompt tokens that an engine can prefill within Spill.Horizon,
+// limited by its free cache memory. It is zero when the batch is full.
+func (ro *Router) promptBudget(load EstimatedLoad) int {
+	budget := int(ro.cfg.Costs.PrefillRate*ro.cfg.Spill.Horizon.Seconds()) - load.PromptTokens
 	if load.KVTotal > 0 {
-		room = min(room, load.KVTotal-load.KVUsed-load.PromptTokens)
+		budget = min(budget, load.KVTotal-load.KVUsed-load.PromptTokens)
 	}
 	if load.Requests >= ro.cfg.Costs.MaxBatch {
 		return 0
 	}
-	return max(0, room)
+	return max(0, budget)
 }
 
-func withArtifacts(all, more []weightstore.Artifact) []weightstore.Artifact {
+func addMissing(all, more []weightstore.Artifact) []weightstore.Artifact {
 	for _, a := range more {
 		if !slices.Contains(all, a) {
 			all = append(all, a)
