--- a/admission/controller.go
+++ b/admission/controller.go
@@ -111,7 +111,7 @@
 	if displaced != nil {
 		deliver(displaced, result{err: refusal(failure.QueueFull, q.retryAfter(0), "a more urgent request took the place")})
 	}
-	c.pumpQueue(now, q)
+	c.dispatchQueue(now, q)
 	c.scheduleReevaluation()
 	return it, nil
 }
@@ -162,13 +162,13 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	for _, q := range c.queues {
-		c.pumpQueue(now, q)
+		c.dispatchQueue(now, q)
 	}
 	c.scheduleReevaluation()
 }
 
-// pumpQueue sends or refuses the requests of q that are due.
-func (c *Controller) pumpQueue(now time.Duration, q *Queue) {
+// dispatchQueue sends or refuses the requests of q that are due.
+func (c *Controller) dispatchQueue(now time.Duration, q *Queue) {
 	q.Pump(now, c.predict, func(it *Item, prediction Prediction, err error) {
 		if err == nil {
 			c.commit(now, &it.Work, prediction.Plan)
--- a/admission/pump.go
+++ b/admission/dispatch.go
@@ -21,13 +21,13 @@
 // request keeps its position. Once half of the time until its latest start has passed, it can no
 // longer be overtaken: it is sent if an engine would queue it, and blocks the other flows if not.
 func (q *Queue) Pump(now time.Duration, predict Predictor, decided DecidedFunc) {
-	for q.pumpOne(now, predict, decided) {
+	for q.dispatchOne(now, predict, decided) {
 	}
 }
 
-// pumpOne sends or refuses the first request that can be decided, and reports whether there was
+// dispatchOne sends or refuses the first request that can be decided, and reports whether there was
 // one. It handles a single request, because each one changes the order of the others.
-func (q *Queue) pumpOne(now time.Duration, predict Predictor, decided DecidedFunc) bool {
+func (q *Queue) dispatchOne(now time.Duration, predict Predictor, decided DecidedFunc) bool {
 	for _, it := range q.heads(maxHeads) {
 		prediction, err := predict(now, &it.Work)
 		if err == nil && it.Work.Deadline != 0 && now+prediction.ServiceTime > it.Work.Deadline {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -48,9 +48,9 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.waiting }
 
-// Offer queues w, or refuses it immediately with a *failure.Request. serviceTime is the predicted time
-// from sending to the complete response. If the queue is full, a waiting request of a lower class
-// is removed and returned as displaced; the caller has to refuse it.
+// Offer queues w, or refuses it immediately with a *failure.Request. serviceTime is the predicted
+// time from sending to the complete response. If the queue is full, a waiting request of a lower
+// class is removed and returned as displaced; the caller has to refuse it.
 func (q *Queue) Offer(now time.Duration, w Work, serviceTime time.Duration) (it, displaced *Item, err error) {
 	q.drain.advance(now, q.waiting > 0)
 	it = q.newItem(now, w, serviceTime)
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestPump queues a request with a varying prediction ahead of two requests that are always ready,
+// TestDispatch queues a request with a varying prediction ahead of two requests that are always ready,
 // and checks which of them leave the queue at a given time.
-func TestPump(t *testing.T) {
+func TestDispatch(t *testing.T) {
 	first := work("a", 0, 100)
 	first.Deadline = 4 * time.Second
 	other := work("b", 1, 10_000)
