--- a/admission/admission.go
+++ b/admission/admission.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// ReadyWait is the longest predicted wait at an engine (routing.Decision.Queue) with which a
+// MaxReadyWait is the longest predicted wait at an engine (routing.Decision.Queue) with which a
 // request counts as ready. A shorter limit leaves engines idle between load reports. Limits of up
 // to four seconds give about the same goodput, so the smallest one is used.
-const ReadyWait = time.Second
+const MaxReadyWait = time.Second
 
 // Prediction is what the engines are predicted to do for a request that is sent now.
 type Prediction struct {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -169,7 +169,7 @@
 
 // dispatchQueue sends or refuses the requests of q that are due.
 func (c *Controller) dispatchQueue(now time.Duration, q *Queue) {
-	q.Pump(now, c.predict, func(it *Item, prediction Prediction, err error) {
+	q.Dispatch(now, c.predict, func(it *Item, prediction Prediction, err error) {
 		if err == nil {
 			c.commit(now, &it.Work, prediction.Plan)
 		}
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -13,14 +13,14 @@
 // the prediction, or refused with an error. It must not call the Queue.
 type DecidedFunc func(it *Item, prediction Prediction, err error)
 
-// Pump sends all requests that may be sent now and refuses those that can no longer meet their
+// Dispatch sends all requests that may be sent now and refuses those that can no longer meet their
 // deadline.
 //
 // If the first request is not ready, ready requests at the head of the next few flows are sent
 // before it: a short request may use an engine at which a long one would have to wait. The first
 // request keeps its position. Once half of the time until its latest start has passed, it can no
 // longer be overtaken: it is sent if an engine would queue it, and blocks the other flows if not.
-func (q *Queue) Pump(now time.Duration, predict Predictor, decided DecidedFunc) {
+func (q *Queue) Dispatch(now time.Duration, predict Predictor, decided DecidedFunc) {
 	for q.dispatchOne(now, predict, decided) {
 	}
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -218,7 +218,7 @@
 				return Prediction{Ready: true}, nil
 			}
 			var got []string
-			q.Pump(test.now, predict, func(it *Item, _ Prediction, err error) {
+			q.Dispatch(test.now, predict, func(it *Item, _ Prediction, err error) {
 				got = append(got, it.Work.Organisation+" "+outcome(err))
 			})
 			equal(t, "", test.want, got)
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -74,7 +74,7 @@
 		return admission.Prediction{}, err
 	}
 	return admission.Prediction{
-		Ready:       decision.Zone != "" || w.Service != "" || decision.Queue <= admission.ReadyWait,
+		Ready:       decision.Zone != "" || w.Service != "" || decision.Queue <= admission.MaxReadyWait,
 		ServiceTime: decision.Completion,
 		Plan:        decision,
 	}, nil
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -18,7 +18,7 @@
 // and nothing else, out of the own work at the engine that answers: while its
 // reports are stale nothing else would before the whole answer is done.
 func TestFirstTokenEndsThePromptsWait(t *testing.T) {
-	store := fleet.NewStore("a", fleet.NewMatchedLedger(fleet.DefaultExpiry), prefix.NewViews(prefix.DefaultPairs))
+	store := fleet.NewStore("a", fleet.NewMatchedLedger(fleet.DefaultReservationExpiry), prefix.NewViews(prefix.DefaultPairs))
 	store.SetSpecs([]fleet.Spec{{Name: "e", Kind: fleet.Engine, Zone: "a"}})
 	store.ApplyReports(0, fleet.Report{Endpoint: "e", State: engine.State{Incarnation: "i", Role: engine.Mixed}})
 	work := fleet.Work{Requests: 1, PromptTokens: 70, ContextTokens: 80}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -221,7 +221,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		s := newStore(NewMatchedLedger(DefaultExpiry), names...)
+		s := newStore(NewMatchedLedger(DefaultReservationExpiry), names...)
 		for _, name := range names {
 			s.ApplyReports(1, report(name, "i", 1, 1))
 		}
--- a/fleet/ledger.go
+++ b/fleet/ledger.go
@@ -162,8 +162,8 @@
 	expiry time.Duration
 }
 
-// DefaultExpiry exceeds the usual lag of load reports.
-const DefaultExpiry = 4 * time.Second
+// DefaultReservationExpiry exceeds the usual lag of load reports.
+const DefaultReservationExpiry = 4 * time.Second
 
 // NewMatchedLedger returns an empty ledger in which reservations count as reported after expiry.
 func NewMatchedLedger(expiry time.Duration) *MatchedLedger {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -44,7 +44,7 @@
 
 func newFleet(t testing.TB, members ...member) *fleet.Store {
 	t.Helper()
-	s := fleet.NewStore("a", fleet.NewMatchedLedger(fleet.DefaultExpiry), prefix.NewViews(prefix.DefaultPairs))
+	s := fleet.NewStore("a", fleet.NewMatchedLedger(fleet.DefaultReservationExpiry), prefix.NewViews(prefix.DefaultPairs))
 	specs := make([]fleet.Spec, 0, len(members))
 	reports := make([]fleet.Report, 0, len(members))
 	for _, m := range members {
--- a/simulate/admit.go
+++ b/simulate/admit.go
@@ -123,7 +123,7 @@
 
 // pump sends what may be sent now, by the queue's own rule.
 func (p *springweir) pump(s *sim, vm *entryVM) {
-	vm.gate.queue.Pump(s.now, func(_ time.Duration, w *admission.Work) (admission.Prediction, error) {
+	vm.gate.queue.Dispatch(s.now, func(_ time.Duration, w *admission.Work) (admission.Prediction, error) {
 		return p.outlook(s, w.Context.(*running))
 	}, func(it *admission.Item, o admission.Prediction, err error) {
 		p.settle(s, vm, it, o, err)
@@ -140,7 +140,7 @@
 		return admission.Prediction{}, err
 	}
 	return admission.Prediction{
-		Ready:       d.Zone != "" || d.Queue <= admission.ReadyWait,
+		Ready:       d.Zone != "" || d.Queue <= admission.MaxReadyWait,
 		ServiceTime: d.Completion,
 		Plan:        d,
 	}, nil
--- a/simulate/suite.go
+++ b/simulate/suite.go
@@ -26,7 +26,7 @@
 }
 
 // matched are the books in use.
-func matched() fleet.Ledger { return fleet.NewMatchedLedger(fleet.DefaultExpiry) }
+func matched() fleet.Ledger { return fleet.NewMatchedLedger(fleet.DefaultReservationExpiry) }
 
 // startPrefill and startDecode are the roles in each zone that every policy
 // which uses roles begins with.
