--- a/feedshare/cache.go
+++ b/feedshare/cache.go
@@ -11,69 +11,69 @@
 	"github.com/springweir/springweir/table"
 )
 
-// askedMemory is how long a VM that another has asked counts as one that others ask:
-// some of their waits.
-const askedMemory = 10 * time.Second
+// recentQueryWindow is how long after a peer's query this VM counts as a VM that serves peers:
+// several times the wait of one query.
+const recentQueryWindow = 10 * time.Second
 
-// toldByVM stands for the time of an answer of the store where another VM gave the
-// answer: what comes from there is not passed on.
-var toldByVM time.Time
+// unconfirmed is the confirmation time of rows that were read from a peer. Such rows are not
+// served to other peers.
+var unconfirmed time.Time
 
-// cache is what this VM knows of a table, for the VMs that ask it. It is safe for
-// concurrent use; mu is a leaf.
+// cache holds a copy of one table and its recent history, which this VM serves to its peers. It
+// is safe for concurrent use; mu is a leaf lock.
 //
-// Invariant: rows is the table as of version, and log holds all changes after base, in
-// the batches in which they were read.
+// Invariant: rows is the table as of version, and history holds all changes after historyStart,
+// in the batches in which they were read.
 type cache struct {
-	// freshFor is how long after an answer of the store the table is passed on.
-	freshFor time.Duration
-
-	mu            sync.Mutex
-	rows          map[string]table.Row
-	log           []batch
-	base, version table.Version
-	// confirmed is when the store last answered, and toldByVM if the last answer came
-	// from elsewhere or the store gave none.
-	confirmed time.Time
-	// changed is closed and made anew whenever something changes.
+	// maxAge is how long after a response of the store the table may be served.
+	maxAge time.Duration
+
+	mu                    sync.Mutex
+	rows                  map[string]table.Row
+	history               []batch
+	historyStart, version table.Version
+	// confirmedAt is the time of the store's last response, or unconfirmed if the last response
+	// came from a peer or the store failed.
+	confirmedAt time.Time
+	// changed is closed and replaced at every change of the fields above.
 	changed chan struct{}
-	// lastAsked is when another VM last asked.
-	lastAsked time.Time
+	// lastQueried is the time of the last query by a peer.
+	lastQueried time.Time
 }
 
-// batch are the changes of one answer, and the version after them. Changes within it
-// have no version of their own: a row's may be counted apart from the table's. A VM that
-// stands in the middle of a batch gets all of it again, which changes nothing.
+// batch holds the changes of one response and the version after them. The changes have no table
+// versions of their own, because a row's version may be counted apart from the table's. A reader
+// whose version lies within a batch receives the whole batch again, which is idempotent.
 type batch struct {
 	changes []table.Change
 	version table.Version
 }
 
-func newCache(freshFor time.Duration) *cache {
-	return &cache{freshFor: freshFor, rows: map[string]table.Row{}, changed: make(chan struct{})}
+func newCache(maxAge time.Duration) *cache {
+	return &cache{maxAge: maxAge, rows: map[string]table.Row{}, changed: make(chan struct{})}
 }
 
-// at is the version of what is known.
-func (c *cache) at() table.Version {
+// currentVersion returns the version of the cached table.
+func (c *cache) currentVersion() table.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// reset takes in a whole table.
-func (c *cache) reset(rows []table.Row, at table.Version, confirmed time.Time) {
+// reset replaces the cached table.
+func (c *cache) reset(rows []table.Row, version table.Version, confirmedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rows = make(map[string]table.Row, len(rows))
 	for _, row := range rows {
 		c.rows[row.Key.Row] = row
 	}
-	c.log, c.base, c.version = nil, at, at
-	c.confirm(confirmed)
+	c.history, c.historyStart, c.version = nil, version, version
+	c.setConfirmed(confirmedAt)
 }
 
-// apply takes in the changes after a version.
-func (c *cache) apply(after table.Version, changes []table.Change, next table.Version, confirmed time.Time) {
+// apply applies the changes that follow version after.
+func (c *cache) apply(after table.Version, changes []table.Change, next table.Version, confirmedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range changes {
@@ -85,90 +85,95 @@
 	}
 	c.version = max(c.version, after, next)
 	if len(changes) > 0 {
-		c.log = append(c.log, batch{changes: changes, version: c.version})
+		c.history = append(c.history, batch{changes: changes, version: c.version})
 	}
-	if over := len(c.log) - maxHistory; over > 0 {
-		c.base = c.log[over-1].version
-		c.log = slices.Clone(c.log[over:])
+	if excess := len(c.history) - maxHistoryBatches; excess > 0 {
+		c.historyStart = c.history[excess-1].version
+		c.history = slices.Clone(c.history[excess:])
 	}
-	c.confirm(confirmed)
+	c.setConfirmed(confirmedAt)
 }
 
-// confirm notes an answer and wakes who waits. The caller holds mu.
-func (c *cache) confirm(at time.Time) {
-	c.confirmed = at
+// setConfirmed sets the confirmation time and wakes all waiters. The caller holds mu.
+func (c *cache) setConfirmed(confirmedAt time.Time) {
+	c.confirmedAt = confirmedAt
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// lost notes that the store gave no answer.
-func (c *cache) lost() {
+// markUnavailable records that the store failed to respond; the table is not served until it
+// responds again.
+func (c *cache) markUnavailable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.confirm(toldByVM)
+	c.setConfirmed(unconfirmed)
 }
 
-// askedLately tells whether other VMs ask this one.
-func (c *cache) askedLately() bool {
+// recentlyQueried reports whether a peer queried this VM within recentQueryWindow.
+func (c *cache) recentlyQueried() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return clock.Since(c.lastAsked) < askedMemory
+	return clock.Since(c.lastQueried) < recentQueryWindow
 }
 
-// fit tells whether what is known may be passed on. The caller holds mu.
-func (c *cache) fit() bool { return c.confirmed != toldByVM && clock.Since(c.confirmed) <= c.freshFor }
+// servable reports whether the cached table is recent enough to be served. The caller holds mu.
+func (c *cache) servable() bool {
+	return c.confirmedAt != unconfirmed && clock.Since(c.confirmedAt) <= c.maxAge
+}
 
-// list returns the whole table. It waits for a short while if nothing was read yet.
+// list returns the whole table. Before the first read from the store it waits up to startupWait.
 func (c *cache) list(ctx context.Context, name string) ([]table.Row, table.Version, error) {
-	ctx, cancel := clock.WithTimeout(ctx, startWait)
+	ctx, cancel := clock.WithTimeout(ctx, startupWait)
 	defer cancel()
 	for {
 		c.mu.Lock()
-		c.lastAsked = clock.Now()
-		if c.fit() {
-			rows, at := slices.Collect(maps.Values(c.rows)), c.version
+		c.lastQueried = clock.Now()
+		if c.servable() {
+			rows, version := slices.Collect(maps.Values(c.rows)), c.version
 			c.mu.Unlock()
-			return rows, at, nil
+			return rows, version, nil
 		}
-		changed, started := c.changed, c.version != 0
+		changed, hasData := c.changed, c.version != 0
 		c.mu.Unlock()
-		if started || !wait(ctx, changed) {
+		if hasData || !waitForChange(ctx, changed) {
 			return nil, 0, &NotReaderError{Table: name}
 		}
 	}
 }
 
-// changes returns the changes after a version, once there are some or ctx ends.
+// changes returns the changes after a version, as soon as there are some or ctx ends.
 func (c *cache) changes(ctx context.Context, name string, after table.Version) ([]table.Change, table.Version, error) {
 	for {
 		c.mu.Lock()
-		c.lastAsked = clock.Now()
-		changed, at := c.changed, c.version
-		list, err := c.since(name, after)
+		c.lastQueried = clock.Now()
+		changed, version := c.changed, c.version
+		changes, err := c.changesSince(name, after)
 		c.mu.Unlock()
-		if err != nil || len(list) > 0 {
-			return list, at, err
+		if err != nil || len(changes) > 0 {
+			return changes, version, err
 		}
-		if wait(ctx, changed) {
+		if waitForChange(ctx, changed) {
 			continue
 		}
-		if at < after {
-			return nil, 0, &BehindError{Version: at, Local: after}
+		if version < after {
+			return nil, 0, &BehindError{Version: version, Local: after}
 		}
-		return nil, at, nil
+		return nil, version, nil
 	}
 }
 
-// since returns the changes after a version, if they are known. The caller holds mu.
-func (c *cache) since(name string, after table.Version) ([]table.Change, error) {
+// changesSince returns the changes after a version. The error is *NotReaderError, or
+// *table.HistoryGoneError if the history no longer reaches back to the version. The caller holds
+// mu.
+func (c *cache) changesSince(name string, after table.Version) ([]table.Change, error) {
 	switch {
-	case !c.fit():
+	case !c.servable():
 		return nil, &NotReaderError{Table: name}
-	case after < c.base:
+	case after < c.historyStart:
 		return nil, &table.HistoryGoneError{Table: name, After: after}
 	}
 	var changes []table.Change
-	for _, b := range c.log {
+	for _, b := range c.history {
 		if b.version > after {
 			changes = append(changes, b.changes...)
 		}
@@ -176,8 +181,8 @@
 	return changes, nil
 }
 
-// wait waits for a change and tells whether there was one before ctx ended.
-func wait(ctx context.Context, changed <-chan struct{}) bool {
+// waitForChange waits until changed is closed and reports whether that happened before ctx ended.
+func waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return true
--- a/feedshare/client_test.go
+++ b/feedshare/client_test.go
@@ -16,87 +16,88 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// serving is a VM that follows the store and serves others over TCP.
-func serving(t *testing.T) (source *Source, address string) {
+// startServer starts a VM that reads from the store and serves its table over TCP.
+func startServer(t *testing.T) (source *Source, address string) {
 	t.Helper()
 	store := memtable.New()
-	source = NewSource("t", Settings{PropagationLimit: within}, store, NewClient(network.TCP()), func() Position { return Position{First: true} })
+	source = NewSource("t", Settings{PropagationLimit: propagationLimit}, store, NewClient(network.TCP()), func() Position { return Position{First: true} })
 	server := httptest.NewServer(Handler(source))
 	t.Cleanup(server.Close)
 	return source, strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestTablesOverTheWire(t *testing.T) {
-	source, address := serving(t)
+func TestListAndChangesOverHTTP(t *testing.T) {
+	source, address := startServer(t)
 	client := NewClient(network.TCP())
 	ctx := t.Context()
 
-	var reader *NotReaderError
-	if _, _, err := client.List(ctx, address, "t"); !errors.As(err, &reader) {
-		t.Errorf("a VM that has read nothing: %v", err)
+	var notReader *NotReaderError
+	if _, _, err := client.List(ctx, address, "t"); !errors.As(err, &notReader) {
+		t.Errorf("before the first read from the store: %v", err)
 	}
 	row := table.Row{Key: key("a"), Version: 7, Value: []byte("1")}
 	source.cache.reset([]table.Row{row}, 40, time.Now())
-	rows, at, err := client.List(ctx, address, "t")
-	if diff := cmp.Diff([]table.Row{row}, rows); diff != "" || at != 40 || err != nil {
-		t.Errorf("at %d, %v: %s", at, err, diff)
+	rows, version, err := client.List(ctx, address, "t")
+	if diff := cmp.Diff([]table.Row{row}, rows); diff != "" || version != 40 || err != nil {
+		t.Errorf("version %d, error %v, diff: %s", version, err, diff)
 	}
 
 	changes := []table.Change{{Row: table.Row{Key: key("a"), Version: 43}, Deleted: true}}
 	time.AfterFunc(50*time.Millisecond, func() { source.cache.apply(40, changes, 43, time.Now()) })
-	got, at, err := client.Changes(ctx, address, "t", 40, 5*time.Second)
-	if diff := cmp.Diff(changes, got); diff != "" || at != 43 || err != nil {
-		t.Errorf("at %d, %v: %s", at, err, diff)
+	got, version, err := client.Changes(ctx, address, "t", 40, 5*time.Second)
+	if diff := cmp.Diff(changes, got); diff != "" || version != 43 || err != nil {
+		t.Errorf("version %d, error %v, diff: %s", version, err, diff)
 	}
-	if got, at, err := client.Changes(ctx, address, "t", 43, 20*time.Millisecond); len(got) != 0 || at != 43 || err != nil {
-		t.Errorf("no change: %v at %d, %v", got, at, err)
+	if got, version, err := client.Changes(ctx, address, "t", 43, 20*time.Millisecond); len(got) != 0 || version != 43 || err != nil {
+		t.Errorf("without a change: got %v at version %d, error %v", got, version, err)
 	}
-	var gone *table.HistoryGoneError
-	if _, _, err := client.Changes(ctx, address, "t", 39, time.Second); !errors.As(err, &gone) || gone.After != 39 {
-		t.Errorf("changes that are not kept: %v", err)
+	var historyGone *table.HistoryGoneError
+	if _, _, err := client.Changes(ctx, address, "t", 39, time.Second); !errors.As(err, &historyGone) || historyGone.After != 39 {
+		t.Errorf("changes older than the history: %v", err)
 	}
-	var behind *BehindError
-	if _, _, err := client.Changes(ctx, address, "t", 50, 20*time.Millisecond); !errors.As(err, &behind) {
-		t.Errorf("a version that is not known yet: %v", err)
+	var behindErr *BehindError
+	if _, _, err := client.Changes(ctx, address, "t", 50, 20*time.Millisecond); !errors.As(err, &behindErr) {
+		t.Errorf("a version that the server has not reached: %v", err)
 	}
-	source.cache.lost()
-	if _, _, err := client.Changes(ctx, address, "t", 43, time.Second); !errors.As(err, &reader) {
-		t.Errorf("a VM without news: %v", err)
+	source.cache.markUnavailable()
+	if _, _, err := client.Changes(ctx, address, "t", 43, time.Second); !errors.As(err, &notReader) {
+		t.Errorf("after a failure of the store: %v", err)
 	}
-	var silent *UnreachableError
-	if _, _, err := client.List(ctx, address, "unknown"); !errors.As(err, &silent) {
-		t.Errorf("a table that is not followed: %v", err)
+	var unreachable *UnreachableError
+	if _, _, err := client.List(ctx, address, "unknown"); !errors.As(err, &unreachable) {
+		t.Errorf("a table that the VM doesn't follow: %v", err)
 	}
 }
 
-// How old a change may be is passed on with it, and the time that it lay at a VM counts.
-func TestAgeOfAChangeOverTheWire(t *testing.T) {
-	source, address := serving(t)
+// The greatest possible age of a change is sent with it and includes the time for which the
+// serving VM has held it.
+func TestChangeAgeOverHTTP(t *testing.T) {
+	source, address := startServer(t)
 	source.cache.reset(nil, 40, time.Now())
-	told := table.Change{Row: table.Row{Key: key("a"), Version: 43}, NotBefore: time.Now().Add(-300 * time.Millisecond)}
-	source.cache.apply(40, []table.Change{told}, 43, time.Now())
+	change := table.Change{Row: table.Row{Key: key("a"), Version: 43}, NotBefore: time.Now().Add(-300 * time.Millisecond)}
+	source.cache.apply(40, []table.Change{change}, 43, time.Now())
 	time.Sleep(50 * time.Millisecond)
 	got, _, err := NewClient(network.TCP()).Changes(t.Context(), address, "t", 40, time.Second)
 	if err != nil || len(got) != 1 {
 		t.Fatal(got, err)
 	}
 	if age := time.Since(got[0].NotBefore); age < 350*time.Millisecond || age > 2*time.Second {
-		t.Errorf("the change is told to be %v old at the most", age)
+		t.Errorf("the greatest possible age of the change is %v, want 350 ms to 2 s", age)
 	}
 }
 
-// A VM that takes a connection and says nothing costs no more than the wait.
-func TestSilentVMIsGivenUp(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// A VM that accepts a connection and never responds must not block beyond the caller's deadline.
+func TestUnresponsiveVMTimesOut(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	_, _, err = NewClient(network.TCP()).List(ctx, l.Addr().String(), "t")
-	var silent *UnreachableError
-	if !errors.As(err, &silent) {
+	_, _, err = NewClient(network.TCP()).List(ctx, listener.Addr().String(), "t")
+	var unreachable *UnreachableError
+	if !errors.As(err, &unreachable) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/feedshare/errors.go
+++ b/feedshare/errors.go
@@ -7,8 +7,8 @@
 	"github.com/springweir/springweir/table"
 )
 
-// NotReaderError is a question to a VM that does not follow the store for the table
-// itself, or that the store has not answered lately.
+// NotReaderError is returned by a VM that doesn't read the table from the store itself, or whose
+// last response from the store is too old.
 type NotReaderError struct{ Table string }
 
 // Error implements error.
@@ -19,7 +19,7 @@
 // Reason implements failure.Coded.
 func (e *NotReaderError) Reason() failure.Reason { return failure.FeedNotReader }
 
-// BehindError is an answer of a VM that knows less than the one that asks.
+// BehindError reports that the peer's Version of the table is older than the Local one.
 type BehindError struct{ Version, Local table.Version }
 
 // Error implements error.
@@ -30,7 +30,7 @@
 // Reason implements failure.Coded.
 func (e *BehindError) Reason() failure.Reason { return failure.FeedBehind }
 
-// UnreachableError is a VM that could not be reached or did not answer in time.
+// UnreachableError reports a VM that couldn't be reached or didn't respond in time.
 type UnreachableError struct {
 	Address string
 	Cause   error
@@ -38,7 +38,7 @@
 
 // Error implements error.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("no answer from VM at %s: %v", e.Address, e.Cause)
+	return fmt.Sprintf("no response from VM at %s: %v", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -47,7 +47,8 @@
 // Reason implements failure.Coded.
 func (e *UnreachableError) Reason() failure.Reason { return failure.FeedSilent }
 
-// CooldownError is a question not put to the store, which gave no answer a moment ago.
+// CooldownError reports that the store was not queried because it failed recently and the backoff
+// has not ended. Cause is the store's last error.
 type CooldownError struct {
 	Table string
 	Cause error
@@ -55,7 +56,7 @@
 
 // Error implements error.
 func (e *CooldownError) Error() string {
-	return fmt.Sprintf("the store was away a moment ago, it is not asked for table %s yet: %v", e.Table, e.Cause)
+	return fmt.Sprintf("store is in backoff after a failure, table %s is not read: %v", e.Table, e.Cause)
 }
 
 // Unwrap returns the cause.
--- a/feedshare/feedpb/feed.twirp.go
+++ b/feedshare/feedpb/feed.twirp.go
@@ -34,14 +34,15 @@
 type Feed interface {
 	// List returns all rows of a table as of one version.
 	//
-	// Errors, as with Changes: failed_precondition when this VM does not follow the store
-	// for the table itself; unavailable when it does, but the store has not answered it
-	// lately. Either says nothing of the table: ask elsewhere.
+	// Errors, also of Changes: failed_precondition when this VM doesn't read the table from
+	// the store itself, or the store's last response is too old. The client should then
+	// query another source.
 	List(context.Context, *ListRequest) (*ListResponse, error)
 
-	// Changes returns the rows that changed after a version, in order, once there are
-	// some or the wait is over. Also out_of_range: the changes after that version are not
-	// kept, list anew; aborted: this VM knows only earlier versions.
+	// Changes returns the rows that changed after a version, in order, as soon as there
+	// are some or the wait has ended. Further errors: out_of_range when the history doesn't
+	// reach back to the version, so the client must list again; aborted when this VM has
+	// only earlier versions.
 	Changes(context.Context, *ChangesRequest) (*ChangesResponse, error)
 }
 
--- a/feedshare/feedshare.go
+++ b/feedshare/feedshare.go
@@ -1,14 +1,13 @@
-// Package feedshare lets the VMs of a zone read the tables that all of them follow from
-// each other: in a large region the first VMs of a zone, in the order that package
-// loadshare has for its collectors, ask the platform's store, and the others ask these.
-// The calls to the store and the bytes from it then grow with the zones and the changes,
-// not with the VMs.
+// Package feedshare lets the VMs of a zone share their reads of the tables that all of them
+// follow. In a large region the first VMs of each zone, in the order of package loadshare's
+// collectors, read from the platform's store (the readers), and the other VMs read from these.
+// The load on the store then grows with the number of zones and changes, not with the number of
+// VMs.
 //
-// Nothing is agreed on. A VM serves what it has read from the store itself, never what
-// another VM told it, and only while the store has answered it lately. A VM that gets
-// no such answer from the VMs before it asks the store. What is passed on are rows and
-// changes with the store's own versions, so that a VM can go on from its version at
-// whichever source.
+// The VMs don't coordinate. A VM serves only what it read from the store itself, never what it
+// received from a peer, and only while the store's last response is recent. A VM that none of the
+// preceding peers serves reads from the store. Rows and changes carry the store's own versions,
+// so a VM can continue from its version at any source.
 package feedshare
 
 import (
@@ -18,103 +17,106 @@
 )
 
 const (
-	// peerWaitMargin is what an answer of another VM may take beyond the wait that was
-	// asked for: the way there and back takes 2 ms, and a VM with a fifth of a core may
-	// be behind by tens of them.
-	peerWaitMargin = 400 * time.Millisecond
-	// connectTimeout bounds opening a connection to another VM. One without power says
-	// nothing, and the store is asked after that.
+	// peerResponseMargin is the time allowed for a peer's response beyond the requested wait. The
+	// round trip takes 2 ms, and a VM with a fifth of a core may lag by tens of milliseconds.
+	peerResponseMargin = 400 * time.Millisecond
+	// connectTimeout bounds opening a connection to another VM. A VM without power doesn't refuse
+	// the connection, and the store is read only after the timeout.
 	connectTimeout = 300 * time.Millisecond
-	// listTimeout bounds reading a whole table from another VM: three thousand endpoints
-	// are under a megabyte, which takes a VM's link of 20 Mbit/s 0.4 s.
+	// listTimeout bounds reading a whole table from another VM: three thousand endpoints are
+	// under a megabyte, which takes 0.4 s over a VM's link of 20 Mbit/s.
 	listTimeout = 1500 * time.Millisecond
-	// PositionInterval is how often a VM that waits for another's answer looks whether that one
-	// still has its place.
+	// PositionInterval is how often a VM that waits for a peer's response checks whether that
+	// peer still precedes it.
 	PositionInterval = 100 * time.Millisecond
-	// doubt is how long a VM that gave no answer is not asked again. The VMs that it
-	// served ask the store meanwhile, with a wait that makes this cost a call or two each.
-	doubt = 3 * time.Second
-	// rest is how long a VM that others serve leaves the store alone after the store gave
-	// no answer, while it goes on to ask those others, who have the store's first answer
-	// as soon as there is one. Hundreds of VMs that ask a store which is down are calls
-	// for nothing.
-	rest = 2 * time.Second
-	// farRank is the place in the region from which a VM leaves such a store alone for farRest:
-	// those before it find the store back first, and tell it.
-	farRank = 12
-	farRest = 6 * time.Second
-	// storeSlack is what an answer of the store may take beyond the wait that was asked
-	// for. An older one is not passed on.
-	storeSlack = 700 * time.Millisecond
-	// startWait is how long a VM waits for its own first answer before it refuses others:
-	// after a loss of power all VMs start within 300 ms.
-	startWait = 300 * time.Millisecond
-	// maxHistory is the number of answers with changes of a table that are kept for VMs
-	// that fell behind; one that needs more reads the table anew.
-	maxHistory = 256
+	// peerBackoff is the mean time for which a VM that failed to respond is not queried again.
+	// The VMs that it served read from the store meanwhile, with a wait that limits this to one
+	// or two calls each.
+	peerBackoff = 3 * time.Second
+	// storeBackoff is the mean time for which a VM that has preceding peers doesn't query the
+	// store after it failed. It continues to query the peers, which receive the store's first
+	// response after the outage. This keeps hundreds of VMs from querying a store that is down.
+	storeBackoff = 2 * time.Second
+	// distantRank is the rank in the region from which on a VM uses distantStoreBackoff instead
+	// of storeBackoff: VMs of a lower rank detect the store's recovery first and serve the
+	// others.
+	distantRank         = 12
+	distantStoreBackoff = 6 * time.Second
+	// storeResponseMargin is the time allowed for the store's response beyond the requested wait.
+	// The age of a later response is counted from when it was due.
+	storeResponseMargin = 700 * time.Millisecond
+	// startupWait is how long a query by a peer waits for this VM's first response from the store
+	// before it is refused. After a power failure all VMs start within 300 ms.
+	startupWait = 300 * time.Millisecond
+	// maxHistoryBatches is the number of responses with changes that are kept for each table. A
+	// peer that is further behind reads the whole table again.
+	maxHistoryBatches = 256
 )
 
-// Settings are what a Source works with.
+// Settings configures a Source.
 type Settings struct {
-	// PropagationLimit is the time within which a change must be known everywhere. A third of it
-	// is how long a question waits on a VM that serves others, or that others serve: a
-	// source that fell silent is found in that time, and what is left is for asking
-	// the store.
+	// PropagationLimit is the time within which a change must reach every VM. A query of a VM
+	// that serves peers, or is served by one, waits a third of it: a source that became
+	// unresponsive is detected in that time, and the rest is left for reading from the store.
 	PropagationLimit time.Duration
-	// CoalesceInterval is how long changes are left to gather at the store after some were read.
+	// CoalesceInterval is the pause before the next query of the store after a response with
+	// changes, so that the changes made meanwhile arrive in one response.
 	CoalesceInterval time.Duration
 }
 
-func (s Settings) wait() time.Duration { return s.PropagationLimit / 3 }
+// pollWait is the longest wait of a query that other VMs depend on.
+func (s Settings) pollWait() time.Duration { return s.PropagationLimit / 3 }
 
-// Position is where a VM stands among those of its zone.
+// Position is the position of a VM in the order of its zone.
 type Position struct {
-	// PrecedingPeers are the addresses of the VMs that this one may ask, best first: some of those
-	// that come before it in the order of the zone.
+	// PrecedingPeers are the addresses of VMs that precede this one in the order of its zone, in
+	// the order in which to query them.
 	PrecedingPeers []string
-	// First is set on the VM that the others of the zone ask first.
+	// First is set on the VM that the others of the zone query first.
 	First bool
-	// Rank is this VM's place among those of the region, from 0.
+	// Rank is this VM's position among those of the region, from 0.
 	Rank int
-	// PeersOutsideZone are VMs to ask when neither those before this one nor the store give an answer:
-	// the store may have turned away this VM, or its whole zone, and not them.
+	// PeersOutsideZone are the addresses of VMs in other zones, queried when both the preceding
+	// peers and the store fail: the store may be unreachable from this VM or its zone only.
 	PeersOutsideZone []string
 }
 
-// Source follows one table, from the store or from a VM that does. It implements
-// table.Feed for its table and keeps what it read for the VMs that ask this one.
+// Source follows one table, either at the store or at a VM that reads from the store. It
+// implements table.Feed for its table and caches the table for the VMs that query this one.
 //
-// It belongs to one follower: List and Changes are called one at a time.
+// A Source belongs to one follower: List, Changes and ConfirmedAt must not be called
+// concurrently.
 type Source struct {
 	table    string
 	settings Settings
 	store    table.Feed
 	peers    Peers
-	place    func() Position
+	position func() Position
 	cache    *cache
 
 	// The fields below belong to the follower.
 	//
-	// doubted are the VMs that gave no answer, and until when they are left alone.
-	doubted map[string]time.Time
-	// restUntil is until when the store is left alone, and away what it last said.
-	restUntil time.Time
-	away      error
-	// gatherUntil is until when changes are left to gather at the store.
-	gatherUntil time.Time
-	// current is when the last question was asked that the store answered: no change told
-	// since is older.
-	current time.Time
-	// followed is set once the store was asked for changes.
-	followed bool
-	// from is where the last answer came from, for the log.
-	from string
+	// peerBackoffUntil holds the VMs that failed to respond and the end of their backoff.
+	peerBackoffUntil map[string]time.Time
+	// storeBackoffUntil is the end of the store's backoff, and storeErr its last error.
+	storeBackoffUntil time.Time
+	storeErr          error
+	// coalesceUntil is the earliest time of the next query of the store for changes.
+	coalesceUntil time.Time
+	// confirmedAt is the time at which the last successful query was sent to the store. Changes
+	// received later were made after it.
+	confirmedAt time.Time
+	// storePolled is set once the store was queried for changes.
+	storePolled bool
+	// lastSource is the source of the last response, for the log.
+	lastSource string
 }
 
-// NewSource returns a source of one table.
-func NewSource(name string, s Settings, store table.Feed, peers Peers, place func() Position) *Source {
+// NewSource returns a source of one table. Position returns the VM's present position and is
+// called often, also concurrently.
+func NewSource(name string, s Settings, store table.Feed, peers Peers, position func() Position) *Source {
 	return &Source{
-		table: name, settings: s, store: store, peers: peers, place: place,
-		cache: newCache(s.CoalesceInterval + s.wait() + storeSlack), doubted: map[string]time.Time{}, from: fromStore,
+		table: name, settings: s, store: store, peers: peers, position: position,
+		cache: newCache(s.CoalesceInterval + s.pollWait() + storeResponseMargin), peerBackoffUntil: map[string]time.Time{}, lastSource: fromStore,
 	}
 }
--- a/feedshare/follow_test.go
+++ b/feedshare/follow_test.go
@@ -10,73 +10,74 @@
 	"github.com/springweir/springweir/table"
 )
 
-// The calls to the store do not grow with the VMs of a zone, and a change is known at once.
-func TestOneVMOfAZoneFollowsTheStore(t *testing.T) {
-	play(t, 60, func(z *zone) {
+// The number of calls to the store must not grow with the number of VMs in a zone, and a change
+// must reach all of them within 100 ms.
+func TestOneVMPerZoneFollowsStore(t *testing.T) {
+	runZone(t, 60, func(z *zone) {
 		z.put("a", "1")
 		time.Sleep(5 * time.Second)
-		before := z.asked()
+		before := z.callCount()
 		for i := range 10 {
 			time.Sleep(3 * time.Second)
 			z.put("a", fmt.Sprint(i))
 			time.Sleep(100 * time.Millisecond)
-			if late := z.unaware("a", fmt.Sprint(i)); late != "" {
-				t.Fatalf("100 ms after change %d it is not known on %s", i, late)
+			if missing := z.vmsWithout("a", fmt.Sprint(i)); missing != "" {
+				t.Fatalf("100 ms after change %d it has not reached %s", i, missing)
 			}
 		}
-		if n := z.asked() - before; n > 60 {
-			t.Errorf("%d questions to the store in 31 s of a zone of 60 VMs, want those of one VM", n)
+		if n := z.callCount() - before; n > 60 {
+			t.Errorf("a zone of 60 VMs sent %d queries to the store in 31 s, want at most 60", n)
 		}
 	})
 }
 
-// Whatever happens to the VM that the others read from, a change is known within the
-// bound on all VMs that reach the store.
-func TestChangeIsKnownInTimeWhateverBecomesOfItsReader(t *testing.T) {
+// Whatever fault the VM has that the others read from, a change reaches all VMs that can read
+// from the store within the propagation limit.
+func TestChangePropagatesDespiteReaderFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		faults map[int]fault
 	}{
 		{"unreachable", map[int]fault{0: unreachable}},
 		{"frozen", map[int]fault{0: frozen}},
-		{"cut off from the store", map[int]fault{0: cutFromStore}},
-		{"no answers from the store", map[int]fault{0: deafToStore}},
-		{"behind in versions", map[int]fault{0: behind}},
+		{"the store refuses its queries", map[int]fault{0: storeFails}},
+		{"no responses from the store", map[int]fault{0: storeHangs}},
+		{"stale version", map[int]fault{0: stale}},
 		{"the first frozen, the second unreachable", map[int]fault{0: frozen, 1: unreachable}},
-		{"the first without answers, the second cut off from the store", map[int]fault{0: deafToStore, 1: cutFromStore}},
-		{"a member cut off from the reader alone", map[int]fault{}},
+		{"the first without responses, the store refuses the second", map[int]fault{0: storeHangs, 1: storeFails}},
+		{"no fault", map[int]fault{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			// The moment of the fault falls on all parts of a question's wait.
+			// The phases spread the fault over the wait of a query.
 			for phase := range 8 {
-				play(t, 20, func(z *zone) {
+				runZone(t, 20, func(z *zone) {
 					z.put("a", "old")
 					time.Sleep(8*time.Second + time.Duration(phase)*150*time.Millisecond)
 					var excepted []int
 					for i, f := range tc.faults {
-						z.vms[i].set(f)
-						if f != unreachable && f != behind {
+						z.vms[i].setFault(f)
+						if f != unreachable && f != stale {
 							excepted = append(excepted, i)
 						}
 					}
 					z.put("a", "new")
-					time.Sleep(within)
-					if late := z.unaware("a", "new", excepted...); late != "" {
-						t.Errorf("phase %d: after the bound not known on %s", phase, late)
+					time.Sleep(propagationLimit)
+					if missing := z.vmsWithout("a", "new", excepted...); missing != "" {
+						t.Errorf("phase %d: after the propagation limit the change has not reached %s", phase, missing)
 					}
 					for i := range tc.faults {
-						z.vms[i].set(healthy)
+						z.vms[i].setFault(healthy)
 					}
-					time.Sleep(4 * doubt)
+					time.Sleep(4 * peerBackoff)
 					z.put("a", "newer")
-					time.Sleep(within / 2)
-					if late := z.unaware("a", "newer"); late != "" {
-						t.Errorf("phase %d: after the fault not known on %s", phase, late)
+					time.Sleep(propagationLimit / 2)
+					if missing := z.vmsWithout("a", "newer"); missing != "" {
+						t.Errorf("phase %d: after the fault the change has not reached %s", phase, missing)
 					}
-					before := z.asked()
+					before := z.callCount()
 					time.Sleep(10 * time.Second)
-					if n := z.asked() - before; n > 45 {
-						t.Errorf("phase %d: %d questions to the store in 10 s, the VMs did not go back to their reader", phase, n)
+					if n := z.callCount() - before; n > 45 {
+						t.Errorf("phase %d: %d queries to the store in 10 s, the VMs did not return to their reader", phase, n)
 					}
 				})
 			}
@@ -84,187 +85,189 @@
 	}
 }
 
-// A VM that woke from a freeze holds an old picture. It says so until the store has
-// answered it.
-func TestFrozenReaderPassesOnNothingOld(t *testing.T) {
-	play(t, 20, func(z *zone) {
+// A reader that resumes after a freeze has an old table. It must refuse queries until the store
+// has responded to it.
+func TestResumedReaderServesNoStaleRows(t *testing.T) {
+	runZone(t, 20, func(z *zone) {
 		z.put("a", "old")
 		time.Sleep(5 * time.Second)
-		z.vms[0].set(frozen)
+		z.vms[0].setFault(frozen)
 		time.Sleep(5 * time.Second)
 		z.put("a", "new")
-		time.Sleep(within)
-		z.vms[0].set(healthy)
+		time.Sleep(propagationLimit)
+		z.vms[0].setFault(healthy)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
-			if late := z.unaware("a", "new", 0); late != "" {
-				t.Fatalf("a VM went back to the old value: %s", late)
+			if missing := z.vmsWithout("a", "new", 0); missing != "" {
+				t.Fatalf("VMs returned to the old value: %s", missing)
 			}
 		}
 	})
 }
 
-// A zone that has lost the store learns of changes from the readers of the others, without many
-// questions to these, and goes back to its own once it can.
-func TestZoneThatLosesTheStoreLearnsFromOthers(t *testing.T) {
-	for _, lost := range []fault{cutFromStore, deafToStore} {
-		z := &zone{settings: Settings{PropagationLimit: within, CoalesceInterval: within / 12}, zones: 3}
-		playZones(t, z, 60, func(z *zone) {
+// A zone that can't read from the store receives changes from the readers of the other zones,
+// with few queries, and returns to its own reader after the fault.
+func TestZoneWithoutStoreReadsFromOtherZones(t *testing.T) {
+	for _, storeFault := range []fault{storeFails, storeHangs} {
+		z := &zone{settings: Settings{PropagationLimit: propagationLimit, CoalesceInterval: propagationLimit / 12}, zones: 3}
+		runZones(t, z, 60, func(z *zone) {
 			z.put("a", "old")
 			time.Sleep(10 * time.Second)
 			for i := 0; i < len(z.vms); i += z.zones {
-				z.vms[i].set(lost)
+				z.vms[i].setFault(storeFault)
 			}
 			time.Sleep(4 * time.Second)
 			for n := range 5 {
 				z.put("a", fmt.Sprint("new ", n))
-				time.Sleep(2 * within)
-				if late := z.unaware("a", fmt.Sprint("new ", n)); late != "" {
-					t.Errorf("fault %d, change %d is not known on %s", lost, n, late)
+				time.Sleep(2 * propagationLimit)
+				if missing := z.vmsWithout("a", fmt.Sprint("new ", n)); missing != "" {
+					t.Errorf("fault %d: change %d has not reached %s", storeFault, n, missing)
 				}
 			}
 			for _, v := range z.vms {
-				v.set(healthy)
+				v.setFault(healthy)
 			}
-			time.Sleep(4 * doubt)
+			time.Sleep(4 * peerBackoff)
 			z.put("a", "newer")
-			time.Sleep(within / 2)
-			if late := z.unaware("a", "newer"); late != "" {
-				t.Errorf("after the fault not known on %s", late)
+			time.Sleep(propagationLimit / 2)
+			if missing := z.vmsWithout("a", "newer"); missing != "" {
+				t.Errorf("after the fault the change has not reached %s", missing)
 			}
-			before := z.asked()
+			before := z.callCount()
 			time.Sleep(10 * time.Second)
-			if n := z.asked() - before; n > 3*25 {
-				t.Errorf("%d questions to the store in 10 s, the VMs did not go back to their readers", n)
+			if n := z.callCount() - before; n > 3*25 {
+				t.Errorf("%d queries to the store in 10 s, the VMs did not return to their readers", n)
 			}
 		})
 	}
 }
 
-// While the store is away only the first VMs ask it often, nobody forgets what is known,
-// and all know of its return soon after the first does.
-func TestFewAskAStoreThatIsAway(t *testing.T) {
-	play(t, 60, func(z *zone) {
+// While the store is unavailable only the first VMs query it often, all VMs keep the table, and
+// all receive the changes soon after the store has recovered.
+func TestFewVMsPollUnavailableStore(t *testing.T) {
+	runZone(t, 60, func(z *zone) {
 		z.put("a", "old")
 		time.Sleep(10 * time.Second)
-		z.setAway(true)
-		before := z.asked()
+		z.setStoreDown(true)
+		before := z.callCount()
 		time.Sleep(5 * time.Second)
-		if late := z.unaware("a", "old"); late != "" {
-			t.Errorf("forgotten while the store is away: %s", late)
+		if missing := z.vmsWithout("a", "old"); missing != "" {
+			t.Errorf("VMs without the row during the store's outage: %s", missing)
 		}
-		if n := z.asked() - before; n > 120 {
-			t.Errorf("%d questions in 5 s to a store that is away, by 60 VMs", n)
+		if n := z.callCount() - before; n > 120 {
+			t.Errorf("60 VMs sent %d queries in 5 s to an unavailable store, want at most 120", n)
 		}
 		z.put("a", "new")
-		z.setAway(false)
-		time.Sleep(within)
-		if late := z.unaware("a", "new"); late != "" {
-			t.Errorf("%v after the return not known on %s", within, late)
+		z.setStoreDown(false)
+		time.Sleep(propagationLimit)
+		if missing := z.vmsWithout("a", "new"); missing != "" {
+			t.Errorf("%v after the store's recovery the change has not reached %s", propagationLimit, missing)
 		}
 		for _, v := range z.vms {
-			if v.losses() == 0 {
-				t.Errorf("VM %d did not notice that the store was away", v.index)
+			if v.outageCount() == 0 {
+				t.Errorf("VM %d did not report the store's outage", v.index)
 			}
 		}
 	})
 }
 
-// VMs that start ask the first of their zone and not the store, also where that one started sooner and
-// did not know then that others would ask it: a first question that waits for long leaves it without
-// an answer that it may pass on.
-func TestVMsThatStartAskTheFirstOfTheirZone(t *testing.T) {
-	z := &zone{settings: Settings{PropagationLimit: within, CoalesceInterval: within / 12}, zones: 3, headStart: 100 * time.Millisecond}
-	playZones(t, z, 60, func(z *zone) {
+// Starting VMs query the first VM of their zone and not the store. This includes the case in
+// which that VM starts earlier and doesn't yet know that others will query it: if its first query
+// waited long, it would have nothing to serve until then.
+func TestStartingVMsReadFromFirstOfZone(t *testing.T) {
+	z := &zone{settings: Settings{PropagationLimit: propagationLimit, CoalesceInterval: propagationLimit / 12}, zones: 3, headStart: 100 * time.Millisecond}
+	runZones(t, z, 60, func(z *zone) {
 		time.Sleep(5 * time.Second)
-		if n := z.asked(); n > 30 {
-			t.Errorf("60 VMs asked the store %d questions in the first 5 s", n)
+		if n := z.callCount(); n > 30 {
+			t.Errorf("60 VMs sent %d queries to the store in the first 5 s, want at most 30", n)
 		}
 	})
 }
 
-// What a VM was told by another it does not tell a third: only the store's answers count.
-func TestWhatWasToldIsNotPassedOn(t *testing.T) {
-	play(t, 3, func(z *zone) {
+// A VM doesn't serve rows that it received from another VM; only responses of the store may be
+// served.
+func TestRelayedRowsAreNotServed(t *testing.T) {
+	runZone(t, 3, func(z *zone) {
 		z.put("a", "1")
 		time.Sleep(10 * time.Second)
 		_, _, err := z.vms[2].source.cache.list(context.Background(), "t")
-		var reader *NotReaderError
-		if !errors.As(err, &reader) {
-			t.Errorf("a VM that reads from another passes on the table: %v", err)
+		var notReader *NotReaderError
+		if !errors.As(err, &notReader) {
+			t.Errorf("a VM that reads from another VM serves the table: %v", err)
 		}
 	})
 }
 
-// A VM that missed more changes than are kept reads the table anew, from its reader.
-func TestVMThatFellBehindReadsAnew(t *testing.T) {
-	play(t, 4, func(z *zone) {
+// The history of changes is bounded. A VM that is further behind gets *table.HistoryGoneError and
+// must read the whole table again.
+func TestTrimmedHistoryForcesRelist(t *testing.T) {
+	runZone(t, 4, func(z *zone) {
 		z.put("gone", "1")
 		time.Sleep(5 * time.Second)
 		c := z.vms[0].source.cache
-		for i := range 2 * maxHistory {
-			version := c.at()
+		for i := range 2 * maxHistoryBatches {
+			version := c.currentVersion()
 			c.apply(version, []table.Change{{Row: table.Row{Key: key(fmt.Sprint(i))}}}, version+1, time.Now())
 		}
 		_, _, err := c.changes(context.Background(), "t", 1)
-		var gone *table.HistoryGoneError
-		if !errors.As(err, &gone) || len(c.log) > maxHistory {
-			t.Errorf("%d answers are kept, and one before them gives %v", len(c.log), err)
+		var historyGone *table.HistoryGoneError
+		if !errors.As(err, &historyGone) || len(c.history) > maxHistoryBatches {
+			t.Errorf("the history has %d batches, and a query before its start returns %v", len(c.history), err)
 		}
 	})
 }
 
-// When the store comes back from a copy, every VM of a zone knows the table as it is then: also when
-// its versions have caught up, when the reader does not hear of it, and a VM that was cut off
-// through it all.
-func TestCopyOfTheStoreReachesEveryVM(t *testing.T) {
+// After the store was restored from a backup, every VM has the table as restored: also once the
+// new versions have passed the lost ones, when the reader doesn't learn of the restore, and on a
+// VM that was partitioned all the time.
+func TestRestoredStoreReachesEveryVM(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		faults map[int]fault
 	}{
-		{"all in touch", nil},
-		{"the reader is cut off from the store", map[int]fault{0: cutFromStore}},
+		{"no fault", nil},
+		{"the store refuses the reader's queries", map[int]fault{0: storeFails}},
 		{"the reader is frozen", map[int]fault{0: frozen}},
 		{"a member is frozen", map[int]fault{7: frozen}},
-		{"the whole zone is cut off", map[int]fault{0: cutFromStore, 1: cutFromStore, 2: cutFromStore, 3: cutFromStore, 4: cutFromStore, 5: cutFromStore, 6: cutFromStore, 7: cutFromStore}},
+		{"the store refuses the whole zone", map[int]fault{0: storeFails, 1: storeFails, 2: storeFails, 3: storeFails, 4: storeFails, 5: storeFails, 6: storeFails, 7: storeFails}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, 8, func(z *zone) {
+			runZone(t, 8, func(z *zone) {
 				z.put("a", "old")
 				z.put("b", "old")
 				time.Sleep(10 * time.Second)
-				copied := z.store.Backup()
+				backup := z.store.Backup()
 				for n := range 5 {
 					z.put("a", fmt.Sprint("lost ", n))
 				}
-				time.Sleep(within)
+				time.Sleep(propagationLimit)
 				var excepted []int
 				for i, f := range tc.faults {
-					z.vms[i].set(f)
+					z.vms[i].setFault(f)
 					excepted = append(excepted, i)
 				}
-				z.store.Restore(copied)
-				for n := range 9 { // past the versions that were lost
+				z.store.Restore(backup)
+				for n := range 9 { // beyond the versions that the restore reverted
 					z.put("b", fmt.Sprint("new ", n))
 				}
-				time.Sleep(within)
-				if late := z.unaware("b", "new 8", excepted...); late != "" {
-					t.Errorf("not known on %s", late)
+				time.Sleep(propagationLimit)
+				if missing := z.vmsWithout("b", "new 8", excepted...); missing != "" {
+					t.Errorf("the new value has not reached %s", missing)
 				}
-				if late := z.unaware("a", "old", excepted...); late != "" {
-					t.Errorf("what the copy lacks is still believed on %s", late)
+				if missing := z.vmsWithout("a", "old", excepted...); missing != "" {
+					t.Errorf("rows that the restore reverted are still served on %s", missing)
 				}
 				for i := range tc.faults {
-					z.vms[i].set(healthy)
+					z.vms[i].setFault(healthy)
 				}
-				time.Sleep(4 * doubt)
-				if late := z.unaware("b", "new 8"); late != "" {
-					t.Errorf("not known after the fault on %s", late)
+				time.Sleep(4 * peerBackoff)
+				if missing := z.vmsWithout("b", "new 8"); missing != "" {
+					t.Errorf("after the fault the new value has not reached %s", missing)
 				}
 				z.put("b", "newer")
-				time.Sleep(within / 2)
-				if late := z.unaware("b", "newer"); late != "" {
-					t.Errorf("a change after it is not known on %s", late)
+				time.Sleep(propagationLimit / 2)
+				if missing := z.vmsWithout("b", "newer"); missing != "" {
+					t.Errorf("a change after the restore has not reached %s", missing)
 				}
 			})
 		})
--- a/feedshare/server.go
+++ b/feedshare/server.go
@@ -13,13 +13,13 @@
 	"github.com/springweir/springweir/table"
 )
 
-// maxPeerWait bounds how long a question of another VM waits here.
-const maxPeerWait = 10 * time.Second
+// maxQueryWait bounds the wait that a peer's query may request.
+const maxQueryWait = 10 * time.Second
 
-// server answers the other VMs from the sources of this one. It implements feedpb.Feed.
+// server serves this VM's sources to other VMs. It implements feedpb.Feed.
 type server struct{ sources map[string]*Source }
 
-// Handler serves the sources to the other VMs.
+// Handler returns the HTTP handler that serves the sources to other VMs.
 func Handler(sources ...*Source) http.Handler {
 	s := &server{sources: map[string]*Source{}}
 	for _, source := range sources {
@@ -34,15 +34,15 @@
 	if source == nil {
 		return nil, twirp.NotFoundError("no such table: " + r.Table)
 	}
-	rows, at, err := source.cache.list(ctx, r.Table)
+	rows, version, err := source.cache.list(ctx, r.Table)
 	if err != nil {
-		return nil, toTwirp(err)
+		return nil, twirpError(err)
 	}
-	answer := &feedpb.ListResponse{Version: uint64(at)}
+	response := &feedpb.ListResponse{Version: uint64(version)}
 	for _, row := range rows {
-		answer.Rows = append(answer.Rows, toPB(row))
+		response.Rows = append(response.Rows, rowToProto(row))
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Changes implements feedpb.Feed.
@@ -51,38 +51,38 @@
 	if source == nil {
 		return nil, twirp.NotFoundError("no such table: " + r.Table)
 	}
-	ctx, cancel := clock.WithTimeout(ctx, min(time.Duration(r.WaitMs)*time.Millisecond, maxPeerWait))
+	ctx, cancel := clock.WithTimeout(ctx, min(time.Duration(r.WaitMs)*time.Millisecond, maxQueryWait))
 	defer cancel()
-	changes, at, err := source.cache.changes(ctx, r.Table, table.Version(r.After))
+	changes, version, err := source.cache.changes(ctx, r.Table, table.Version(r.After))
 	if err != nil {
-		return nil, toTwirp(err)
+		return nil, twirpError(err)
 	}
-	answer := &feedpb.ChangesResponse{Version: uint64(at)}
+	response := &feedpb.ChangesResponse{Version: uint64(version)}
 	for _, c := range changes {
-		answer.Changes = append(answer.Changes, &feedpb.Change{Row: toPB(c.Row), Deleted: c.Deleted, AgeMs: age(c)})
+		response.Changes = append(response.Changes, &feedpb.Change{Row: rowToProto(c.Row), Deleted: c.Deleted, AgeMs: ageMillis(c)})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// age is how long ago a change was made at the most, in whole milliseconds begun, or zero if
-// that is not known.
-func age(c table.Change) uint32 {
+// ageMillis returns the greatest possible age of a change in milliseconds, rounded up, or zero if
+// it is unknown.
+func ageMillis(c table.Change) uint32 {
 	if c.NotBefore.IsZero() {
 		return 0
 	}
 	return uint32(max(0, clock.Since(c.NotBefore).Milliseconds())) + 1
 }
 
-func toPB(row table.Row) *feedpb.Row {
+func rowToProto(row table.Row) *feedpb.Row {
 	return &feedpb.Row{Key: row.Key.Row, Version: uint64(row.Version), Value: row.Value}
 }
 
-// toTwirp gives an error the code that feed.proto names for it.
-func toTwirp(err error) error {
-	var gone *table.HistoryGoneError
+// twirpError converts an error to the twirp code that feed.proto documents for it.
+func twirpError(err error) error {
+	var historyGone *table.HistoryGoneError
 	var behind *BehindError
 	switch {
-	case errors.As(err, &gone):
+	case errors.As(err, &historyGone):
 		return twirp.NewError(twirp.OutOfRange, err.Error())
 	case errors.As(err, &behind):
 		return twirp.NewError(twirp.Aborted, err.Error())
--- a/feedshare/source.go
+++ b/feedshare/source.go
@@ -18,261 +18,263 @@
 
 var _ table.Feed = (*Source)(nil)
 
-// ConfirmedAt returns when the last question was asked that the store itself answered, or zero: all
-// that was acknowledged before that is known here. Only the follower may call it.
-func (s *Source) ConfirmedAt() time.Time { return s.current }
+// ConfirmedAt returns when the last query that the store itself responded to was sent, or zero.
+// All writes acknowledged before that time are known here. Only the follower may call it.
+func (s *Source) ConfirmedAt() time.Time { return s.confirmedAt }
 
-// Version is that of what was last read, from wherever.
-func (s *Source) Version() table.Version { return s.cache.at() }
+// Version returns the table version of the last response, from the store or a peer.
+func (s *Source) Version() table.Version { return s.cache.currentVersion() }
 
-// fromStore stands for the store where sources are named.
+// fromStore names the store as a source, in logs and metrics.
 const fromStore = "store"
 
 // List implements table.Feed.
 func (s *Source) List(ctx context.Context, name string) ([]table.Row, table.Version, error) {
-	for _, address := range s.trusted(s.place().PrecedingPeers) {
-		ctx, cancel := s.whileReader(ctx, address, listTimeout)
-		rows, at, err := s.listPeer(ctx, address, name)
+	for _, address := range s.available(s.position().PrecedingPeers) {
+		ctx, cancel := s.whilePreceding(ctx, address, listTimeout)
+		rows, version, err := s.listFromPeer(ctx, address, name)
 		cancel()
 		if err == nil {
-			return rows, at, nil
+			return rows, version, nil
 		}
-		s.refused(address, err)
+		s.handlePeerError(address, err)
 	}
-	rows, at, err := s.listStore(ctx, name)
+	rows, version, err := s.listFromStore(ctx, name)
 	if err == nil {
-		return rows, at, nil
+		return rows, version, nil
 	}
-	for _, address := range s.trusted(s.place().PeersOutsideZone) {
+	for _, address := range s.available(s.position().PeersOutsideZone) {
 		ctx, cancel := clock.WithTimeout(ctx, listTimeout)
-		rows, at, failed := s.listPeer(ctx, address, name)
+		rows, version, peerErr := s.listFromPeer(ctx, address, name)
 		cancel()
-		if failed == nil {
-			return rows, at, nil
+		if peerErr == nil {
+			return rows, version, nil
 		}
-		s.doubt(address, failed)
+		s.backOffPeer(address, peerErr)
 	}
 	return nil, 0, err
 }
 
-// listPeer reads the table from another VM.
-func (s *Source) listPeer(ctx context.Context, address, name string) ([]table.Row, table.Version, error) {
-	rows, at, err := s.peers.List(ctx, address, name)
-	if err == nil && at < s.cache.at() {
-		err = &BehindError{Version: at, Local: s.cache.at()}
+// listFromPeer reads the table from another VM.
+func (s *Source) listFromPeer(ctx context.Context, address, name string) ([]table.Row, table.Version, error) {
+	rows, version, err := s.peers.List(ctx, address, name)
+	if err == nil && version < s.cache.currentVersion() {
+		err = &BehindError{Version: version, Local: s.cache.currentVersion()}
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	s.answered(address, at)
-	s.cache.reset(rows, at, toldByVM)
-	return rows, at, nil
+	s.recordSource(address, version)
+	s.cache.reset(rows, version, unconfirmed)
+	return rows, version, nil
 }
 
-func (s *Source) listStore(ctx context.Context, name string) ([]table.Row, table.Version, error) {
-	if err := s.resting(); err != nil {
+func (s *Source) listFromStore(ctx context.Context, name string) ([]table.Row, table.Version, error) {
+	if err := s.cooldown(); err != nil {
 		return nil, 0, err
 	}
-	asked := clock.Now()
-	rows, at, err := s.store.List(ctx, name)
+	sentAt := clock.Now()
+	rows, version, err := s.store.List(ctx, name)
 	if err != nil {
-		s.lost(err)
+		s.storeFailed(err)
 		return nil, 0, err
 	}
-	s.current = asked
-	s.answered(fromStore, at)
-	s.cache.reset(rows, at, clock.Now())
-	return rows, at, nil
+	s.confirmedAt = sentAt
+	s.recordSource(fromStore, version)
+	s.cache.reset(rows, version, clock.Now())
+	return rows, version, nil
 }
 
 // Changes implements table.Feed.
 func (s *Source) Changes(ctx context.Context, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
-	short := min(wait, s.settings.wait())
-	for _, address := range s.trusted(s.place().PrecedingPeers) {
-		asking, cancel := s.whileReader(ctx, address, short+peerWaitMargin)
-		changes, next, err := s.changesOfPeer(asking, address, name, after, short)
+	shortWait := min(wait, s.settings.pollWait())
+	for _, address := range s.available(s.position().PrecedingPeers) {
+		peerCtx, cancel := s.whilePreceding(ctx, address, shortWait+peerResponseMargin)
+		changes, next, err := s.changesFromPeer(peerCtx, address, name, after, shortWait)
 		cancel()
-		if err == nil || isGone(err) {
+		if err == nil || isHistoryGone(err) {
 			return changes, next, err
 		}
-		s.refused(address, err)
+		s.handlePeerError(address, err)
 	}
-	changes, next, err := s.changesOfStore(ctx, name, after, wait)
-	if err == nil || isGone(err) {
+	changes, next, err := s.changesFromStore(ctx, name, after, wait)
+	if err == nil || isHistoryGone(err) {
 		return changes, next, err
 	}
-	for _, address := range s.trusted(s.place().PeersOutsideZone) {
-		asking, cancel := clock.WithTimeout(ctx, short+peerWaitMargin)
-		changes, next, failed := s.changesOfPeer(asking, address, name, after, short)
+	for _, address := range s.available(s.position().PeersOutsideZone) {
+		peerCtx, cancel := clock.WithTimeout(ctx, shortWait+peerResponseMargin)
+		changes, next, peerErr := s.changesFromPeer(peerCtx, address, name, after, shortWait)
 		cancel()
-		if failed == nil || isGone(failed) {
-			return changes, next, failed
+		if peerErr == nil || isHistoryGone(peerErr) {
+			return changes, next, peerErr
 		}
-		s.doubt(address, failed)
+		s.backOffPeer(address, peerErr)
 	}
 	return nil, 0, err
 }
 
-func isGone(err error) bool {
-	var gone *table.HistoryGoneError
-	return errors.As(err, &gone)
+func isHistoryGone(err error) bool {
+	var historyGone *table.HistoryGoneError
+	return errors.As(err, &historyGone)
 }
 
-// changesOfPeer asks another VM for changes.
-func (s *Source) changesOfPeer(ctx context.Context, address, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
+// changesFromPeer queries another VM for changes.
+func (s *Source) changesFromPeer(ctx context.Context, address, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
 	changes, next, err := s.peers.Changes(ctx, address, name, after, wait)
 	if err != nil {
 		return nil, 0, err
 	}
-	s.answered(address, next)
-	s.cache.apply(after, changes, next, toldByVM)
+	s.recordSource(address, next)
+	s.cache.apply(after, changes, next, unconfirmed)
 	return changes, next, nil
 }
 
-// whileReader bounds a question to another VM by a time, and by that VM's place: one that falls
-// silent loses it within half a second, and news must not wait until a question to it times out.
-func (s *Source) whileReader(ctx context.Context, address string, limit time.Duration) (context.Context, context.CancelFunc) {
+// whilePreceding returns a context that ends after limit, or once the peer at address no longer
+// precedes this VM. An unresponsive VM loses its position within half a second, and changes must
+// not be delayed until a query to it times out.
+func (s *Source) whilePreceding(ctx context.Context, address string, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := clock.WithTimeout(ctx, limit)
 	go loop.Every(ctx, PositionInterval, func() {
-		if !slices.Contains(s.place().PrecedingPeers, address) {
+		if !slices.Contains(s.position().PrecedingPeers, address) {
 			cancel()
 		}
 	})
 	return ctx, cancel
 }
 
-func (s *Source) changesOfStore(ctx context.Context, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
-	if err := s.resting(); err != nil {
+func (s *Source) changesFromStore(ctx context.Context, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
+	if err := s.cooldown(); err != nil {
 		return nil, 0, err
 	}
-	if pause := clock.Until(s.gatherUntil); pause > 0 {
+	if pause := clock.Until(s.coalesceUntil); pause > 0 {
 		loop.Sleep(ctx, pause)
 	}
-	if s.serves() || !s.followed {
-		// The first question of a VM that starts must not wait for long either: it may turn out to be
-		// the one that others ask, and passes on nothing until the store has answered.
-		wait = min(wait, s.settings.wait())
+	if s.servesPeers() || !s.storePolled {
+		// A VM's first query must not wait long either: peers may turn out to depend on this VM,
+		// which serves nothing until the store has responded.
+		wait = min(wait, s.settings.pollWait())
 	}
-	s.followed = true
-	asked := clock.Now()
+	s.storePolled = true
+	sentAt := clock.Now()
 	changes, next, err := s.store.Changes(ctx, name, after, wait)
 	if err != nil {
-		s.lost(err)
+		s.storeFailed(err)
 		return nil, 0, err
 	}
-	came := clock.Now()
+	receivedAt := clock.Now()
 	if len(changes) > 0 {
-		s.gatherUntil = came.Add(s.settings.CoalesceInterval)
-		s.date(changes, asked, came)
+		s.coalesceUntil = receivedAt.Add(s.settings.CoalesceInterval)
+		s.setNotBefore(changes, sentAt, receivedAt)
 	}
-	s.current = asked
-	s.answered(fromStore, next)
-	s.cache.apply(after, changes, next, earlier(came, asked.Add(wait+storeSlack)))
+	s.confirmedAt = sentAt
+	s.recordSource(fromStore, next)
+	s.cache.apply(after, changes, next, earliest(receivedAt, sentAt.Add(wait+storeResponseMargin)))
 	return changes, next, nil
 }
 
-// promptly is how long the store takes at the most, when it is well, over a question for
-// changes that it has already. An answer that takes longer waited for the change.
-const promptly = 100 * time.Millisecond
+// promptResponse is the longest time that a healthy store takes to respond to a query for changes
+// it already has. A query that took longer has waited for the change.
+const promptResponse = 100 * time.Millisecond
 
-// date says when changes that the store told can have been made: after the answer before,
-// or, if the question waited for them, just now. What a slow store adds is not in it.
-func (s *Source) date(changes []table.Change, asked, came time.Time) {
-	notBefore := s.current
-	if came.Sub(asked) > promptly {
-		notBefore = came.Add(-promptly)
+// setNotBefore sets the earliest time at which changes received from the store can have been
+// made: when the previous query was sent, or, if this query waited for them, promptResponse
+// before the response. The latency of a slow store must not count as age.
+func (s *Source) setNotBefore(changes []table.Change, sentAt, receivedAt time.Time) {
+	notBefore := s.confirmedAt
+	if receivedAt.Sub(sentAt) > promptResponse {
+		notBefore = receivedAt.Add(-promptResponse)
 	}
 	for i := range changes {
 		changes[i].NotBefore = notBefore
 	}
 }
 
-// earlier returns when an answer of the store can still have been true: when it came, or,
-// if it was held up by a pause of this VM, when it was due.
-func earlier(came, due time.Time) time.Time {
-	if due.Before(came) {
+// earliest returns the time for which a response of the store is known to be valid: when it was
+// received or, if a pause of this VM delayed that, when it was due.
+func earliest(receivedAt, due time.Time) time.Time {
+	if due.Before(receivedAt) {
 		return due
 	}
-	return came
+	return receivedAt
 }
 
-// serves tells whether other VMs ask this one.
-func (s *Source) serves() bool { return s.place().First || s.cache.askedLately() }
+// servesPeers reports whether other VMs query this one.
+func (s *Source) servesPeers() bool { return s.position().First || s.cache.recentlyQueried() }
 
-// trusted are those of some VMs that are not in doubt.
-func (s *Source) trusted(addresses []string) []string {
+// available returns the addresses that are not in backoff.
+func (s *Source) available(addresses []string) []string {
 	now := clock.Now()
-	var list []string
+	var selected []string
 	for _, address := range addresses {
-		if now.After(s.doubted[address]) {
-			list = append(list, address)
+		if now.After(s.peerBackoffUntil[address]) {
+			selected = append(selected, address)
 		}
 	}
-	return list
+	return selected
 }
 
-// refused notes that a VM gave no answer that could be used, and leaves it alone for a
-// while. But for one that says that the store does not answer it while that holds here
-// too: it is the first to know when the store is back.
-func (s *Source) refused(address string, err error) {
-	var noNews *NotReaderError
-	if errors.As(err, &noNews) && s.resting() != nil {
-		s.note(address, err)
+// handlePeerError records that a VM gave no usable response and puts it in backoff. The exception
+// is a VM that reports that the store doesn't respond to it while the store is in backoff here
+// too: that VM is the first to detect the store's recovery.
+func (s *Source) handlePeerError(address string, err error) {
+	var notReader *NotReaderError
+	if errors.As(err, &notReader) && s.cooldown() != nil {
+		s.recordPeerError(address, err)
 		return
 	}
-	s.doubt(address, err)
+	s.backOffPeer(address, err)
 }
 
-// doubt leaves a VM alone for a while that gave no answer that could be used.
-func (s *Source) doubt(address string, err error) {
-	s.note(address, err)
-	s.doubted[address] = clock.Now().Add(loop.Jitter(doubt))
+// backOffPeer puts a VM that gave no usable response in backoff.
+func (s *Source) backOffPeer(address string, err error) {
+	s.recordPeerError(address, err)
+	s.peerBackoffUntil[address] = clock.Now().Add(loop.Jitter(peerBackoff))
 }
 
-func (s *Source) note(address string, err error) {
+func (s *Source) recordPeerError(address string, err error) {
 	reason := failure.ReasonOf(err)
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_feed_refused_total{table=%q,reason=%q}`, s.table, reason)).Inc()
-	klog.V(1).InfoS("feedshare: VM gave no answer, asking the next", "table", s.table, "vm", address, "reason", reason, "err", err)
+	klog.V(1).InfoS("feedshare: no usable response from VM, trying the next source", "table", s.table, "vm", address, "reason", reason, "err", err)
 }
 
-// resting returns why the store is left alone now, or nil.
-func (s *Source) resting() error {
-	if clock.Now().Before(s.restUntil) {
-		return &CooldownError{Table: s.table, Cause: s.away}
+// cooldown returns a *CooldownError while the store is in backoff, or nil.
+func (s *Source) cooldown() error {
+	if clock.Now().Before(s.storeBackoffUntil) {
+		return &CooldownError{Table: s.table, Cause: s.storeErr}
 	}
 	return nil
 }
 
-// lost notes that the store gave no answer. The VMs in doubt are asked again: one of them
-// may find the store first.
-func (s *Source) lost(err error) {
-	if isGone(err) {
+// storeFailed records that the store failed to respond. It ends the backoff of all peers, as one
+// of them may reach the store first.
+func (s *Source) storeFailed(err error) {
+	if isHistoryGone(err) {
 		return
 	}
-	s.cache.lost()
+	s.cache.markUnavailable()
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_feed_lost_total{table=%q}`, s.table)).Inc()
-	place := s.place()
-	if len(place.PrecedingPeers) == 0 {
+	position := s.position()
+	if len(position.PrecedingPeers) == 0 {
 		return
 	}
-	clear(s.doubted)
-	pause := rest
-	if place.Rank >= farRank {
-		pause = farRest
+	clear(s.peerBackoffUntil)
+	pause := storeBackoff
+	if position.Rank >= distantRank {
+		pause = distantStoreBackoff
 	}
-	s.restUntil, s.away = clock.Now().Add(loop.Jitter(pause)), err
+	s.storeBackoffUntil, s.storeErr = clock.Now().Add(loop.Jitter(pause)), err
 }
 
-// answered notes where an answer came from.
-func (s *Source) answered(from string, at table.Version) {
+// recordSource records the source of a response and ends the store's backoff.
+func (s *Source) recordSource(source string, version table.Version) {
 	kind := fromStore
-	if from != fromStore {
+	if source != fromStore {
 		kind = "vm"
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_feed_answers_total{table=%q,from=%q}`, s.table, kind)).Inc()
-	s.restUntil = time.Time{}
-	if from != s.from {
-		klog.InfoS("feedshare: table is read from another source", "table", s.table, "from", from, "before", s.from, "version", at.String())
-		s.from = from
+	s.storeBackoffUntil = time.Time{}
+	if source != s.lastSource {
+		klog.InfoS("feedshare: table is read from another source", "table", s.table, "from", source, "before", s.lastSource, "version", version.String())
+		s.lastSource = source
 	}
 }
--- a/lease/check.go
+++ b/lease/check.go
@@ -10,5 +10,5 @@
 	if _, err := l.Authority(); err != nil {
 		return nil, err
 	}
-	return l.guarded(nil), nil
+	return l.withGuard(nil), nil
 }
--- a/lease/config.go
+++ b/lease/config.go
@@ -65,4 +65,4 @@
 	return c.Rank()
 }
 
-func (c Config) pollDelay() time.Duration { return loop.Jitter(pollEvery(c.Poll, c.rank())) }
+func (c Config) pollDelay() time.Duration { return loop.Jitter(pollInterval(c.Poll, c.rank())) }
--- a/lease/contend.go
+++ b/lease/contend.go
@@ -10,7 +10,7 @@
 const activeContenders = 4
 
 // idleFactor is how much more seldom the other contenders read it.
-const idleFactor = 16
+const distantPollFactor = 16
 
 // observation is the successor's timer: the version last seen, and when the
 // read in which it was first seen had returned.
@@ -19,40 +19,40 @@
 // it is taken after the read. Taking it before the read would end the
 // successor's count before the holder's.
 type observation struct {
-	version table.Version
-	since   time.Time
+	version   table.Version
+	firstSeen time.Time
 	// epoch is the table service's, first seen at epochSince.
-	epoch      uint64
-	epochSince time.Time
+	epoch          uint64
+	epochFirstSeen time.Time
 }
 
 // seeEpoch notes the table service's epoch as of now.
-func (o *observation) seeEpoch(epoch uint64, now time.Time) {
-	if o.epoch == epoch && !o.epochSince.IsZero() {
+func (o *observation) observeEpoch(epoch uint64, now time.Time) {
+	if o.epoch == epoch && !o.epochFirstSeen.IsZero() {
 		return
 	}
-	o.epoch, o.epochSince = epoch, now
+	o.epoch, o.epochFirstSeen = epoch, now
 }
 
 // epochLeft returns how long a tenure may still last that the table service has lost: one of the
 // epoch before ends within its term of the beginning of this one, which was no later than this
 // process saw it.
-func (o *observation) epochLeft(ttl time.Duration, now time.Time) time.Duration {
-	return ttl - now.Sub(o.epochSince)
+func (o *observation) epochRemaining(ttl time.Duration, now time.Time) time.Duration {
+	return ttl - now.Sub(o.epochFirstSeen)
 }
 
 // see notes the row's version as of now, a time after the read returned.
-func (o *observation) see(version table.Version, now time.Time) {
-	if o.version == version && !o.since.IsZero() {
+func (o *observation) observeVersion(version table.Version, now time.Time) {
+	if o.version == version && !o.firstSeen.IsZero() {
 		return
 	}
 	o.version = version
-	o.since = now
+	o.firstSeen = now
 }
 
 // left returns how long the row must still be seen unchanged.
-func (o *observation) left(ttl time.Duration, now time.Time) time.Duration {
-	return ttl - now.Sub(o.since)
+func (o *observation) remaining(ttl time.Duration, now time.Time) time.Duration {
+	return ttl - now.Sub(o.firstSeen)
 }
 
 // takeoverWait returns how long a contender must wait before it may try to take
@@ -63,27 +63,27 @@
 // whom it does not show may still have authority.
 func takeoverWait(row table.Row, rec Record, obs observation, ttl time.Duration, now time.Time) time.Duration {
 	ttl = max(ttl, time.Duration(rec.TTLMillis)*time.Millisecond)
-	lost := time.Duration(0)
+	epochWait := time.Duration(0)
 	if obs.epoch != 0 && rec.Epoch != obs.epoch {
-		lost = obs.epochLeft(ttl, now)
+		epochWait = obs.epochRemaining(ttl, now)
 	}
 	if row.Version == table.Absent || rec.Released {
-		return lost
+		return epochWait
 	}
-	return max(lost, obs.left(ttl, now))
+	return max(epochWait, obs.remaining(ttl, now))
 }
 
 // fenceBits are the low bits of a fencing number, which count within an epoch.
-const fenceBits = 32
+const fenceCounterBits = 32
 
 // epochFence is the lowest fencing number of an epoch: higher than any of the one before, of which
 // the table service may have lost some.
-func epochFence(epoch uint64) uint64 { return epoch << fenceBits }
+func epochFence(epoch uint64) uint64 { return epoch << fenceCounterBits }
 
 // pollEvery returns the mean time between a contender's reads.
-func pollEvery(poll time.Duration, rank int) time.Duration {
+func pollInterval(poll time.Duration, rank int) time.Duration {
 	if rank < activeContenders {
 		return poll
 	}
-	return poll * idleFactor
+	return poll * distantPollFactor
 }
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -34,8 +34,8 @@
 // engine that came from another pool, whose fences are counted apart.
 func (h *Holder) RaiseFloor(seen uint64) {
 	for {
-		old := h.floor.Load()
-		if old >= seen || h.floor.CompareAndSwap(old, seen) {
+		previous := h.floor.Load()
+		if previous >= seen || h.floor.CompareAndSwap(previous, seen) {
 			return
 		}
 	}
@@ -52,7 +52,7 @@
 		if l == nil {
 			return
 		}
-		h.tenure(ctx, l, lead)
+		h.runTenure(ctx, l, lead)
 	}
 }
 
@@ -97,33 +97,33 @@
 		}
 	}
 	now := clock.Now()
-	obs.see(row.Version, now)
+	obs.observeVersion(row.Version, now)
 	epoch := h.cfg.epoch()
-	obs.seeEpoch(epoch, now)
+	obs.observeEpoch(epoch, now)
 	if wait := takeoverWait(row, rec, *obs, h.cfg.TTL, now); wait > 0 {
 		return nil, wait, nil
 	}
-	l, err := h.take(ctx, row, rec, epoch)
+	l, err := h.acquire(ctx, row, rec, epoch)
 	return l, 0, err
 }
 
 // take writes the next tenure over row, as decided in an epoch of the table service. The fence rises above that of any
 // earlier tenure, because the row is never deleted.
-func (h *Holder) take(ctx context.Context, row table.Row, old Record, epoch uint64) (*Lease, error) {
+func (h *Holder) acquire(ctx context.Context, row table.Row, previous Record, epoch uint64) (*Lease, error) {
 	l := &Lease{
 		svc:   h.svc,
 		cfg:   h.cfg,
-		fence: max(old.Fence, h.floor.Load(), epochFence(epoch)) + 1,
+		fence: max(previous.Fence, h.floor.Load(), epochFence(epoch)) + 1,
 		first: row.Version == table.Absent,
 		epoch: epoch,
 		lost:  make(chan struct{}),
 	}
-	sent := clock.Now()
+	sentAt := clock.Now()
 	version, err := l.write(ctx, row.Version, l.record())
 	if err != nil {
 		return nil, err
 	}
-	l.renewed(version, sent)
+	l.recordRenewal(version, sentAt)
 	if _, err := l.Authority(); err != nil {
 		return nil, err // the table service came back from a copy meanwhile
 	}
@@ -133,7 +133,7 @@
 }
 
 // tenure runs lead and keeps the lease up until lead has returned.
-func (h *Holder) tenure(ctx context.Context, l *Lease, lead func(context.Context, *Lease)) {
+func (h *Holder) runTenure(ctx context.Context, l *Lease, lead func(context.Context, *Lease)) {
 	leadCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
 	done := make(chan struct{})
@@ -144,7 +144,7 @@
 	renewals := make(chan struct{})
 	go func() {
 		defer close(renewals)
-		l.keep(done)
+		l.renewUntil(done)
 	}()
 	stop := ctx.Done()
 	for running := true; running; {
@@ -166,7 +166,7 @@
 
 // keep renews the lease until it is lost or done is closed. It announces the
 // end of the authority on time even while a renewal is unanswered.
-func (l *Lease) keep(done <-chan struct{}) {
+func (l *Lease) renewUntil(done <-chan struct{}) {
 	pause := l.cfg.Renew
 	for {
 		a, err := l.Authority()
@@ -195,12 +195,12 @@
 	l.mu.Lock()
 	version := l.version
 	l.mu.Unlock()
-	sent := clock.Now()
+	sentAt := clock.Now()
 	next, err := l.write(ctx, version, l.record())
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		l.renewed(next, sent)
+		l.recordRenewal(next, sentAt)
 		countEvent(eventRenewed)
 		return l.cfg.Renew
 	case errors.As(err, &conflict): // also inside *table.SupersededError
@@ -251,8 +251,8 @@
 		Checks: []table.Check{{Key: key, Version: version}},
 		Writes: []table.Write{{Key: key, Value: rec.encode()}},
 	}
-	mine := func(row table.Row) bool { return wroteBy(row, rec.WriteID) }
-	versions, err := table.CommitAndResolve(ctx, l.svc, txn, mine)
+	isOwnWrite := func(row table.Row) bool { return writtenBy(row, rec.WriteID) }
+	versions, err := table.CommitAndResolve(ctx, l.svc, txn, isOwnWrite)
 	if err != nil {
 		return table.Absent, err
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -87,35 +87,35 @@
 // is tried again only after reading that the tenure still stands, and then the
 // earlier try can't take effect any more, because its check names a version
 // that has passed.
-func (l *Lease) Commit(ctx context.Context, txn table.Txn, mine func(table.Row) bool) ([]table.Version, error) {
-	var unsettled error
+func (l *Lease) Commit(ctx context.Context, txn table.Txn, isOwnWrite func(table.Row) bool) ([]table.Version, error) {
+	var supersededErr error
 	for {
 		if _, err := l.Authority(); err != nil {
 			return nil, err
 		}
-		guarded := table.Txn{Checks: l.guarded(txn.Checks), Writes: txn.Writes}
-		versions, err := table.CommitAndResolve(ctx, l.svc, guarded, mine)
+		guardedTxn := table.Txn{Checks: l.withGuard(txn.Checks), Writes: txn.Writes}
+		versions, err := table.CommitAndResolve(ctx, l.svc, guardedTxn, isOwnWrite)
 		var conflict *table.ConflictError
 		if !errors.As(err, &conflict) {
 			return versions, err
 		}
 		var superseded *table.SupersededError
 		if errors.As(err, &superseded) {
-			unsettled = err
+			supersededErr = err
 		}
-		moved, rerr := l.refresh(ctx, guarded.Checks[0].Version)
-		if rerr != nil {
-			return nil, rerr
+		changed, refreshErr := l.refresh(ctx, guardedTxn.Checks[0].Version)
+		if refreshErr != nil {
+			return nil, refreshErr
 		}
-		if !moved {
-			return nil, cmp.Or(unsettled, err)
+		if !changed {
+			return nil, cmp.Or(supersededErr, err)
 		}
 		countRetry(err)
 	}
 }
 
 // guarded puts the check of the lease's row before checks.
-func (l *Lease) guarded(checks []table.Check) []table.Check {
+func (l *Lease) withGuard(checks []table.Check) []table.Check {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	guard := table.Check{Key: Key(l.cfg.Pool, l.cfg.Zone), Version: l.version}
@@ -130,7 +130,7 @@
 		return false, err
 	}
 	row := rows[0]
-	if !l.stands(row) {
+	if !l.showsTenure(row) {
 		l.lose(Superseded)
 		_, err := l.Authority()
 		return false, err
@@ -142,7 +142,7 @@
 }
 
 // stands tells whether row shows this tenure.
-func (l *Lease) stands(row table.Row) bool {
+func (l *Lease) showsTenure(row table.Row) bool {
 	if row.Version == table.Absent {
 		return false
 	}
@@ -154,11 +154,11 @@
 }
 
 // renewed notes a renewal that was sent at sent and committed at version.
-func (l *Lease) renewed(version table.Version, sent time.Time) {
+func (l *Lease) recordRenewal(version table.Version, sentAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = max(l.version, version)
-	l.deadline = sent.Add(l.cfg.TTL - l.cfg.Margin)
+	l.deadline = sentAt.Add(l.cfg.TTL - l.cfg.Margin)
 }
 
 func (l *Lease) lose(cause LossCause) {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -74,21 +74,21 @@
 }
 
 // until waits in virtual time for a condition and returns how long it took.
-func until(t *testing.T, what string, cond func() bool) time.Duration {
-	began := time.Now()
+func waitUntil(t *testing.T, what string, cond func() bool) time.Duration {
+	startedAt := time.Now()
 	for !cond() {
-		if time.Since(began) > time.Hour {
+		if time.Since(startedAt) > time.Hour {
 			t.Fatalf("never: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
 func TestTakeoverWait(t *testing.T) {
 	now := time.Now()
 	row := table.Row{Version: 4}
-	obs := observation{version: 4, since: now.Add(-2 * time.Second)}
+	obs := observation{version: 4, firstSeen: now.Add(-2 * time.Second)}
 	for _, tc := range []struct {
 		name string
 		row  table.Row
@@ -112,11 +112,11 @@
 
 // A holder that stands still is succeeded after a whole lease, never has
 // authority at the same time as its successor, and knows when it wakes.
-func TestPausedHolderIsSucceeded(t *testing.T) {
+func TestPausedHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		a := start(t, svc, "a", 0)
-		until(t, "a leads", a.holds)
+		waitUntil(t, "a leads", a.holds)
 		old := a.current()
 		b := start(t, svc, "b", 0)
 		time.Sleep(time.Minute)
@@ -124,7 +124,7 @@
 			t.Fatal("b leads beside a living holder")
 		}
 		a.Pause()
-		wait := until(t, "b leads", func() bool {
+		wait := waitUntil(t, "b leads", func() bool {
 			if a.holds() && b.holds() {
 				t.Fatal("two holders have authority")
 			}
@@ -137,16 +137,16 @@
 			t.Errorf("fence %d after %d", got, old.Fence())
 		}
 		a.Wake()
-		until(t, "a knows", func() bool { return a.current() != old || !a.holds() })
+		waitUntil(t, "a knows", func() bool { return a.current() != old || !a.holds() })
 	})
 }
 
 // The row check alone, without any clock, keeps a superseded holder from writing.
-func TestCommitChecksTheRow(t *testing.T) {
+func TestCommitChecksLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		h := NewHolder(svc, Config{Pool: "chat", Zone: "a", Identity: Identity{Process: "old"}})
-		old, err := h.take(t.Context(), table.Row{}, Record{}, 0)
+		old, err := h.acquire(t.Context(), table.Row{}, Record{}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,7 @@
 		successor := NewHolder(svc, Config{Pool: "chat", Zone: "a", Identity: Identity{Process: "new"}})
 		rows, _ := svc.Get(t.Context(), Key("chat", "a"))
 		rec, _ := Decode(rows[0])
-		if _, err := successor.take(t.Context(), rows[0], rec, 0); err != nil {
+		if _, err := successor.acquire(t.Context(), rows[0], rec, 0); err != nil {
 			t.Fatal(err)
 		}
 		var lost *LostError
@@ -180,13 +180,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		a := start(t, svc, "a", 0)
-		until(t, "a leads", a.holds)
+		waitUntil(t, "a leads", a.holds)
 		b := start(t, svc, "b", 0)
 		time.Sleep(time.Minute)
 		before := a.current().Fence()
 		a.stop()
 		<-a.done
-		if wait := until(t, "b leads", b.holds); wait > DefaultPoll*3/2 {
+		if wait := waitUntil(t, "b leads", b.holds); wait > DefaultPoll*3/2 {
 			t.Errorf("hand-over took %v", wait)
 		}
 		if got := b.current().Fence(); got != before+1 {
@@ -201,10 +201,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		a := start(t, svc, "a", 0)
-		until(t, "a leads", a.holds)
+		waitUntil(t, "a leads", a.holds)
 		time.Sleep(time.Minute)
 		svc.SetDown(true)
-		wait := until(t, "a has lost it", func() bool { return !a.holds() })
+		wait := waitUntil(t, "a has lost it", func() bool { return !a.holds() })
 		if wait > DefaultTTL {
 			t.Errorf("authority lasted %v into the outage", wait)
 		}
@@ -215,13 +215,13 @@
 		}
 		time.Sleep(10 * time.Minute)
 		svc.SetDown(false)
-		until(t, "a leads again", a.holds)
+		waitUntil(t, "a leads again", a.holds)
 	})
 }
 
 // Every other answer is lost, and some writes come late: one holder at a time,
 // and a lease once taken is known to be held.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		calls := 0
@@ -256,7 +256,7 @@
 }
 
 // The load of one lease on the table stays within what the package states.
-func TestLoadOnTheTable(t *testing.T) {
+func TestTableLoad(t *testing.T) {
 	for _, tc := range []struct {
 		contenders    int
 		reads, writes float64 // a second
--- a/lease/record.go
+++ b/lease/record.go
@@ -60,7 +60,7 @@
 }
 
 // wroteBy tells whether row holds the value that the write id made.
-func wroteBy(row table.Row, id string) bool {
+func writtenBy(row table.Row, id string) bool {
 	if row.Version == table.Absent {
 		return false
 	}
--- a/lease/slow_test.go
+++ b/lease/slow_test.go
@@ -15,30 +15,30 @@
 // slowTable now and then takes slowWay for a call to come, or for its answer.
 type slowTable struct {
 	*memtable.Table
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-const slowWay = 3 * time.Second
+const networkDelay = 3 * time.Second
 
-func way() {
+func randomDelay() {
 	if rand.IntN(3) == 0 {
-		time.Sleep(slowWay)
+		time.Sleep(networkDelay)
 	}
 }
 
 func (s *slowTable) Get(ctx context.Context, keys ...table.Key) ([]table.Row, error) {
-	way()
-	defer way()
-	if s.cut.Load() {
+	randomDelay()
+	defer randomDelay()
+	if s.partitioned.Load() {
 		return nil, &table.UnavailableError{}
 	}
 	return s.Table.Get(ctx, keys...)
 }
 
 func (s *slowTable) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
-	way()
-	defer way()
-	if s.cut.Load() {
+	randomDelay()
+	defer randomDelay()
+	if s.partitioned.Load() {
 		return nil, &table.UnavailableError{}
 	}
 	return s.Table.Commit(ctx, txn)
@@ -55,7 +55,7 @@
 		contenders := []*contender{start(t, tables[0], "a", 0), start(t, tables[1], "b", 0)}
 		for range 400 {
 			holder := 0
-			until(t, "one leads", func() bool {
+			waitUntil(t, "one leads", func() bool {
 				if contenders[1].holds() {
 					holder = 1
 				}
@@ -65,14 +65,14 @@
 			if !contenders[holder].holds() {
 				continue
 			}
-			tables[holder].cut.Store(true)
-			until(t, "the other leads", func() bool {
+			tables[holder].partitioned.Store(true)
+			waitUntil(t, "the other leads", func() bool {
 				if contenders[0].holds() && contenders[1].holds() {
 					t.Fatal("two holders have authority")
 				}
 				return contenders[1-holder].holds()
 			})
-			tables[holder].cut.Store(false)
+			tables[holder].partitioned.Store(false)
 		}
 	})
 }
--- a/membership/client.go
+++ b/membership/client.go
@@ -71,39 +71,39 @@
 
 // VMs implements List.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
-	known, etag := c.last()
+	cachedVMs, etag := c.cached()
 	header := http.Header{}
 	if etag != "" {
 		header.Set("If-None-Match", etag)
 	}
-	a, err := c.sender.Call(ctx, http.MethodGet, c.url, header, nil)
+	response, err := c.sender.Call(ctx, http.MethodGet, c.url, header, nil)
 	switch {
 	case err != nil:
 		return nil, &UnavailableError{Cause: err}
-	case a.Status == http.StatusNotModified && etag != "":
-		return slices.Clone(known), nil
-	case a.Status != http.StatusOK:
-		return nil, &UnavailableError{Cause: &ResponseError{Status: a.Status}}
+	case response.Status == http.StatusNotModified && etag != "":
+		return slices.Clone(cachedVMs), nil
+	case response.Status != http.StatusOK:
+		return nil, &UnavailableError{Cause: &ResponseError{Status: response.Status}}
 	}
 	// A body that lacks the field must not pass for an empty list, which would
 	// declare every VM gone.
-	var answer struct {
+	var body struct {
 		VMs *[]VM `json:"vms"`
 	}
-	if err := json.Unmarshal(a.Body, &answer); err != nil || answer.VMs == nil {
-		return nil, &UnavailableError{Cause: &ResponseError{Status: a.Status, Cause: err}}
+	if err := json.Unmarshal(response.Body, &body); err != nil || body.VMs == nil {
+		return nil, &UnavailableError{Cause: &ResponseError{Status: response.Status, Cause: err}}
 	}
-	c.keep(*answer.VMs, a.Header.Get("ETag"))
-	return slices.Clone(*answer.VMs), nil
+	c.store(*body.VMs, response.Header.Get("ETag"))
+	return slices.Clone(*body.VMs), nil
 }
 
-func (c *Client) last() ([]VM, string) {
+func (c *Client) cached() ([]VM, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.vms, c.etag
 }
 
-func (c *Client) keep(vms []VM, etag string) {
+func (c *Client) store(vms []VM, etag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.vms = vms
--- a/membership/fakelist/fakelist.go
+++ b/membership/fakelist/fakelist.go
@@ -38,7 +38,7 @@
 	mu    sync.Mutex
 	lag   time.Duration
 	down  bool
-	slow  time.Duration
+	delay time.Duration
 	reads uint64
 	// states are the true lists in order; the last is the present one.
 	states []state
@@ -64,7 +64,7 @@
 	defer l.mu.Unlock()
 	byName := l.byName()
 	byName[vm.Name] = vm
-	l.push(inOrder(byName))
+	l.push(sortedByName(byName))
 }
 
 // Remove takes a VM off the list.
@@ -73,7 +73,7 @@
 	defer l.mu.Unlock()
 	byName := l.byName()
 	delete(byName, name)
-	l.push(inOrder(byName))
+	l.push(sortedByName(byName))
 }
 
 // SetLag sets how long a change takes to show.
@@ -94,7 +94,7 @@
 func (l *List) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slow = d
+	l.delay = d
 }
 
 // Reads returns how often the list was read.
@@ -114,10 +114,10 @@
 	if l.down {
 		return nil, &membership.UnavailableError{Cause: FaultError{}}
 	}
-	cut := time.Now().Add(-l.lag)
+	cutoff := time.Now().Add(-l.lag)
 	var vms []membership.VM
 	for _, s := range l.states {
-		if s.since.After(cut) {
+		if s.since.After(cutoff) {
 			break
 		}
 		vms = s.vms
@@ -129,9 +129,9 @@
 func (l *List) wait(ctx context.Context) error {
 	l.mu.Lock()
 	l.reads++
-	slow := l.slow
+	delay := l.delay
 	l.mu.Unlock()
-	if !loop.Sleep(ctx, slow) {
+	if !loop.Sleep(ctx, delay) {
 		return context.Cause(ctx)
 	}
 	return nil
@@ -157,7 +157,7 @@
 	return byName
 }
 
-func inOrder(byName map[string]membership.VM) []membership.VM {
+func sortedByName(byName map[string]membership.VM) []membership.VM {
 	byVMName := func(a, b membership.VM) int { return cmp.Compare(a.Name, b.Name) }
 	return slices.SortedFunc(maps.Values(byName), byVMName)
 }
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -19,7 +19,7 @@
 
 // maxGone bounds the names remembered as gone. A name forgotten counts as not
 // gone, which holds things up rather than letting them pass.
-const maxGone = 8192
+const maxRemoved = 8192
 
 // WatcherConfig says how often a Watcher polls. The zero value takes the defaults.
 type WatcherConfig struct {
@@ -56,24 +56,24 @@
 
 	mu       sync.RWMutex
 	snapshot Snapshot
-	gone     map[string]bool
+	removed  map[string]bool
 	// goneOrder holds the keys of gone, oldest first.
-	goneOrder []string
-	changed   chan struct{}
+	removedOrder []string
+	changed      chan struct{}
 }
 
 // NewWatcher returns a Watcher of list. It knows nothing until Poll or Run.
-func NewWatcher(list List, c WatcherConfig) *Watcher {
-	if c.Interval <= 0 {
-		c.Interval = DefaultInterval
+func NewWatcher(list List, config WatcherConfig) *Watcher {
+	if config.Interval <= 0 {
+		config.Interval = DefaultInterval
 	}
-	if c.Timeout <= 0 {
-		c.Timeout = DefaultTimeout
+	if config.Timeout <= 0 {
+		config.Timeout = DefaultTimeout
 	}
 	return &Watcher{
 		list:    list,
-		config:  c,
-		gone:    make(map[string]bool),
+		config:  config,
+		removed: make(map[string]bool),
 		changed: make(chan struct{}),
 	}
 }
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	w.take(vms, readAt)
+	w.update(vms, readAt)
 	return nil
 }
 
@@ -122,7 +122,7 @@
 func (w *Watcher) Removed(name string) bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	return w.gone[name]
+	return w.removed[name]
 }
 
 // Changed returns a channel that is closed at the next change of the list.
@@ -133,29 +133,29 @@
 }
 
 // take makes vms the last list.
-func (w *Watcher) take(vms []VM, readAt time.Time) {
+func (w *Watcher) update(vms []VM, readAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.snapshot.ReadAt.After(readAt) {
 		return // A slower read, overtaken by a later one.
 	}
 	old := byName(w.snapshot.VMs)
-	kept := make([]VM, 0, len(vms))
+	current := make([]VM, 0, len(vms))
 	changed := !w.snapshot.Loaded()
 	for _, vm := range vms {
-		if w.gone[vm.Name] {
+		if w.removed[vm.Name] {
 			continue
 		}
-		kept = append(kept, vm)
-		was, ok := old[vm.Name]
-		changed = changed || !ok || was != vm
+		current = append(current, vm)
+		previous, ok := old[vm.Name]
+		changed = changed || !ok || previous != vm
 		delete(old, vm.Name)
 	}
 	for name := range old {
-		w.drop(name)
+		w.markRemoved(name)
 		changed = true
 	}
-	w.snapshot = Snapshot{VMs: kept, ReadAt: readAt}
+	w.snapshot = Snapshot{VMs: current, ReadAt: readAt}
 	if changed {
 		close(w.changed)
 		w.changed = make(chan struct{})
@@ -163,20 +163,20 @@
 }
 
 // drop remembers that a VM is gone, with w.mu held.
-func (w *Watcher) drop(name string) {
+func (w *Watcher) markRemoved(name string) {
 	klog.Infof("membership: VM %s is gone", name)
-	w.gone[name] = true
-	w.goneOrder = append(w.goneOrder, name)
-	if len(w.goneOrder) > maxGone {
-		delete(w.gone, w.goneOrder[0])
-		w.goneOrder = w.goneOrder[1:]
+	w.removed[name] = true
+	w.removedOrder = append(w.removedOrder, name)
+	if len(w.removedOrder) > maxRemoved {
+		delete(w.removed, w.removedOrder[0])
+		w.removedOrder = w.removedOrder[1:]
 	}
 }
 
 func byName(vms []VM) map[string]VM {
-	out := make(map[string]VM, len(vms))
+	vmsByName := make(map[string]VM, len(vms))
 	for _, vm := range vms {
-		out[vm.Name] = vm
+		vmsByName[vm.Name] = vm
 	}
-	return out
+	return vmsByName
 }
--- a/membership/watcher_test.go
+++ b/membership/watcher_test.go
@@ -33,22 +33,22 @@
 	leaving := vm("b")
 	leaving.Leaving = true
 	steps := []struct {
-		name string
-		list []membership.VM
-		down bool
-		want string
-		gone string
+		name    string
+		list    []membership.VM
+		down    bool
+		want    string
+		removed string
 		// quiet is set when the change must not be announced.
-		quiet bool
+		unsignalled bool
 	}{
-		{name: "down at first", down: true, quiet: true},
+		{name: "down at first", down: true, unsignalled: true},
 		{name: "first list", list: []membership.VM{vm("a"), vm("b")}, want: "ab"},
-		{name: "unchanged", list: []membership.VM{vm("a"), vm("b")}, want: "ab", quiet: true},
+		{name: "unchanged", list: []membership.VM{vm("a"), vm("b")}, want: "ab", unsignalled: true},
 		{name: "leaving", list: []membership.VM{vm("a"), leaving}, want: "ab!"},
-		{name: "down", list: []membership.VM{vm("a")}, down: true, want: "ab!", quiet: true},
-		{name: "dropped, one new", list: []membership.VM{vm("a"), vm("c")}, want: "ac", gone: "b"},
-		{name: "older copy", list: []membership.VM{vm("a"), leaving, vm("c")}, want: "ac", gone: "b", quiet: true},
-		{name: "emptied", want: "", gone: "abc"},
+		{name: "down", list: []membership.VM{vm("a")}, down: true, want: "ab!", unsignalled: true},
+		{name: "dropped, one new", list: []membership.VM{vm("a"), vm("c")}, want: "ac", removed: "b"},
+		{name: "older copy", list: []membership.VM{vm("a"), leaving, vm("c")}, want: "ac", removed: "b", unsignalled: true},
+		{name: "emptied", want: "", removed: "abc"},
 	}
 	synctest.Test(t, func(t *testing.T) {
 		list := fakelist.New()
@@ -63,22 +63,22 @@
 			if diff := cmp.Diff(s.want, names(w.Snapshot())); diff != "" {
 				t.Errorf("%s: %s", s.name, diff)
 			}
-			gone := ""
+			removed := ""
 			for _, name := range []string{"a", "b", "c", "never"} {
 				if w.Removed(name) {
-					gone += name
+					removed += name
 				}
 			}
-			if diff := cmp.Diff(s.gone, gone); diff != "" {
+			if diff := cmp.Diff(s.removed, removed); diff != "" {
 				t.Errorf("%s: gone: %s", s.name, diff)
 			}
 			select {
 			case <-changed:
-				if s.quiet {
+				if s.unsignalled {
 					t.Errorf("%s: announced", s.name)
 				}
 			default:
-				if !s.quiet {
+				if !s.unsignalled {
 					t.Errorf("%s: not announced", s.name)
 				}
 			}
@@ -97,10 +97,10 @@
 			t.Error("known before the first read")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
 			w.Run(ctx)
-			close(ended)
+			close(done)
 		}()
 		list.Put(vm("b"))
 		time.Sleep(4 * time.Second)
@@ -126,12 +126,12 @@
 			t.Errorf("after: %q, age %v", names(s), s.Age(time.Now()))
 		}
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
 // TestGoneIsBounded drops more VMs than are remembered.
-func TestGoneIsBounded(t *testing.T) {
+func TestRemovedNamesAreBounded(t *testing.T) {
 	const n = 9000
 	list := fakelist.New()
 	w := membership.NewWatcher(list, membership.WatcherConfig{})
--- a/table/batcher.go
+++ b/table/batcher.go
@@ -51,12 +51,12 @@
 	config BatcherConfig
 
 	// mu guards the fields below. It is not held during a commit.
-	mu      sync.Mutex
-	waiting []*pending
+	mu    sync.Mutex
+	queue []*pending
 	// busy counts the lanes that run. At most one of them is pacing: it sleeps
 	// until the next commit may start and then takes a group. Invariant: while
 	// anything waits, a lane is pacing or all lanes are committing.
-	busy   int
+	active int
 	pacing bool
 	// nextStart is when the next commit may start.
 	nextStart time.Time
@@ -111,7 +111,7 @@
 		return p.versions, p.err
 	case <-ctx.Done():
 	}
-	if b.takeBack(p) {
+	if b.withdraw(p) {
 		return nil, &UnavailableError{Cause: context.Cause(ctx)}
 	}
 	return nil, &UnknownError{Cause: context.Cause(ctx)}
@@ -124,44 +124,44 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting) >= b.config.MaxPending {
-		return &UnavailableError{Cause: &QueueFullError{Pending: len(b.waiting)}}
+	if len(b.queue) >= b.config.MaxPending {
+		return &UnavailableError{Cause: &QueueFullError{Pending: len(b.queue)}}
 	}
-	b.waiting = append(b.waiting, p)
-	b.startLane()
+	b.queue = append(b.queue, p)
+	b.startWorker()
 	return nil
 }
 
 // takeBack removes p from the waiting; it returns false when p has left.
-func (b *Batcher) takeBack(p *pending) bool {
+func (b *Batcher) withdraw(p *pending) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i := slices.Index(b.waiting, p)
+	i := slices.Index(b.queue, p)
 	if i < 0 {
 		return false
 	}
-	b.waiting = slices.Delete(b.waiting, i, i+1)
+	b.queue = slices.Delete(b.queue, i, i+1)
 	return true
 }
 
 // startLane starts a lane if one is needed and free, with b.mu held.
-func (b *Batcher) startLane() {
-	if len(b.waiting) == 0 || b.pacing || b.busy >= b.config.MaxConcurrent {
+func (b *Batcher) startWorker() {
+	if len(b.queue) == 0 || b.pacing || b.active >= b.config.MaxConcurrent {
 		return
 	}
-	b.busy++
+	b.active++
 	b.pacing = true
-	go b.lane()
+	go b.work()
 }
 
 // lane commits groups until nothing waits or another lane sees to it.
-func (b *Batcher) lane() {
+func (b *Batcher) work() {
 	for {
 		time.Sleep(b.delay())
-		if group := b.next(); len(group) > 0 {
+		if group := b.nextGroup(); len(group) > 0 {
 			b.commitGroup(group)
 		}
-		if !b.again() {
+		if !b.continueWorking() {
 			return
 		}
 	}
@@ -175,11 +175,11 @@
 }
 
 // again makes a lane that has committed the pacing one, or ends it.
-func (b *Batcher) again() bool {
+func (b *Batcher) continueWorking() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting) == 0 || b.pacing {
-		b.busy--
+	if len(b.queue) == 0 || b.pacing {
+		b.active--
 		return false
 	}
 	b.pacing = true
@@ -188,47 +188,47 @@
 
 // next takes the next group off the waiting, if any is left, and ends the
 // pacing. What does not go together with the group is another lane's.
-func (b *Batcher) next() []*pending {
+func (b *Batcher) nextGroup() []*pending {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pacing = false
-	group, rest := split(b.waiting)
-	b.waiting = rest
+	group, rest := selectGroup(b.queue)
+	b.queue = rest
 	if len(group) > 0 {
 		b.nextStart = time.Now().Add(b.config.Interval)
 	}
-	b.startLane()
+	b.startWorker()
 	return group
 }
 
 // split picks, oldest first, transactions that share no row and stay within the
 // limits of one.
-func split(waiting []*pending) (group, rest []*pending) {
-	taken := make(map[Key]bool)
+func selectGroup(queue []*pending) (group, rest []*pending) {
+	used := make(map[Key]bool)
 	rows, bytes := 0, 0
-	for _, p := range waiting {
+	for _, p := range queue {
 		fits := rows+p.txn.rows() <= MaxTxnRows && bytes+p.txn.bytes() <= MaxTxnBytes
-		if !fits || touches(p.txn, taken) {
+		if !fits || sharesRow(p.txn, used) {
 			rest = append(rest, p)
 			continue
 		}
 		rows += p.txn.rows()
 		bytes += p.txn.bytes()
-		take(p.txn, taken)
+		addRows(p.txn, used)
 		group = append(group, p)
 	}
 	return group, rest
 }
 
 // touches tells whether txn touches a row in taken.
-func touches(txn Txn, taken map[Key]bool) bool {
+func sharesRow(txn Txn, used map[Key]bool) bool {
 	for _, c := range txn.Checks {
-		if taken[c.Key] {
+		if used[c.Key] {
 			return true
 		}
 	}
 	for _, w := range txn.Writes {
-		if taken[w.Key] {
+		if used[w.Key] {
 			return true
 		}
 	}
@@ -236,18 +236,18 @@
 }
 
 // take adds the rows of txn to taken.
-func take(txn Txn, taken map[Key]bool) {
+func addRows(txn Txn, used map[Key]bool) {
 	for _, c := range txn.Checks {
-		taken[c.Key] = true
+		used[c.Key] = true
 	}
 	for _, w := range txn.Writes {
-		taken[w.Key] = true
+		used[w.Key] = true
 	}
 }
 
 // commitGroup commits a group and gives each waiter its own result.
 func (b *Batcher) commitGroup(group []*pending) {
-	versions, err := b.commit(joined(group))
+	versions, err := b.commit(merge(group))
 	var conflict *ConflictError
 	if len(group) > 1 && errors.As(err, &conflict) {
 		b.commitSingly(group)
@@ -285,7 +285,7 @@
 }
 
 // joined is one transaction that does what those of the group do.
-func joined(group []*pending) Txn {
+func merge(group []*pending) Txn {
 	if len(group) == 1 {
 		return group[0].txn
 	}
--- a/table/batcher_test.go
+++ b/table/batcher_test.go
@@ -25,7 +25,7 @@
 }
 
 // onlyAt is a version that holds for no absent row when i is at, and Absent otherwise.
-func onlyAt(i, at int) table.Version {
+func mismatchAt(i, at int) table.Version {
 	if i == at {
 		return 1
 	}
@@ -51,24 +51,24 @@
 	tests := []struct {
 		name string
 		// row names the row of the i-th transaction; version is what it checks.
-		row     func(i int) string
-		version func(i int) table.Version
-		lanes   int
-		wantWon int
+		row           func(i int) string
+		version       func(i int) table.Version
+		concurrency   int
+		wantSucceeded int
 		// maxCommits allows for the lane having left before the others came.
 		maxCommits uint64
 	}{
-		{name: "independent", row: func(i int) string { return fmt.Sprint(i) }, lanes: 1, wantWon: n, maxCommits: 2},
-		{name: "one conflict", row: func(i int) string { return fmt.Sprint(i) }, lanes: 1,
-			version: func(i int) table.Version { return onlyAt(i, n/2) }, wantWon: n - 1, maxCommits: n + 2},
-		{name: "all on one row", row: func(int) string { return "x" }, lanes: 4, wantWon: 1, maxCommits: n},
+		{name: "independent", row: func(i int) string { return fmt.Sprint(i) }, concurrency: 1, wantSucceeded: n, maxCommits: 2},
+		{name: "one conflict", row: func(i int) string { return fmt.Sprint(i) }, concurrency: 1,
+			version: func(i int) table.Version { return mismatchAt(i, n/2) }, wantSucceeded: n - 1, maxCommits: n + 2},
+		{name: "all on one row", row: func(int) string { return "x" }, concurrency: 4, wantSucceeded: 1, maxCommits: n},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := memtable.New()
 				m.SetFault(memtable.Fault{Delay: 5 * time.Millisecond})
-				s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: tt.lanes})
+				s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: tt.concurrency})
 				var txns []table.Txn
 				for i := range n {
 					version := table.Absent
@@ -77,17 +77,17 @@
 					}
 					txns = append(txns, guarded(tt.row(i), fmt.Sprint(i), version))
 				}
-				won := 0
+				succeeded := 0
 				for i, r := range commitAll(t.Context(), s, txns) {
 					if r.Reason == "" {
-						won++
-						checkWinner(t, m, r, txns[i])
+						succeeded++
+						checkWritten(t, m, r, txns[i])
 					} else if r.Reason != failure.TableConflict {
 						t.Errorf("transaction %d: %v", i, r)
 					}
 				}
-				if won != tt.wantWon {
-					t.Errorf("%d won, want %d", won, tt.wantWon)
+				if succeeded != tt.wantSucceeded {
+					t.Errorf("%d won, want %d", succeeded, tt.wantSucceeded)
 				}
 				if got := m.Counts().Commits; got > tt.maxCommits {
 					t.Errorf("%d commits, want %d at most", got, tt.maxCommits)
@@ -98,7 +98,7 @@
 }
 
 // checkWinner checks that the row holds what txn wrote, at the version answered.
-func checkWinner(t *testing.T, m *memtable.Table, r result, txn table.Txn) {
+func checkWritten(t *testing.T, m *memtable.Table, r result, txn table.Txn) {
 	t.Helper()
 	w := txn.Writes[0]
 	rows, err := m.Get(t.Context(), w.Key)
@@ -113,7 +113,7 @@
 
 // TestBatcherGivesUp ends the context of one transaction that has left and of
 // one that still waits behind it.
-func TestBatcherGivesUp(t *testing.T) {
+func TestBatcherCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
 		m.SetFault(memtable.Fault{Delay: time.Second})
@@ -181,7 +181,7 @@
 
 // TestBatcherPassesOnDoubt loses the answer of a group: nobody may be told more
 // than is known.
-func TestBatcherPassesOnDoubt(t *testing.T) {
+func TestBatcherReportsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for fault, want := range map[memtable.Fault]failure.Reason{
 			{Delay: time.Second, LoseResponse: true}: failure.TableUnknown,
--- a/table/client.go
+++ b/table/client.go
@@ -64,13 +64,13 @@
 
 // read sends a read. Whatever goes wrong, a read had no effect.
 func (c *Client) read(ctx context.Context, path string, request any) ([]Row, error) {
-	var answer RowsResponse
-	err := c.call(ctx, path, request, &answer)
+	var response RowsResponse
+	err := c.call(ctx, path, request, &response)
 	var unknown *UnknownError
 	if errors.As(err, &unknown) {
 		err = &UnavailableError{Cause: unknown.Cause}
 	}
-	return answer.Rows, err
+	return response.Rows, err
 }
 
 // Commit implements Service.
@@ -78,52 +78,52 @@
 	if err := txn.Validate(); err != nil {
 		return nil, err
 	}
-	var answer CommitResponse
-	if err := c.call(ctx, CommitPath, txn, &answer); err != nil {
+	var response CommitResponse
+	if err := c.call(ctx, CommitPath, txn, &response); err != nil {
 		return nil, err
 	}
-	if len(answer.Versions) != len(txn.Writes) {
+	if len(response.Versions) != len(txn.Writes) {
 		return nil, &UnknownError{Cause: &ResponseError{Status: http.StatusOK}}
 	}
-	return answer.Versions, nil
+	return response.Versions, nil
 }
 
 // call sends one request and decodes its answer. Every error but an explicit
 // refusal counts as unknown once anything may have been sent.
-func (c *Client) call(ctx context.Context, path string, request, answer any) error {
+func (c *Client) call(ctx context.Context, path string, request, out any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return &InvalidError{Problem: err.Error()}
 	}
-	a, err := c.sender.Call(ctx, http.MethodPost, c.base+path, nil, body)
-	var failed *httponce.Error
+	response, err := c.sender.Call(ctx, http.MethodPost, c.base+path, nil, body)
+	var sendErr *httponce.Error
 	switch {
-	case errors.As(err, &failed) && !failed.Sent:
+	case errors.As(err, &sendErr) && !sendErr.Sent:
 		return &UnavailableError{Cause: err}
 	case err != nil:
 		return &UnknownError{Cause: err}
-	case a.Status != http.StatusOK:
-		return refusal(a)
+	case response.Status != http.StatusOK:
+		return errorOf(response)
 	}
-	if err := json.Unmarshal(a.Body, answer); err != nil {
-		return &UnknownError{Cause: &ResponseError{Status: a.Status, Cause: err}}
+	if err := json.Unmarshal(response.Body, out); err != nil {
+		return &UnknownError{Cause: &ResponseError{Status: response.Status, Cause: err}}
 	}
 	return nil
 }
 
 // refusal turns an answer other than 200 into an error.
-func refusal(a *httponce.Answer) error {
+func errorOf(response *httponce.Answer) error {
 	var r ErrorResponse
-	if err := json.Unmarshal(a.Body, &r); err != nil {
-		return &UnknownError{Cause: &ResponseError{Status: a.Status, Cause: err}}
+	if err := json.Unmarshal(response.Body, &r); err != nil {
+		return &UnknownError{Cause: &ResponseError{Status: response.Status, Cause: err}}
 	}
 	switch {
-	case a.Status == http.StatusConflict && r.Conflict != nil:
+	case response.Status == http.StatusConflict && r.Conflict != nil:
 		return r.Conflict
-	case a.Status == http.StatusBadRequest && r.Problem != "":
+	case response.Status == http.StatusBadRequest && r.Problem != "":
 		return &InvalidError{Problem: r.Problem}
-	case a.Status == http.StatusServiceUnavailable && r.Problem != "":
-		return &UnavailableError{Cause: &ResponseError{Status: a.Status}}
+	case response.Status == http.StatusServiceUnavailable && r.Problem != "":
+		return &UnavailableError{Cause: &ResponseError{Status: response.Status}}
 	}
-	return &UnknownError{Cause: &ResponseError{Status: a.Status}}
+	return &UnknownError{Cause: &ResponseError{Status: response.Status}}
 }
--- a/table/follow.go
+++ b/table/follow.go
@@ -40,7 +40,7 @@
 	// Wait is how long a question waits for a change; zero takes DefaultFeedWait.
 	Wait time.Duration
 	// OnList takes the whole table.
-	OnList func(rows []Row, l Listing)
+	OnList func(rows []Row, listing Listing)
 	// OnChanges takes changes; there may be none.
 	OnChanges func(changes []Change, afterOutage bool)
 	// OnResponse, which may be nil, is called after OnList or OnChanges has taken in an answer.
@@ -50,8 +50,8 @@
 	OnUnavailable func(err error)
 	OnRecovered   func(away time.Duration)
 
-	lost  bool
-	since time.Time
+	unavailable  bool
+	lastResponse time.Time
 	// failures counts the questions that failed one after the other.
 	failures int
 	// epoch is that of the last listing.
@@ -63,57 +63,57 @@
 	if f.Wait == 0 {
 		f.Wait = DefaultFeedWait
 	}
-	f.since = clock.Now()
+	f.lastResponse = clock.Now()
 	listed := false
 	for ctx.Err() == nil {
-		rows, at, err := f.Feed.List(ctx, f.Table)
+		rows, version, err := f.Feed.List(ctx, f.Table)
 		if err != nil {
-			f.failed(ctx, err)
+			f.handleError(ctx, err)
 			continue
 		}
-		l := Listing{AfterOutage: f.answered(), NewEpoch: listed && at.Epoch() > f.epoch}
-		listed, f.epoch = true, at.Epoch()
-		f.OnList(rows, l)
-		f.taken()
-		f.follow(ctx, at)
+		listing := Listing{AfterOutage: f.handleResponse(), NewEpoch: listed && version.Epoch() > f.epoch}
+		listed, f.epoch = true, version.Epoch()
+		f.OnList(rows, listing)
+		f.notifyResponse()
+		f.follow(ctx, version)
 	}
 }
 
 // follow asks for changes until they are no longer kept.
-func (f *Follower) follow(ctx context.Context, at Version) {
-	var gone *HistoryGoneError
+func (f *Follower) follow(ctx context.Context, version Version) {
+	var historyGone *HistoryGoneError
 	for ctx.Err() == nil {
 		wait := f.Wait
-		if f.lost {
+		if f.unavailable {
 			wait = 0 // the first answer must not mix in what happens after the outage
 		}
-		changes, next, err := f.Feed.Changes(ctx, f.Table, at, wait)
+		changes, next, err := f.Feed.Changes(ctx, f.Table, version, wait)
 		switch {
-		case errors.As(err, &gone):
+		case errors.As(err, &historyGone):
 			return
 		case err != nil:
-			f.failed(ctx, err)
+			f.handleError(ctx, err)
 		default:
-			f.OnChanges(changes, f.answered())
-			f.taken()
-			at = max(at, next)
+			f.OnChanges(changes, f.handleResponse())
+			f.notifyResponse()
+			version = max(version, next)
 		}
 	}
 }
 
-func (f *Follower) taken() {
+func (f *Follower) notifyResponse() {
 	if f.OnResponse != nil {
 		f.OnResponse()
 	}
 }
 
 // failed notes a question without an answer and pauses.
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) handleError(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !f.lost {
-		f.lost = true
+	if !f.unavailable {
+		f.unavailable = true
 		if f.OnUnavailable != nil {
 			f.OnUnavailable(err)
 		}
@@ -124,12 +124,12 @@
 }
 
 // answered notes an answer and tells whether it is the first after an outage.
-func (f *Follower) answered() (afterOutage bool) {
+func (f *Follower) handleResponse() (afterOutage bool) {
 	now := clock.Now()
-	afterOutage = f.lost
-	if f.lost && f.OnRecovered != nil {
-		f.OnRecovered(now.Sub(f.since))
+	afterOutage = f.unavailable
+	if f.unavailable && f.OnRecovered != nil {
+		f.OnRecovered(now.Sub(f.lastResponse))
 	}
-	f.lost, f.failures, f.since = false, 0, now
+	f.unavailable, f.failures, f.lastResponse = false, 0, now
 	return afterOutage
 }
--- a/table/memtable/copy.go
+++ b/table/memtable/backup.go
@@ -10,14 +10,14 @@
 // Backup is what a Table held at a moment.
 type Backup struct {
 	tables  map[string]*rows
-	written table.Version
+	version table.Version
 }
 
 // Backup returns what the table service holds now.
 func (t *Table) Backup() Backup {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Backup{tables: cloned(t.tables), written: t.written}
+	return Backup{tables: cloneTables(t.tables), version: t.version}
 }
 
 // Restore puts a copy in the place of what the table service holds and begins a new epoch: what was
@@ -27,14 +27,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.epoch++
-	before := t.tables
-	t.tables = cloned(c.tables)
-	t.written = t.inEpoch(c.written)
+	old := t.tables
+	t.tables = cloneTables(c.tables)
+	t.version = t.inEpoch(c.version)
 	for _, r := range t.tables {
 		t.renumber(r)
 	}
-	for name, r := range before {
-		t.of(name)
+	for name, r := range old {
+		t.tableOf(name)
 		close(r.changed)
 	}
 }
@@ -48,11 +48,11 @@
 
 // inEpoch is the version of a copy's number in the present epoch.
 func (t *Table) inEpoch(v table.Version) table.Version {
-	now, err := table.NewVersion(t.epoch, v.Number())
+	version, err := table.NewVersion(t.epoch, v.Number())
 	if err != nil {
 		panic(err) // more epochs than a test has
 	}
-	return now
+	return version
 }
 
 // renumber gives the rows of a copy, and what followers go by, versions of the present epoch.
@@ -62,16 +62,16 @@
 		r.byName[name] = row
 	}
 	r.floor = t.inEpoch(r.floor)
-	r.dropped = t.written // no history is older than the epoch
+	r.trimmedAt = t.version // no history is older than the epoch
 	r.log = nil
 }
 
-func cloned(tables map[string]*rows) map[string]*rows {
+func cloneTables(tables map[string]*rows) map[string]*rows {
 	out := make(map[string]*rows, len(tables))
 	for name, r := range tables {
 		out[name] = &rows{
 			byName: maps.Clone(r.byName), names: slices.Clone(r.names), floor: r.floor,
-			log: slices.Clone(r.log), changed: make(chan struct{}), dropped: r.dropped,
+			log: slices.Clone(r.log), changed: make(chan struct{}), trimmedAt: r.trimmedAt,
 		}
 	}
 	return out
--- a/table/memtable/copy_test.go
+++ b/table/memtable/backup_test.go
@@ -11,25 +11,25 @@
 
 // What was written since the copy is gone, its numbers are given out again, and no condition and no
 // follower takes the one for the other.
-func TestComesBackFromACopy(t *testing.T) {
+func TestRestore(t *testing.T) {
 	m := New()
 	first := mustCommit(t, m, table.Txn{Writes: []table.Write{put("a", "old")}})[0]
-	c := m.Backup()
+	backup := m.Backup()
 	lost := mustCommit(t, m, table.Txn{Writes: []table.Write{put("a", "lost")}})[0]
 	mustCommit(t, m, table.Txn{Writes: []table.Write{put("b", "lost")}})
-	_, at, err := m.List(t.Context(), "t")
+	_, version, err := m.List(t.Context(), "t")
 	if err != nil {
 		t.Fatal(err)
 	}
 	waiting := make(chan error, 1)
 	go func() {
-		_, _, err := m.Changes(context.Background(), "t", at, time.Minute)
+		_, _, err := m.Changes(context.Background(), "t", version, time.Minute)
 		waiting <- err
 	}()
 	time.Sleep(10 * time.Millisecond)
-	m.Restore(c)
-	var gone *table.HistoryGoneError
-	if err := <-waiting; !errors.As(err, &gone) {
+	m.Restore(backup)
+	var historyGone *table.HistoryGoneError
+	if err := <-waiting; !errors.As(err, &historyGone) {
 		t.Errorf("who waited was told %v", err)
 	}
 	rows, err := m.Get(t.Context(), key("a"), key("b"))
@@ -47,15 +47,15 @@
 			t.Errorf("a condition on %v: %v", old, err)
 		}
 	}
-	if _, _, err := m.Changes(t.Context(), "t", at, 0); !errors.As(err, &gone) {
-		t.Errorf("changes after %v: %v", at, err)
+	if _, _, err := m.Changes(t.Context(), "t", version, 0); !errors.As(err, &historyGone) {
+		t.Errorf("changes after %v: %v", version, err)
 	}
-	rows, at, err = m.List(t.Context(), "t")
-	if err != nil || len(rows) != 1 || at.Epoch() != 1 {
-		t.Errorf("%v at %v, %v", rows, at, err)
+	rows, version, err = m.List(t.Context(), "t")
+	if err != nil || len(rows) != 1 || version.Epoch() != 1 {
+		t.Errorf("%v at %v, %v", rows, version, err)
 	}
 	mustCommit(t, m, table.Txn{Writes: []table.Write{put("c", "new")}})
-	if changes, _, err := m.Changes(t.Context(), "t", at, 0); err != nil || len(changes) != 1 {
+	if changes, _, err := m.Changes(t.Context(), "t", version, 0); err != nil || len(changes) != 1 {
 		t.Errorf("changes %v, %v", changes, err)
 	}
 }
--- a/table/memtable/faults.go
+++ b/table/memtable/faults.go
@@ -105,7 +105,7 @@
 }
 
 // before counts a call and applies the faults that come before its effect.
-func (t *Table) before(ctx context.Context, c Call) (Fault, error) {
+func (t *Table) beginCall(ctx context.Context, c Call) (Fault, error) {
 	f, hook := t.count(c.Op)
 	if ctx.Err() != nil {
 		return f, &table.UnavailableError{Cause: context.Cause(ctx)}
@@ -114,11 +114,11 @@
 		f = merge(f, hook(c))
 	}
 	if f.Delay > 0 && !loop.Sleep(ctx, f.Delay) {
-		return f, giveUp(c.Op, context.Cause(ctx))
+		return f, cancelledError(c.Op, context.Cause(ctx))
 	}
 	if f.Hang {
 		<-ctx.Done()
-		return f, giveUp(c.Op, context.Cause(ctx))
+		return f, cancelledError(c.Op, context.Cause(ctx))
 	}
 	// An outage that began while the call waited hits it too.
 	if f.Fail || t.down() {
@@ -130,8 +130,8 @@
 	return f, nil
 }
 
-func (t *Table) beforeRead(ctx context.Context, c Call) error {
-	_, err := t.before(ctx, c)
+func (t *Table) beginRead(ctx context.Context, c Call) error {
+	_, err := t.beginCall(ctx, c)
 	return err
 }
 
@@ -169,7 +169,7 @@
 
 // giveUp is the error of a call whose caller went away while it waited. A real
 // client could not know that a write had no effect, so neither may this one.
-func giveUp(op Op, cause error) error {
+func cancelledError(op Op, cause error) error {
 	if op == OpCommit {
 		return &table.UnknownError{Cause: cause}
 	}
--- a/table/memtable/feed.go
+++ b/table/memtable/feed.go
@@ -14,17 +14,17 @@
 const maxLog = 1000
 
 // logged is a change, and the version after it that followers go by.
-type logged struct {
+type logEntry struct {
 	change  table.Change
 	version table.Version
 }
 
 // note logs a change and wakes who waits for one, with the table's lock held.
-func (r *rows) note(version table.Version, c table.Change) {
-	r.log = append(r.log, logged{change: c, version: version})
-	if over := len(r.log) - maxLog; over > 0 {
-		r.dropped = r.log[over-1].version
-		r.log = slices.Clone(r.log[over:])
+func (r *rows) logChange(version table.Version, c table.Change) {
+	r.log = append(r.log, logEntry{change: c, version: version})
+	if excess := len(r.log) - maxLog; excess > 0 {
+		r.trimmedAt = r.log[excess-1].version
+		r.log = slices.Clone(r.log[excess:])
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -32,29 +32,29 @@
 
 // List implements table.Feed.
 func (t *Table) List(ctx context.Context, name string) ([]table.Row, table.Version, error) {
-	if err := t.beforeRead(ctx, Call{Op: OpScan, Keys: []table.Key{{Table: name}}}); err != nil {
+	if err := t.beginRead(ctx, Call{Op: OpScan, Keys: []table.Key{{Table: name}}}); err != nil {
 		return nil, 0, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.of(name)
+	r := t.tableOf(name)
 	list := make([]table.Row, 0, len(r.names))
 	for _, n := range r.names {
 		list = append(list, copyRow(r.byName[n]))
 	}
 	t.counts.RowsRead += uint64(len(list))
-	return list, t.written, nil
+	return list, t.version, nil
 }
 
 // Changes implements table.Feed.
 func (t *Table) Changes(ctx context.Context, name string, after table.Version, wait time.Duration) ([]table.Change, table.Version, error) {
-	if err := t.beforeRead(ctx, Call{Op: OpScan, Keys: []table.Key{{Table: name}}}); err != nil {
+	if err := t.beginRead(ctx, Call{Op: OpScan, Keys: []table.Key{{Table: name}}}); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changes, version, changed, err := t.since(name, after)
+		changes, version, changed, err := t.changesSince(name, after)
 		if err != nil || len(changes) > 0 {
 			return changes, version, err
 		}
@@ -69,18 +69,18 @@
 }
 
 // since returns the changes after a version, and what is closed at the next one.
-func (t *Table) since(name string, after table.Version) ([]table.Change, table.Version, <-chan struct{}, error) {
+func (t *Table) changesSince(name string, after table.Version) ([]table.Change, table.Version, <-chan struct{}, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.of(name)
-	if after < r.dropped {
+	r := t.tableOf(name)
+	if after < r.trimmedAt {
 		return nil, 0, nil, &table.HistoryGoneError{Table: name, After: after}
 	}
 	var changes []table.Change
-	for _, l := range r.log {
-		if l.version > after {
-			changes = append(changes, l.change)
+	for _, entry := range r.log {
+		if entry.version > after {
+			changes = append(changes, entry.change)
 		}
 	}
-	return changes, t.written, r.changed, nil
+	return changes, t.version, r.changed, nil
 }
--- a/table/memtable/memtable.go
+++ b/table/memtable/memtable.go
@@ -24,7 +24,7 @@
 	faults faults
 	counts Counts
 	// written counts the writes of all rows: the version that followers go by.
-	written table.Version
+	version table.Version
 	// epoch counts how often it has come back from a copy.
 	epoch uint64
 }
@@ -41,9 +41,9 @@
 	floor table.Version
 	// log holds the changes of the table, the newest maxLog of them, and changed is
 	// closed at the next. dropped is the version of the newest one that it lacks.
-	log     []logged
-	changed chan struct{}
-	dropped table.Version
+	log       []logEntry
+	changed   chan struct{}
+	trimmedAt table.Version
 }
 
 // New returns an empty table service.
@@ -56,7 +56,7 @@
 	if err := table.ValidateKeys(keys); err != nil {
 		return nil, err
 	}
-	if err := t.beforeRead(ctx, Call{Op: OpGet, Keys: keys}); err != nil {
+	if err := t.beginRead(ctx, Call{Op: OpGet, Keys: keys}); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -74,7 +74,7 @@
 	if limit <= 0 || limit > table.MaxGetRows {
 		limit = table.MaxGetRows
 	}
-	if err := t.beforeRead(ctx, Call{Op: OpScan, Keys: []table.Key{{Table: name, Row: prefix}}}); err != nil {
+	if err := t.beginRead(ctx, Call{Op: OpScan, Keys: []table.Key{{Table: name, Row: prefix}}}); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -102,7 +102,7 @@
 	if err := txn.Validate(); err != nil {
 		return nil, err
 	}
-	f, err := t.before(ctx, Call{Op: OpCommit, Txn: txn})
+	f, err := t.beginCall(ctx, Call{Op: OpCommit, Txn: txn})
 	if err != nil {
 		return nil, err
 	}
@@ -148,23 +148,23 @@
 
 // write writes one row, with t.mu held.
 func (t *Table) write(w table.Write) table.Version {
-	r := t.of(w.Key.Table)
-	t.written++
+	r := t.tableOf(w.Key.Table)
+	t.version++
 	if w.Delete {
 		r.remove(w.Key.Row)
-		r.note(t.written, table.Change{Row: table.Row{Key: w.Key}, Deleted: true})
+		r.logChange(t.version, table.Change{Row: table.Row{Key: w.Key}, Deleted: true})
 		return table.Absent
 	}
 	version := r.put(w)
-	r.note(t.written, table.Change{Row: copyRow(r.byName[w.Key.Row])})
+	r.logChange(t.version, table.Change{Row: copyRow(r.byName[w.Key.Row])})
 	return version
 }
 
 // of returns a table, which is made if it is not there, with t.mu held.
-func (t *Table) of(name string) *rows {
+func (t *Table) tableOf(name string) *rows {
 	r := t.tables[name]
 	if r == nil {
-		r = &rows{byName: make(map[string]table.Row), changed: make(chan struct{}), floor: t.inEpoch(0), dropped: t.inEpoch(0)}
+		r = &rows{byName: make(map[string]table.Row), changed: make(chan struct{}), floor: t.inEpoch(0), trimmedAt: t.inEpoch(0)}
 		t.tables[name] = r
 	}
 	return r
--- a/table/memtable/memtable_test.go
+++ b/table/memtable/memtable_test.go
@@ -26,7 +26,7 @@
 	return versions
 }
 
-func TestVersionsNeverComeBack(t *testing.T) {
+func TestVersionsAreNeverReused(t *testing.T) {
 	m := New()
 	seen := map[table.Version]bool{}
 	for range 3 {
--- a/table/settle.go
+++ b/table/resolve.go
@@ -14,8 +14,8 @@
 // Backoff between the tries that settle a write. Each wait is drawn evenly
 // between half the bound and the bound.
 const (
-	settleFirstWait = 20 * time.Millisecond
-	settleMaxWait   = time.Second
+	retryFirstWait = 20 * time.Millisecond
+	retryMaxWait   = time.Second
 )
 
 // SupersededError is a write whose answer was lost, and whose rows now hold
@@ -59,31 +59,31 @@
 // back, and so the check of every other copy fails. A check for Absent gives
 // this only while nobody deletes the row: rows made by such a transaction must
 // outlive every copy that can still be in flight.
-func CommitAndResolve(ctx context.Context, s Service, txn Txn, mine func(Row) bool) ([]Version, error) {
-	if !guardsItself(txn) {
+func CommitAndResolve(ctx context.Context, s Service, txn Txn, isOwnWrite func(Row) bool) ([]Version, error) {
+	if !checksWrittenRow(txn) {
 		return nil, &InvalidError{Problem: "a write to be settled must check a row that it writes"}
 	}
-	var lost error
-	for wait := settleFirstWait; ; wait = min(2*wait, settleMaxWait) {
+	var unknownErr error
+	for wait := retryFirstWait; ; wait = min(2*wait, retryMaxWait) {
 		versions, err := s.Commit(ctx, txn)
 		var conflict *ConflictError
 		switch {
 		case err == nil:
 			return versions, nil
-		case errors.As(err, &conflict) && lost != nil:
-			versions, err = settleConflict(ctx, s, txn, mine, conflict)
+		case errors.As(err, &conflict) && unknownErr != nil:
+			versions, err = resolveConflict(ctx, s, txn, isOwnWrite, conflict)
 		}
-		if !isOpen(err, lost) {
+		if !isUnresolved(err, unknownErr) {
 			return versions, err
 		}
-		if lost == nil {
-			lost = err // The first open error is always an *UnknownError.
+		if unknownErr == nil {
+			unknownErr = err // The first open error is always an *UnknownError.
 		}
 		if !loop.Sleep(ctx, jitter(wait)) {
-			return nil, lost
+			return nil, unknownErr
 		}
 		// While answers of writes are lost, those of reads may still come.
-		if versions, applied := readBack(ctx, s, txn, mine); applied {
+		if versions, applied := readBack(ctx, s, txn, isOwnWrite); applied {
 			return versions, nil
 		}
 	}
@@ -91,12 +91,12 @@
 
 // readBack returns the versions of the rows written if they show that the
 // write took effect. That they do not proves nothing.
-func readBack(ctx context.Context, s Service, txn Txn, mine func(Row) bool) ([]Version, bool) {
+func readBack(ctx context.Context, s Service, txn Txn, isOwnWrite func(Row) bool) ([]Version, bool) {
 	rows, err := readWritten(ctx, s, txn)
 	if err != nil {
 		return nil, false
 	}
-	return ownVersions(rows, mine)
+	return ownVersions(rows, isOwnWrite)
 }
 
 // readWritten reads the rows that txn writes.
@@ -110,19 +110,19 @@
 
 // isOpen tells whether the write is still unsettled after err. A refused repeat
 // settles nothing about an earlier try whose answer was lost.
-func isOpen(err, lost error) bool {
+func isUnresolved(err, unknownErr error) bool {
 	var unknown *UnknownError
 	var unavailable *UnavailableError
-	return errors.As(err, &unknown) || lost != nil && errors.As(err, &unavailable)
+	return errors.As(err, &unknown) || unknownErr != nil && errors.As(err, &unavailable)
 }
 
 // settleConflict reads back after a repeat met a conflict.
-func settleConflict(ctx context.Context, s Service, txn Txn, mine func(Row) bool, conflict *ConflictError) ([]Version, error) {
+func resolveConflict(ctx context.Context, s Service, txn Txn, isOwnWrite func(Row) bool, conflict *ConflictError) ([]Version, error) {
 	rows, err := readWritten(ctx, s, txn)
 	if err != nil {
 		return nil, err
 	}
-	if versions, applied := ownVersions(rows, mine); applied {
+	if versions, applied := ownVersions(rows, isOwnWrite); applied {
 		return versions, nil
 	}
 	if !neverApplied(txn, rows) {
@@ -138,11 +138,11 @@
 
 // ownVersions returns the versions of the rows that hold this write. One such
 // row proves that all were written, as a transaction applies wholly.
-func ownVersions(rows []Row, mine func(Row) bool) ([]Version, bool) {
+func ownVersions(rows []Row, isOwnWrite func(Row) bool) ([]Version, bool) {
 	versions := make([]Version, len(rows))
 	applied := false
 	for i, r := range rows {
-		if r.Version != Absent && mine(r) {
+		if r.Version != Absent && isOwnWrite(r) {
 			versions[i] = r.Version
 			applied = true
 		}
@@ -170,7 +170,7 @@
 }
 
 // guardsItself tells whether txn checks a row that it also writes.
-func guardsItself(txn Txn) bool {
+func checksWrittenRow(txn Txn) bool {
 	checked := checkedVersions(txn)
 	for _, w := range txn.Writes {
 		if _, ok := checked[w.Key]; ok {
--- a/table/settle_test.go
+++ b/table/resolve_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func holds(value string) func(table.Row) bool {
+func hasValue(value string) func(table.Row) bool {
 	return func(r table.Row) bool { return string(r.Value) == value }
 }
 
@@ -62,10 +62,10 @@
 	}
 }
 
-func TestCommitSettled(t *testing.T) {
+func TestCommitAndResolve(t *testing.T) {
 	lost := memtable.Fault{LoseResponse: true}
 	late := memtable.Fault{ApplyAfter: time.Minute}
-	mine := guarded("a", "mine", 1)
+	ownTxn := guarded("a", "mine", 1)
 	other := func(row, value string) table.Txn { return table.Txn{Writes: []table.Write{put(row, value)}} }
 	tests := []struct {
 		name  string
@@ -82,28 +82,28 @@
 		// wantValue is the row "a" two minutes later.
 		wantValue string
 	}{
-		{name: "no fault", txn: mine, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "answer lost", txn: mine, fault: lost, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "never arrives", txn: mine, fault: memtable.Fault{Hang: true}, want: failure.TableUnknown, wantValue: "old"},
-		{name: "arrives after the repeat", txn: mine, fault: late, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "arrives after the repeat and another write", txn: mine, fault: late,
+		{name: "no fault", txn: ownTxn, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "answer lost", txn: ownTxn, fault: lost, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "never arrives", txn: ownTxn, fault: memtable.Fault{Hang: true}, want: failure.TableUnknown, wantValue: "old"},
+		{name: "arrives after the repeat", txn: ownTxn, fault: late, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "arrives after the repeat and another write", txn: ownTxn, fault: late,
 			between: []table.Txn{other("a", "theirs")}, want: failure.TableConflict, wantValue: "theirs"},
-		{name: "refused", txn: mine, fault: memtable.Fault{Fail: true}, want: failure.TableUnavailable, wantValue: "old"},
+		{name: "refused", txn: ownTxn, fault: memtable.Fault{Fail: true}, want: failure.TableUnavailable, wantValue: "old"},
 		{name: "plain conflict", txn: guarded("a", "mine", 9), want: failure.TableConflict, wantValue: "old"},
-		{name: "lost, then overwritten", txn: mine, fault: lost,
+		{name: "lost, then overwritten", txn: ownTxn, fault: lost,
 			between: []table.Txn{other("a", "theirs")}, want: failure.TableSuperseded, wantValue: "theirs"},
 		{name: "lost, one of two overwritten", txn: table.Txn{
-			Checks: mine.Checks, Writes: []table.Write{put("a", "mine"), put("b", "mine")}}, fault: lost,
+			Checks: ownTxn.Checks, Writes: []table.Write{put("a", "mine"), put("b", "mine")}}, fault: lost,
 			between: []table.Txn{other("a", "theirs")}, wantVersions: []table.Version{table.Absent, 2}, wantValue: "theirs"},
-		{name: "lost conflict", txn: mine, fault: lost,
+		{name: "lost conflict", txn: ownTxn, fault: lost,
 			before: &table.Txn{Writes: []table.Write{put("a", "theirs")}}, want: failure.TableConflict, wantValue: "theirs"},
 		{name: "lost creation, another's row", txn: guarded("new", "mine", table.Absent), fault: late,
 			between: []table.Txn{other("new", "theirs")}, want: failure.TableSuperseded, wantValue: "old"},
 		{name: "conflict on an absence that comes back", txn: table.Txn{
-			Checks: append(guarded("new", "", table.Absent).Checks, mine.Checks...), Writes: mine.Writes}, fault: late,
+			Checks: append(guarded("new", "", table.Absent).Checks, ownTxn.Checks...), Writes: ownTxn.Writes}, fault: late,
 			between: []table.Txn{other("new", "theirs")}, after: &table.Txn{Writes: []table.Write{{Key: key("new"), Delete: true}}},
 			wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "lost delete, made anew", txn: table.Txn{Checks: mine.Checks, Writes: []table.Write{{Key: key("a"), Delete: true}}},
+		{name: "lost delete, made anew", txn: table.Txn{Checks: ownTxn.Checks, Writes: []table.Write{{Key: key("a"), Delete: true}}},
 			fault: lost, between: []table.Txn{other("a", "theirs")}, want: failure.TableSuperseded, wantValue: "theirs"},
 		{name: "unguarded", txn: other("a", "mine"), want: failure.TableInvalid, wantValue: "old"},
 	}
@@ -129,7 +129,7 @@
 						mustCommit(t, m, *tt.after)
 					}
 				}()
-				versions, err := table.CommitAndResolve(ctx, m, tt.txn, holds("mine"))
+				versions, err := table.CommitAndResolve(ctx, m, tt.txn, hasValue("mine"))
 				if diff := cmp.Diff(tt.want, reason(err)); diff != "" {
 					t.Errorf("%v: %s", err, diff)
 				}
@@ -148,7 +148,7 @@
 
 // TestSettledOutageKeepsTrying loses an answer and then takes the table down:
 // the refusals that follow settle nothing.
-func TestSettledOutageKeepsTrying(t *testing.T) {
+func TestCommitAndResolveRetriesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
 		m.SetHook(firstCommit(memtable.Fault{LoseResponse: true}))
@@ -158,7 +158,7 @@
 			time.Sleep(time.Minute)
 			m.SetDown(false)
 		}()
-		versions, err := table.CommitAndResolve(t.Context(), m, guarded("a", "mine", table.Absent), holds("mine"))
+		versions, err := table.CommitAndResolve(t.Context(), m, guarded("a", "mine", table.Absent), hasValue("mine"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,17 +173,17 @@
 
 // TestSettledWithoutAnswers loses the answer of every write: reading back
 // settles one that took effect.
-func TestSettledWithoutAnswers(t *testing.T) {
+func TestCommitAndResolveWithoutResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
 		m.SetFault(memtable.Fault{LoseResponse: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		versions, err := table.CommitAndResolve(ctx, m, guarded("a", "mine", table.Absent), holds("mine"))
+		versions, err := table.CommitAndResolve(ctx, m, guarded("a", "mine", table.Absent), hasValue("mine"))
 		if diff := cmp.Diff([]table.Version{1}, versions); diff != "" || err != nil {
 			t.Errorf("%v: %s", err, diff)
 		}
-		if _, err := table.CommitAndResolve(ctx, m, guarded("a", "late", table.Absent), holds("late")); reason(err) != failure.TableUnknown {
+		if _, err := table.CommitAndResolve(ctx, m, guarded("a", "late", table.Absent), hasValue("late")); reason(err) != failure.TableUnknown {
 			t.Errorf("a write that meets another's row, unheard: %v", err)
 		}
 	})
@@ -206,7 +206,7 @@
 // TestSettledHistories lets writers append their ids to one row, through a
 // Batcher and random faults, and checks afterwards that each answer was true:
 // what succeeded is there once, and what failed for certain is not there.
-func TestSettledHistories(t *testing.T) {
+func TestCommitAndResolveHistories(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runHistory(t, seed) })
@@ -255,26 +255,26 @@
 		return err
 	}
 	txn := guarded(k.Row, string(rows[0].Value)+id+" ", rows[0].Version)
-	last := func(r table.Row) bool { return strings.HasSuffix(string(r.Value), id+" ") }
-	_, err = table.CommitAndResolve(ctx, s, txn, last)
+	isOwnWrite := func(r table.Row) bool { return strings.HasSuffix(string(r.Value), id+" ") }
+	_, err = table.CommitAndResolve(ctx, s, txn, isOwnWrite)
 	return err
 }
 
 func checkHistory(t *testing.T, rows []table.Row, results map[string]error) {
 	t.Helper()
-	times := make(map[string]int)
+	counts := make(map[string]int)
 	for _, row := range rows {
 		for _, id := range strings.Fields(string(row.Value)) {
-			times[id]++
+			counts[id]++
 		}
 	}
 	done, superseded := 0, 0
 	for id, err := range results {
-		var doubt *table.SupersededError
-		switch n := times[id]; {
+		var supersededErr *table.SupersededError
+		switch n := counts[id]; {
 		case err == nil && n == 1:
 			done++
-		case errors.As(err, &doubt) && n <= 1:
+		case errors.As(err, &supersededErr) && n <= 1:
 			superseded++
 		case err == nil || n != 0:
 			t.Errorf("write %s answered %v and is there %d times", id, err, n)
--- a/table/version_test.go
+++ b/table/version_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func at(t *testing.T, epoch, number uint64) Version {
+func newVersion(t *testing.T, epoch, number uint64) Version {
 	t.Helper()
 	v, err := NewVersion(epoch, number)
 	if err != nil {
@@ -15,14 +15,14 @@
 }
 
 func TestVersionsOfEpochs(t *testing.T) {
-	old, again, later := at(t, 1, 900), at(t, 2, 900), at(t, 2, 7)
+	old, again, later := newVersion(t, 1, 900), newVersion(t, 2, 900), newVersion(t, 2, 7)
 	if old == again || old >= later || later >= again {
 		t.Errorf("%v, %v and %v are not in order", old, later, again)
 	}
 	if again.Epoch() != 2 || again.Number() != 900 || again.String() != "2:900" {
 		t.Errorf("%v: epoch %d, number %d", again, again.Epoch(), again.Number())
 	}
-	if plain := at(t, 0, 5); plain != 5 || plain.String() != "5" {
+	if plain := newVersion(t, 0, 5); plain != 5 || plain.String() != "5" {
 		t.Errorf("without an epoch: %v", plain)
 	}
 	var invalid *InvalidError
