--- a/lease/check.go
+++ b/lease/check.go
@@ -2,10 +2,9 @@
 
 import "github.com/springweir/springweir/table"
 
-// Checks returns the condition under which a write of another package holds
-// only while this lease stands: the lease's row at the version last written by
-// this tenure. A renewal in between makes such a write conflict, which its
-// caller then tries again. The error is *LostError.
+// Checks returns the condition that makes a write of another package take effect only while this
+// lease is held: the lease's row at the version last written in this tenure. A renewal in between
+// makes the write conflict, and the caller retries it. The error is *LostError.
 func (l *Lease) Checks() ([]table.Check, error) {
 	if _, err := l.Authority(); err != nil {
 		return nil, err
--- a/lease/config.go
+++ b/lease/config.go
@@ -14,22 +14,23 @@
 	DefaultMargin = 500 * time.Millisecond
 )
 
-// Config says which lease to contend for, as whom and at what pace.
+// Config identifies the lease and the contender, and sets the timing.
 type Config struct {
 	Pool, Zone string
 	Identity   Identity
-	// TTL is how long a lease lasts; Renew is the time between renewals; Poll
-	// is the mean time between a contender's reads. Zero takes the default.
+	// TTL is the duration of a lease, Renew the mean time between renewals, and Poll the mean
+	// time between a contender's reads. Zero takes the default.
 	TTL, Renew, Poll time.Duration
-	// Margin is cut from the holder's end of the lease, for clock rates.
+	// Margin is subtracted from the holder's view of the lease duration, to allow for differing
+	// clock rates.
 	Margin time.Duration
-	// Eligible tells whether this process may contend now; nil means always.
+	// Eligible reports whether this process may contend now; nil means always.
 	Eligible func() bool
-	// Rank is this process's place among the contenders, from zero; those
-	// behind the first few read the row more seldom. Nil means zero.
+	// Rank is this process's rank among the contenders, from zero; those beyond the first few
+	// read the row less often. Nil means zero.
 	Rank func() int
-	// Epoch returns the newest epoch of the table service (see table.Version). Nil is a service that
-	// never comes back from a copy.
+	// Epoch returns the newest epoch of the table service (see table.Version). Nil stands for a
+	// service that is never restored from a backup.
 	Epoch func() uint64
 }
 
--- a/lease/contend.go
+++ b/lease/contend.go
@@ -6,27 +6,27 @@
 	"github.com/springweir/springweir/table"
 )
 
-// activeContenders is how many contenders of a lease watch it closely.
+// activeContenders is the number of contenders that read the lease's row every Config.Poll.
 const activeContenders = 4
 
-// idleFactor is how much more seldom the other contenders read it.
+// distantPollFactor is the factor by which the other contenders read it less often.
 const distantPollFactor = 16
 
-// observation is the successor's timer: the version last seen, and when the
-// read in which it was first seen had returned.
+// observation is a contender's takeover timer: the row's version, and when the read that first
+// returned it had completed.
 //
-// Invariant: since is never before the row was committed at version, because
-// it is taken after the read. Taking it before the read would end the
-// successor's count before the holder's.
+// Invariant: firstSeen is never before the row was committed at version, because it is taken
+// after the read. If it were taken before the read, the contender's count could end before the
+// holder's.
 type observation struct {
 	version   table.Version
 	firstSeen time.Time
-	// epoch is the table service's, first seen at epochSince.
+	// epoch is the table service's epoch, first observed at epochFirstSeen.
 	epoch          uint64
 	epochFirstSeen time.Time
 }
 
-// seeEpoch notes the table service's epoch as of now.
+// observeEpoch records the table service's epoch at now.
 func (o *observation) observeEpoch(epoch uint64, now time.Time) {
 	if o.epoch == epoch && !o.epochFirstSeen.IsZero() {
 		return
@@ -34,14 +34,14 @@
 	o.epoch, o.epochFirstSeen = epoch, now
 }
 
-// epochLeft returns how long a tenure may still last that the table service has lost: one of the
-// epoch before ends within its term of the beginning of this one, which was no later than this
-// process saw it.
+// epochRemaining returns how long a tenure that the table service has lost may still last. A
+// tenure of the previous epoch ends within its TTL of the start of the present epoch, and that
+// start was no later than this process first observed the epoch.
 func (o *observation) epochRemaining(ttl time.Duration, now time.Time) time.Duration {
 	return ttl - now.Sub(o.epochFirstSeen)
 }
 
-// see notes the row's version as of now, a time after the read returned.
+// observeVersion records the row's version at now, a time after the read returned.
 func (o *observation) observeVersion(version table.Version, now time.Time) {
 	if o.version == version && !o.firstSeen.IsZero() {
 		return
@@ -50,17 +50,17 @@
 	o.firstSeen = now
 }
 
-// left returns how long the row must still be seen unchanged.
+// remaining returns how long the row must still be observed unchanged.
 func (o *observation) remaining(ttl time.Duration, now time.Time) time.Duration {
 	return ttl - now.Sub(o.firstSeen)
 }
 
-// takeoverWait returns how long a contender must wait before it may try to take
-// the lease; zero or less means at once. ttl is the least time that it counts,
-// whatever the row says.
+// takeoverWait returns how long a contender must wait before it may try to take the lease; zero
+// or less means that it may do so at once. ttl is a lower bound on the lease duration, whatever
+// the row states.
 //
-// A row that was not written in this epoch, or that is absent, may be an old copy: a later holder
-// whom it does not show may still have authority.
+// A row that is absent, or was not written in this epoch, may be an old state restored from a
+// backup: a later holder that it doesn't show may still have authority.
 func takeoverWait(row table.Row, rec Record, obs observation, ttl time.Duration, now time.Time) time.Duration {
 	ttl = max(ttl, time.Duration(rec.TTLMillis)*time.Millisecond)
 	epochWait := time.Duration(0)
@@ -73,14 +73,14 @@
 	return max(epochWait, obs.remaining(ttl, now))
 }
 
-// fenceBits are the low bits of a fencing number, which count within an epoch.
+// fenceCounterBits is the number of low bits of a fencing token that count within an epoch.
 const fenceCounterBits = 32
 
-// epochFence is the lowest fencing number of an epoch: higher than any of the one before, of which
-// the table service may have lost some.
+// epochFence returns the lower bound of an epoch's fencing tokens: it is above all tokens of
+// earlier epochs, including those that the table service lost in a restore.
 func epochFence(epoch uint64) uint64 { return epoch << fenceCounterBits }
 
-// pollEvery returns the mean time between a contender's reads.
+// pollInterval returns the mean time between a contender's reads.
 func pollInterval(poll time.Duration, rank int) time.Duration {
 	if rank < activeContenders {
 		return poll
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,20 +1,18 @@
-// Package lease decides which controller acts for one pool in one availability
-// zone. A lease is one row of the table service, written conditionally.
+// Package lease elects the controller of one pool in one availability zone. A lease is one row of
+// the table service that is written conditionally. A tenure is the time for which one process
+// holds the lease under one fencing token.
 //
-// Timing is by monotonic clocks only. A holder counts its authority from before
-// it sent the renewal; a successor counts a whole lease from after the read in
-// which it first saw the unchanged row. The row was committed between the two,
-// so the holder's count always ends first, as long as the clocks' rates differ
-// by less than Config.Margin over one Config.TTL.
+// Timing uses monotonic clocks only. A holder counts the lease duration from before it sent the
+// renewal; a successor counts it from after the read in which it first observed the unchanged
+// row. The row was committed between the two, so the holder's count always ends first, as long as
+// the clock rates differ by less than Config.Margin over one Config.TTL.
 //
-// Time alone is not what makes orders safe: a clock may stand still while a VM
-// is paused. Each write under a lease therefore checks the lease's row in its
-// own transaction (Lease.Commit), and package order asks a predecessor to
-// confirm that it dropped its authority.
+// Timing alone doesn't make orders safe, because a clock may stop while a VM is paused. Each
+// write under a lease therefore checks the lease's row in its own transaction (Lease.Commit), and
+// package order has a predecessor confirm that it has dropped its authority.
 //
-// Load on the table service, for each lease: one write every Config.Renew, and
-// one read every Config.Poll by each of the first activeContenders contenders;
-// the others read every idleFactor*Config.Poll. With the defaults and 63
-// contenders in a zone that is 0.33 writes and 2.5 reads a second, with 8
-// contenders 0.33 and 1.1 (TestLoadOnTheTable).
+// Load on the table service for each lease: one write every Config.Renew, and one read every
+// Config.Poll by each of the first activeContenders contenders; the others read every
+// distantPollFactor*Config.Poll. With the defaults and 63 contenders in a zone that is 0.33
+// writes and 2.5 reads a second, with 8 contenders 0.33 and 1.1 (TestTableLoad).
 package lease
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -12,12 +12,12 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// view is a table service as one process reaches it. It knows the epoch from the answers it got.
+// view is the table service as one process reaches it. Its epoch is updated by each response.
 type view struct {
 	*memtable.Table
 
-	// held, if set, is how long the first write takes to come into effect. The process is cut off
-	// from then on.
+	// applyDelay, if set, is the time until the first write takes effect. From that write on the
+	// process is partitioned from the service.
 	applyDelay time.Duration
 
 	mu          sync.Mutex
@@ -75,7 +75,7 @@
 	return versions, v.respond(err)
 }
 
-// startSeeing starts a contender that knows the epoch.
+// startWithEpoch starts a contender whose Config.Epoch is that of its view.
 func startWithEpoch(t *testing.T, v *view, name string) *contender {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -97,22 +97,24 @@
 	return c
 }
 
-// The table service comes back from a copy that shows the lease given up, or not there at all, while
-// another process holds it by now. Whoever takes it next waits until that one's authority is over,
-// whether or not it has noticed, and its fencing number is higher than any that was used.
+// The table service is restored from a backup in which the lease is released or absent, while
+// another process holds it. The next process to take it must wait until that holder's authority
+// has ended, whether or not the holder has detected the restore, and must use a higher fencing
+// token than any used before.
 func TestLeaseAfterRestore(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// released makes the copy show a lease that was given up; otherwise it has none.
+		// released makes the backup show a released lease; otherwise the backup has none.
 		released bool
-		// cut cuts the holder off through it, and fresh makes the next contender start after it.
+		// partitioned cuts the holder off from the service during the restore, and lateStart
+		// starts the next contender after it.
 		partitioned, lateStart bool
 	}{
-		{"given up in the copy", true, false, false},
-		{"not in the copy", false, false, false},
-		{"the holder is cut off", true, true, false},
-		{"the next contender starts after it", true, false, true},
-		{"the holder is cut off, and the next contender starts after it", false, true, true},
+		{"released in the backup", true, false, false},
+		{"not in the backup", false, false, false},
+		{"the holder is partitioned", true, true, false},
+		{"the next contender starts after the restore", true, false, true},
+		{"the holder is partitioned, and the next contender starts after the restore", false, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for phase := range 8 {
@@ -124,7 +126,7 @@
 
 func runRestore(t *testing.T, phase int, released, partitioned, lateStart bool) {
 	m := memtable.New()
-	m.Restore(m.Backup()) // an epoch before, so that processes know one
+	m.Restore(m.Backup()) // starts epoch 1, so that processes observe an epoch
 	views := map[string]*view{}
 	startContender := func(name string) *contender {
 		views[name] = &view{Table: m}
@@ -152,7 +154,7 @@
 		third = startContender("third")
 	}
 	overlaps := 0
-	took := waitUntil(t, "the third tenure, or the second one's next", func() bool {
+	took := waitUntil(t, "the third contender's tenure, or another one of the second", func() bool {
 		if second.holds() && third.holds() {
 			overlaps++
 		}
@@ -166,20 +168,20 @@
 		}
 	}
 	if overlaps > 0 {
-		t.Errorf("phase %d: both held the lease at %d moments", phase, overlaps)
+		t.Errorf("phase %d: both held the lease in %d samples", phase, overlaps)
 	}
 	if took > 3*DefaultTTL {
 		t.Errorf("phase %d: the next tenure began after %v", phase, took)
 	}
 	for _, n := range []*contender{second, third} {
 		if n.holds() && n.current().Fence() <= lastFence {
-			t.Errorf("phase %d: fencing number %d after %d", phase, n.current().Fence(), lastFence)
+			t.Errorf("phase %d: fencing token %d after %d", phase, n.current().Fence(), lastFence)
 		}
 	}
 }
 
-// Without epochs nothing changes: a lease that is not there, or was given up, is taken at once, and
-// its fencing numbers count from one.
+// Without epochs the fencing tokens count from one. In a later epoch they continue above that
+// epoch's lower bound.
 func TestFencePerEpoch(t *testing.T) {
 	for _, tc := range []struct{ epoch, old, want uint64 }{
 		{0, 0, 1}, {0, 7, 8}, {1, 0, 1<<32 + 1}, {1, 1<<32 + 4, 1<<32 + 5}, {3, 1<<32 + 4, 3<<32 + 1},
@@ -192,9 +194,9 @@
 	}
 }
 
-// A process finds no lease and writes its own. The write comes into effect only seconds later, when
-// another process has taken the lease and the table service has lost that again. Its condition holds
-// then, and the process must not take it for a tenure.
+// A process finds no lease and writes its own, but the write takes effect only seconds later.
+// Meanwhile another process has taken the lease and a restore has lost that tenure, so the
+// delayed write's condition holds again. The process must not treat the result as a tenure.
 func TestDelayedWriteFromEarlierEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
@@ -202,7 +204,7 @@
 		emptyBackup := m.Backup()
 		delayed, other := &view{Table: m, applyDelay: 3 * time.Second}, &view{Table: m}
 		c := startWithEpoch(t, delayed, "slow")
-		waitUntil(t, "the write that is held up", delayed.isPartitioned)
+		waitUntil(t, "the delayed write", delayed.isPartitioned)
 		other.epoch = m.Epoch()
 		h := NewHolder(other, Config{Pool: "chat", Zone: "a", Identity: Identity{VM: "other", Process: "other"}, Epoch: other.Epoch})
 		l, err := h.acquire(t.Context(), table.Row{}, Record{}, m.Epoch())
@@ -211,12 +213,12 @@
 		}
 		other.setPartitioned(true)
 		m.Restore(emptyBackup)
-		time.Sleep(4 * time.Second) // the write has come into effect
+		time.Sleep(4 * time.Second) // the write has taken effect
 		delayed.setPartitioned(false)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if now := c.current(); c.holds() && now.Fence() <= l.Fence() {
-				t.Fatalf("a tenure with fencing number %d after %d", now.Fence(), l.Fence())
+				t.Fatalf("a tenure with fencing token %d after %d", now.Fence(), l.Fence())
 			}
 		}
 	})
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -14,24 +14,24 @@
 	"github.com/springweir/springweir/table"
 )
 
-// renewRetryFactor is how much sooner a failed renewal is tried again.
+// renewRetryFactor is the factor by which a failed renewal is retried sooner.
 const renewRetryFactor = 4
 
-// Holder contends for one lease for as long as it runs.
+// Holder contends for one lease while Run is active.
 type Holder struct {
 	svc table.Service
 	cfg Config
-	// floor is the highest fencing number that an engine is known to have seen.
+	// floor is the highest fencing token that an engine is known to have seen.
 	floor atomic.Uint64
 }
 
-// NewHolder returns a holder that contends through svc.
+// NewHolder returns a Holder that contends through svc.
 func NewHolder(svc table.Service, cfg Config) *Holder {
 	return &Holder{svc: svc, cfg: cfg.withDefaults()}
 }
 
-// RaiseFloor makes the next tenure's fence higher than seen. It is for an
-// engine that came from another pool, whose fences are counted apart.
+// RaiseFloor makes the next tenure's fencing token higher than seen. It is needed for an engine
+// that moved here from another pool, whose fencing tokens are counted separately.
 func (h *Holder) RaiseFloor(seen uint64) {
 	for {
 		previous := h.floor.Load()
@@ -41,11 +41,11 @@
 	}
 }
 
-// Run contends until ctx ends and calls lead for each tenure. The context of
-// lead ends when the lease is lost, with *LostError as its cause, or when ctx
-// ends; in the second case the lease is kept up until lead returns and is then
-// released, so that a planned stop hands over at the successor's next read.
-// When lead returns by itself, the lease is released too and contended for anew.
+// Run contends until ctx ends and calls lead for each tenure. The context of lead ends when the
+// lease is lost, with *LostError as its cause, or when ctx ends. In the second case the lease is
+// renewed until lead returns and is then released, so that after a planned stop the successor
+// takes it at its next read. If lead returns by itself, Run releases the lease and contends
+// again.
 func (h *Holder) Run(ctx context.Context, lead func(context.Context, *Lease)) {
 	for {
 		l := h.contend(ctx)
@@ -56,7 +56,7 @@
 	}
 }
 
-// contend returns the lease once it is taken, or nil when ctx ends.
+// contend returns the lease once it is acquired, or nil when ctx ends.
 func (h *Holder) contend(ctx context.Context) *Lease {
 	var obs observation
 	wait := loop.Jitter(h.cfg.Poll) / 2
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// attempt reads the row and takes the lease if it may. Without a lease it
-// returns how long to wait before the row can have run out.
+// attempt reads the row and acquires the lease if it may. Without a lease it returns the time
+// until the row can have expired.
 func (h *Holder) attempt(ctx context.Context, obs *observation) (*Lease, time.Duration, error) {
 	key := Key(h.cfg.Pool, h.cfg.Zone)
 	rows, err := h.svc.Get(ctx, key)
@@ -107,8 +107,8 @@
 	return l, 0, err
 }
 
-// take writes the next tenure over row, as decided in an epoch of the table service. The fence rises above that of any
-// earlier tenure, because the row is never deleted.
+// acquire writes the next tenure over row, as decided in an epoch of the table service. The
+// fencing token is above that of any earlier tenure, because the row is never deleted.
 func (h *Holder) acquire(ctx context.Context, row table.Row, previous Record, epoch uint64) (*Lease, error) {
 	l := &Lease{
 		svc:   h.svc,
@@ -125,14 +125,14 @@
 	}
 	l.recordRenewal(version, sentAt)
 	if _, err := l.Authority(); err != nil {
-		return nil, err // the table service came back from a copy meanwhile
+		return nil, err // the table service was restored from a backup meanwhile
 	}
 	countEvent(eventAcquired)
-	klog.Infof("lease: took %s/%s at fence %d", h.cfg.Pool, h.cfg.Zone, l.fence)
+	klog.Infof("lease: acquired %s/%s with fence %d", h.cfg.Pool, h.cfg.Zone, l.fence)
 	return l, nil
 }
 
-// tenure runs lead and keeps the lease up until lead has returned.
+// runTenure runs lead and renews the lease until lead has returned.
 func (h *Holder) runTenure(ctx context.Context, l *Lease, lead func(context.Context, *Lease)) {
 	leadCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
@@ -164,8 +164,8 @@
 	l.release()
 }
 
-// keep renews the lease until it is lost or done is closed. It announces the
-// end of the authority on time even while a renewal is unanswered.
+// renewUntil renews the lease until it is lost or done is closed. It signals the end of the
+// authority on time even while a renewal is in flight.
 func (l *Lease) renewUntil(done <-chan struct{}) {
 	pause := l.cfg.Renew
 	for {
@@ -186,9 +186,9 @@
 	}
 }
 
-// renew writes the row anew and counts the lease from before the write was
-// sent. It gives up when the authority ends. It returns the mean time to wait
-// before the next renewal.
+// renew writes the row again and counts the lease duration from before the write was sent. The
+// write is cancelled when the authority ends. It returns the mean time to wait before the next
+// renewal.
 func (l *Lease) renew(deadline time.Time) time.Duration {
 	ctx, cancel := clock.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -207,13 +207,13 @@
 		l.lose(Superseded)
 	default:
 		countRetry(err)
-		klog.Warningf("lease: renewal of %s/%s failed: %v", l.cfg.Pool, l.cfg.Zone, err)
+		klog.Warningf("lease: failed to renew %s/%s: %v", l.cfg.Pool, l.cfg.Zone, err)
 	}
 	return l.cfg.Renew / renewRetryFactor
 }
 
-// release gives up a lease that is still held, so that the successor need not
-// wait. Losing the answer costs the successor the wait and nothing else.
+// release gives up a lease that is still held, so that the successor need not wait. A lost
+// response only costs the successor that wait.
 func (l *Lease) release() {
 	a, err := l.Authority()
 	if err != nil {
@@ -228,7 +228,7 @@
 	version := l.version
 	l.mu.Unlock()
 	if _, err := l.write(ctx, version, rec); err != nil {
-		klog.Warningf("lease: release of %s/%s failed: %v", l.cfg.Pool, l.cfg.Zone, err)
+		klog.Warningf("lease: failed to release %s/%s: %v", l.cfg.Pool, l.cfg.Zone, err)
 		return
 	}
 	countEvent(eventReleased)
@@ -244,7 +244,7 @@
 	}
 }
 
-// write replaces the row if it still stands at version.
+// write replaces the row if it is still at version.
 func (l *Lease) write(ctx context.Context, version table.Version, rec Record) (table.Version, error) {
 	key := Key(l.cfg.Pool, l.cfg.Zone)
 	txn := table.Txn{
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,17 +11,17 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Lease is a lease as held. It stays lost once it is lost: a new tenure is a
-// new Lease with a higher fence. It is safe for concurrent use.
+// Lease is one tenure of a lease. Once lost it stays lost: the next tenure is a new Lease with a
+// higher fencing token. It is safe for concurrent use.
 type Lease struct {
 	svc   table.Service
 	cfg   Config
 	fence uint64
 	first bool
-	// epoch is that of the table service in which the tenure began: it does not outlast it.
+	// epoch is the table service's epoch in which the tenure began. The tenure ends with it.
 	epoch uint64
 
-	// mu guards the fields below. No call is made while it is held.
+	// mu guards the fields below. It is not held during calls to the table service.
 	mu       sync.Mutex
 	version  table.Version
 	deadline time.Time
@@ -29,21 +29,21 @@
 	lost     chan struct{}
 }
 
-// Authority is what a holder may act on. It is a value of one moment: ask
-// again rather than keep it.
+// Authority is what a holder may act on. It is valid only at the moment it is returned: request
+// it again rather than store it.
 type Authority struct {
 	Fence uint64
-	// Deadline is monotonic, counted from before the last renewal was sent.
+	// Deadline is a monotonic time, counted from before the last renewal was sent.
 	Deadline time.Time
 }
 
-// Remaining returns how long the authority still lasts.
+// Remaining returns the time until the deadline.
 func (a Authority) Remaining() time.Duration { return clock.Until(a.Deadline) }
 
-// Fence returns the fencing number.
+// Fence returns the fencing token.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// First tells whether no tenure is known before this one.
+// First reports whether no tenure is known before this one.
 func (l *Lease) First() bool { return l.first }
 
 // Holder returns the process that holds the lease.
@@ -55,7 +55,7 @@
 // Zone returns the name of the availability zone.
 func (l *Lease) Zone() string { return l.cfg.Zone }
 
-// Authority returns the holder's authority now. The error is *LostError.
+// Authority returns the holder's present authority. The error is *LostError.
 func (l *Lease) Authority() (Authority, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,8 +64,9 @@
 	case clock.Until(l.deadline) <= 0:
 		l.loseLocked(Expired)
 	case l.version.Epoch() != l.epoch || l.cfg.epoch() != l.epoch:
-		// The table service may have lost this tenure, and let another process begin one; or the
-		// write that began it came into effect only after the service had lost what was decided on.
+		// After a restore the table service may have lost this tenure and have granted one to
+		// another process. Or the write that began this tenure took effect only after the service
+		// had lost the state on which the decision was based.
 		l.loseLocked(EpochOver)
 	}
 	if l.loss != "" {
@@ -74,19 +75,18 @@
 	return Authority{Fence: l.fence, Deadline: l.deadline}, nil
 }
 
-// Revoke drops the lease because a successor asked for it.
+// Revoke drops the lease at the request of a successor.
 func (l *Lease) Revoke() { l.lose(Revoked) }
 
-// Commit applies txn only if this lease still stands in the table, in the same
-// transaction, and settles a lost answer: mine tells whether a row read back
-// holds this write's own id. Each write must be checked by txn itself. Errors
-// are *LostError, or those of table.CommitAndResolve for txn.
+// Commit applies txn only if this tenure's row is current in the table, checked in the same
+// transaction, and resolves a lost response: isOwnWrite reports whether a row that was read back
+// holds the id of this write. txn must itself check each row that it writes. Errors are
+// *LostError, or those of table.CommitAndResolve for txn.
 //
-// Invariant: a renewal changes the row's version but not its fence, so a check
-// at any version of this tenure proves the fence. A conflict on the lease's row
-// is tried again only after reading that the tenure still stands, and then the
-// earlier try can't take effect any more, because its check names a version
-// that has passed.
+// Invariant: a renewal changes the row's version but not its fencing token, so a check at any
+// version of this tenure proves the token. A conflict on the lease's row is retried only after a
+// read has shown that the tenure is current. The earlier attempt can then no longer take effect,
+// because it checks a version that has passed.
 func (l *Lease) Commit(ctx context.Context, txn table.Txn, isOwnWrite func(table.Row) bool) ([]table.Version, error) {
 	var supersededErr error
 	for {
@@ -114,7 +114,7 @@
 	}
 }
 
-// guarded puts the check of the lease's row before checks.
+// withGuard prepends the check of the lease's row to checks.
 func (l *Lease) withGuard(checks []table.Check) []table.Check {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,8 +122,8 @@
 	return append([]table.Check{guard}, checks...)
 }
 
-// refresh reads the lease's row and tells whether it moved on from version
-// within this tenure.
+// refresh reads the lease's row and reports whether it has changed since version within this
+// tenure.
 func (l *Lease) refresh(ctx context.Context, version table.Version) (bool, error) {
 	rows, err := l.svc.Get(ctx, Key(l.cfg.Pool, l.cfg.Zone))
 	if err != nil {
@@ -141,7 +141,7 @@
 	return row.Version != version, nil
 }
 
-// stands tells whether row shows this tenure.
+// showsTenure reports whether row shows this tenure as current.
 func (l *Lease) showsTenure(row table.Row) bool {
 	if row.Version == table.Absent {
 		return false
@@ -153,7 +153,7 @@
 	return rec.Fence == l.fence && rec.Holder.Process == l.cfg.Identity.Process && !rec.Released
 }
 
-// renewed notes a renewal that was sent at sent and committed at version.
+// recordRenewal records a renewal that was sent at sentAt and committed at version.
 func (l *Lease) recordRenewal(version table.Version, sentAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// contender is a running holder and its current tenure.
+// contender is a running Holder and its current tenure.
 type contender struct {
 	fakeprocess.Process
 	holder *Holder
@@ -34,7 +34,7 @@
 	return c.lease
 }
 
-// holds tells whether the contender believes that it may act.
+// holds reports whether the contender has authority by its own clock.
 func (c *contender) holds() bool {
 	l := c.current()
 	if l == nil {
@@ -73,12 +73,12 @@
 	return c
 }
 
-// until waits in virtual time for a condition and returns how long it took.
+// waitUntil waits in virtual time for a condition and returns how long that took.
 func waitUntil(t *testing.T, what string, cond func() bool) time.Duration {
 	startedAt := time.Now()
 	for !cond() {
 		if time.Since(startedAt) > time.Hour {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within an hour: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -97,9 +97,9 @@
 	}{
 		{"absent", table.Row{}, Record{}, 0},
 		{"released", row, Record{Released: true, TTLMillis: 9000}, 0},
-		{"seen for a part", row, Record{TTLMillis: 9000}, 7 * time.Second},
+		{"observed for a part of the TTL", row, Record{TTLMillis: 9000}, 7 * time.Second},
 		{"a holder with a longer lease", row, Record{TTLMillis: 20000}, 18 * time.Second},
-		{"a holder that claims a shorter one", row, Record{TTLMillis: 1}, 7 * time.Second},
+		{"a holder with a shorter lease", row, Record{TTLMillis: 1}, 7 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := takeoverWait(tc.row, tc.rec, obs, DefaultTTL, now)
@@ -110,8 +110,8 @@
 	}
 }
 
-// A holder that stands still is succeeded after a whole lease, never has
-// authority at the same time as its successor, and knows when it wakes.
+// A paused holder is replaced after one lease duration, never has authority at the same time as
+// its successor, and has lost the lease when it resumes.
 func TestPausedHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
@@ -121,12 +121,12 @@
 		b := start(t, svc, "b", 0)
 		time.Sleep(time.Minute)
 		if b.holds() {
-			t.Fatal("b leads beside a living holder")
+			t.Fatal("b leads while the holder is alive")
 		}
 		a.Pause()
 		wait := waitUntil(t, "b leads", func() bool {
 			if a.holds() && b.holds() {
-				t.Fatal("two holders have authority")
+				t.Fatal("two holders have authority at the same time")
 			}
 			return b.holds()
 		})
@@ -137,11 +137,11 @@
 			t.Errorf("fence %d after %d", got, old.Fence())
 		}
 		a.Wake()
-		waitUntil(t, "a knows", func() bool { return a.current() != old || !a.holds() })
+		waitUntil(t, "a has lost the lease", func() bool { return a.current() != old || !a.holds() })
 	})
 }
 
-// The row check alone, without any clock, keeps a superseded holder from writing.
+// Without relying on clocks, the check of the lease's row keeps a superseded holder from writing.
 func TestCommitChecksLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
@@ -156,7 +156,7 @@
 			_, err := old.Commit(t.Context(), txn, func(table.Row) bool { return false })
 			return err
 		}
-		// A renewal that the lease hasn't noted yet: the same tenure, a new version.
+		// A renewal that the Lease has not recorded yet: the same tenure at a new version.
 		if _, err := old.write(t.Context(), 1, old.record()); err != nil {
 			t.Fatal(err)
 		}
@@ -195,8 +195,8 @@
 	})
 }
 
-// An outage ends the authority in time and tells the owner why; afterwards
-// somebody leads again.
+// An outage ends the authority in time, and the context of lead has the loss as its cause. After
+// the outage the lease is acquired again.
 func TestTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
@@ -204,14 +204,14 @@
 		waitUntil(t, "a leads", a.holds)
 		time.Sleep(time.Minute)
 		svc.SetDown(true)
-		wait := waitUntil(t, "a has lost it", func() bool { return !a.holds() })
+		wait := waitUntil(t, "a loses its authority", func() bool { return !a.holds() })
 		if wait > DefaultTTL {
 			t.Errorf("authority lasted %v into the outage", wait)
 		}
 		synctest.Wait()
 		var lost *LostError
 		if !errors.As(a.cause, &lost) || lost.Cause != Expired {
-			t.Errorf("the owner was told %v, want expired", a.cause)
+			t.Errorf("the context's cause is %v, want expired", a.cause)
 		}
 		time.Sleep(10 * time.Minute)
 		svc.SetDown(false)
@@ -219,8 +219,8 @@
 	})
 }
 
-// Every other answer is lost, and some writes come late: one holder at a time,
-// and a lease once taken is known to be held.
+// One write in four loses its response and another takes effect late. There must be at most one
+// holder at a time, and the lease must be held nearly all the time.
 func TestLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
@@ -243,19 +243,20 @@
 		for range 6000 {
 			time.Sleep(100 * time.Millisecond)
 			if a.holds() && b.holds() {
-				t.Fatal("two holders have authority")
+				t.Fatal("two holders have authority at the same time")
 			}
 			if a.holds() || b.holds() {
 				held++
 			}
 		}
 		if held < 5900 {
-			t.Errorf("somebody led in %d of 6000 looks", held)
+			t.Errorf("the lease was held in %d of 6000 samples, want at least 5900", held)
 		}
 	})
 }
 
-// The load of one lease on the table stays within what the package states.
+// The load of one lease on the table service must stay within what the package documentation
+// states.
 func TestTableLoad(t *testing.T) {
 	for _, tc := range []struct {
 		contenders    int
--- a/lease/metrics.go
+++ b/lease/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// The events of a lease that are counted.
+// Lease events, as the label event of the metrics.
 const (
 	eventAcquired = "acquired"
 	eventRenewed  = "renewed"
--- a/lease/record.go
+++ b/lease/record.go
@@ -11,28 +11,29 @@
 // TableName is the table that holds the leases.
 const TableName = "lease"
 
-// Identity names one process of the system.
+// Identity identifies one process of the system.
 type Identity struct {
-	// VM is the name of the VM, which is never used again.
+	// VM is the name of the VM. Names are never reused.
 	VM string `json:"vm"`
 	// Process is unique for each start of the process.
 	Process string `json:"process"`
-	// Address is the IP and port that the process has bound for its peers.
+	// Address is the IP address and port at which peers reach the process.
 	Address string `json:"address"`
 }
 
 // Record is the value of a lease's row.
 type Record struct {
-	// WriteID is the id of the write that made the value.
+	// WriteID is the id of the write that produced the value.
 	WriteID string   `json:"write_id"`
 	Holder  Identity `json:"holder"`
-	// Fence is the fencing number. It rises at each takeover, also after a release.
+	// Fence is the fencing token. It rises at each takeover, also after a release.
 	Fence uint64 `json:"fence"`
-	// TTLMillis is how long a successor must see the row unchanged, in milliseconds.
+	// TTLMillis is how long a successor must observe the row unchanged, in milliseconds.
 	TTLMillis int64 `json:"ttl_ms"`
-	// Epoch is that of the table service in which the row was written, as its writer knew it.
+	// Epoch is the epoch of the table service in which the row was written, as known to the
+	// writer.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Released is set by a holder that gave the lease up; no waiting is needed.
+	// Released is set by a holder that gave up the lease; a successor need not wait.
 	Released bool `json:"released,omitempty"`
 }
 
@@ -41,7 +42,7 @@
 	return table.Key{Table: TableName, Row: pool + "/" + zone}
 }
 
-// Decode reads the value of a lease's row. The error is *DecodeError.
+// Decode decodes the value of a lease's row. The error is *DecodeError.
 func Decode(row table.Row) (Record, error) {
 	var rec Record
 	if err := json.Unmarshal(row.Value, &rec); err != nil {
@@ -59,7 +60,7 @@
 	return value
 }
 
-// wroteBy tells whether row holds the value that the write id made.
+// writtenBy reports whether row holds the value that the write with the given id produced.
 func writtenBy(row table.Row, id string) bool {
 	if row.Version == table.Absent {
 		return false
@@ -68,7 +69,7 @@
 	return err == nil && rec.WriteID == id
 }
 
-// DecodeError is a row that cannot be understood.
+// DecodeError reports a row that can't be decoded.
 type DecodeError struct {
 	Key   table.Key
 	Cause error
@@ -83,24 +84,24 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// LossCause tells why a lease is no longer held.
+// LossCause is the reason why a lease was lost.
 type LossCause string
 
 // The causes of a loss.
 const (
-	// Expired is a lease that could not be renewed in time.
+	// Expired means that the lease was not renewed in time.
 	Expired LossCause = "expired"
-	// EpochOver is a lease of a time before the table service came back from a copy.
+	// EpochOver means that the table service was restored from a backup after the tenure began.
 	EpochOver LossCause = "epoch-over"
-	// Superseded is a lease that another process has taken.
+	// Superseded means that another process has taken the lease.
 	Superseded LossCause = "superseded"
-	// Revoked is a lease that a successor asked the holder to drop.
+	// Revoked means that a successor requested the holder to drop the lease.
 	Revoked LossCause = "revoked"
-	// GivenUp is a lease that the holder itself gave up.
+	// GivenUp means that the holder itself released the lease.
 	GivenUp LossCause = "given-up"
 )
 
-// LostError is an action not taken because the lease is not held.
+// LostError is returned for an action that was not taken because the lease is no longer held.
 type LostError struct {
 	Pool, Zone string
 	Fence      uint64
--- a/lease/slow_test.go
+++ b/lease/slow_test.go
@@ -12,7 +12,7 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// slowTable now and then takes slowWay for a call to come, or for its answer.
+// slowTable delays a third of the requests, and a third of the responses, by networkDelay.
 type slowTable struct {
 	*memtable.Table
 	partitioned atomic.Bool
@@ -44,10 +44,9 @@
 	return s.Table.Commit(ctx, txn)
 }
 
-// TestSlowTable cuts whoever holds the lease from a slow table, again and again.
-// The holder goes on by its own count, and its successor never begins before
-// that has ended: the one counts from before it asked, the other from after it
-// was answered.
+// TestSlowTable repeatedly partitions the holder from a slow table. The holder's authority
+// continues by its own count, and the successor must never begin before that has ended: the
+// holder counts from before it sent its write, the successor from after it received its read.
 func TestSlowTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
@@ -68,7 +67,7 @@
 			tables[holder].partitioned.Store(true)
 			waitUntil(t, "the other leads", func() bool {
 				if contenders[0].holds() && contenders[1].holds() {
-					t.Fatal("two holders have authority")
+					t.Fatal("two holders have authority at the same time")
 				}
 				return contenders[1-holder].holds()
 			})
--- a/lease/suspension_test.go
+++ b/lease/suspension_test.go
@@ -10,9 +10,9 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// A holder whose VM was suspended for longer than the lease has no authority from its first
-// moment on: another VM holds the lease by then. On a clock that stands still meanwhile, it
-// would have given orders for as long as was left when the VM was suspended.
+// A holder whose VM was suspended for longer than the lease has no authority from the moment it
+// resumes, as another VM may hold the lease by then. A clock that stops during suspension would
+// leave it with the authority that remained when the VM was suspended.
 func TestSuspendedHolderHasNoAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended atomic.Int64 // nanoseconds
@@ -20,11 +20,11 @@
 		a := start(t, memtable.New(), "a", 0)
 		time.Sleep(2 * a.holder.cfg.Poll)
 		if !a.holds() {
-			t.Fatal("the lease is not taken")
+			t.Fatal("the lease was not acquired")
 		}
 		suspended.Store(int64(a.holder.cfg.TTL + time.Second))
 		if a.holds() {
-			t.Error("the holder may act although its lease has run out while it was suspended")
+			t.Error("the holder has authority although its lease expired during the suspension")
 		}
 		a.stop()
 		<-a.done
