--- a/membership/client.go
+++ b/membership/client.go
@@ -13,30 +13,30 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// ListPath is the HTTP path of the list. A GET returns a ListResponse with an
-// ETag, or 304 when If-None-Match names the present one. With ZoneParameter the
-// answer leaves out the endpoints of other zones.
+// ListPath is the HTTP path of the list. A GET returns a ListResponse with an ETag, or 304 when
+// If-None-Match names the current one. With ZoneParameter the response omits the endpoints of
+// other zones.
 const (
 	ListPath      = "/membership/list"
 	ZoneParameter = "zone"
 )
 
-// ListResponse is the answer to a request for the list.
+// ListResponse is the body of a response to a request for the list.
 type ListResponse struct {
 	VMs []VM `json:"vms"`
 }
 
-// ResponseError is an answer that the client does not understand.
+// ResponseError reports a response that the client can't interpret.
 type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
-	// Cause is the failure to decode, or nil.
+	// Cause is the decoding error, or nil.
 	Cause error
 }
 
 // Error implements error.
 func (e *ResponseError) Error() string {
-	return fmt.Sprintf("membership answer with status %d not understood: %v", e.Status, e.Cause)
+	return fmt.Sprintf("unexpected membership response with status %d: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
@@ -45,13 +45,13 @@
 // Unwrap returns the cause.
 func (e *ResponseError) Unwrap() error { return e.Cause }
 
-// Client reads the platform's list over HTTP/JSON. It fetches the list again
-// only when it changed, as a large fleet's list is too long for every poll.
+// Client reads the platform's list over HTTP/JSON. It uses conditional requests, because a large
+// fleet's list is too long to transfer at every poll.
 type Client struct {
 	url    string
 	sender *httponce.Sender
 
-	// mu guards the last list and its tag. It is not held during a request.
+	// mu guards the last list and its ETag. It is not held during a request.
 	mu   sync.Mutex
 	vms  []VM
 	etag string
@@ -59,8 +59,8 @@
 
 var _ List = (*Client)(nil)
 
-// NewClient returns a client of the list at address (host:port). When zone is
-// not empty, endpoints of other zones are left out; entries never are.
+// NewClient returns a client of the list at address (host:port). If zone is not empty, the list
+// omits the endpoints of other zones, but never entry VMs.
 func NewClient(address, zone string, c httponce.Config) *Client {
 	u := url.URL{Scheme: "http", Host: address, Path: ListPath}
 	if zone != "" {
@@ -85,8 +85,8 @@
 	case response.Status != http.StatusOK:
 		return nil, &UnavailableError{Cause: &ResponseError{Status: response.Status}}
 	}
-	// A body that lacks the field must not pass for an empty list, which would
-	// declare every VM gone.
+	// A body without the field must not be read as an empty list, which would mark every VM as
+	// removed.
 	var body struct {
 		VMs *[]VM `json:"vms"`
 	}
--- a/membership/fakelist/fakelist.go
+++ b/membership/fakelist/fakelist.go
@@ -1,4 +1,5 @@
-// Package fakelist is a settable membership list that lags.
+// Package fakelist is a membership list for tests, with lag, latency and failures that can be
+// set.
 package fakelist
 
 import (
@@ -26,32 +27,32 @@
 // Reason implements failure.Coded.
 func (FaultError) Reason() failure.Reason { return failure.MembershipUnavailable }
 
-// state is the true list from a moment on.
+// state is the actual list from a point in time on.
 type state struct {
 	since time.Time
 	vms   []membership.VM
 }
 
-// List is a membership.List under the control of a test. The zero value is an
-// empty list without lag. The lag is taken on the monotonic clock.
+// List is a membership.List that a test controls. The zero value is an empty list without lag.
+// The lag is measured on the monotonic clock.
 type List struct {
 	mu    sync.Mutex
 	lag   time.Duration
 	down  bool
 	delay time.Duration
 	reads uint64
-	// states are the true lists in order; the last is the present one.
+	// states are the actual lists in order; the last is the current one.
 	states []state
 }
 
 var _ membership.List = (*List)(nil)
 
-// New returns a list that shows vms at once.
+// New returns a list that shows vms without lag.
 func New(vms ...membership.VM) *List {
 	return &List{states: []state{{vms: slices.Clone(vms)}}}
 }
 
-// Set replaces the true list; readers see it after the lag.
+// Set replaces the actual list; readers see it after the lag.
 func (l *List) Set(vms ...membership.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +68,7 @@
 	l.push(sortedByName(byName))
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (l *List) Remove(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,14 +77,14 @@
 	l.push(sortedByName(byName))
 }
 
-// SetLag sets how long a change takes to show.
+// SetLag sets the time until a change becomes visible.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
-// SetDown makes reads fail, or ends that.
+// SetDown sets whether reads fail.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +98,7 @@
 	l.delay = d
 }
 
-// Reads returns how often the list was read.
+// Reads returns the number of reads.
 func (l *List) Reads() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +126,7 @@
 	return slices.Clone(vms), nil
 }
 
-// wait counts a read and sleeps as long as it takes.
+// wait counts a read and sleeps for the delay.
 func (l *List) wait(ctx context.Context) error {
 	l.mu.Lock()
 	l.reads++
@@ -137,16 +138,16 @@
 	return nil
 }
 
-// push makes vms the present list, with l.mu held.
+// push makes vms the current list. The caller holds l.mu.
 func (l *List) push(vms []membership.VM) {
 	l.states = append(l.states, state{since: time.Now(), vms: vms})
 	if len(l.states) > maxStates {
 		l.states = slices.Delete(l.states, 0, len(l.states)-maxStates)
-		l.states[0].since = time.Time{} // Stands for all that is forgotten.
+		l.states[0].since = time.Time{} // represents all discarded states
 	}
 }
 
-// byName returns the present list by name, with l.mu held.
+// byName returns the current list by name. The caller holds l.mu.
 func (l *List) byName() map[string]membership.VM {
 	byName := make(map[string]membership.VM)
 	if len(l.states) > 0 {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership is the system's view of the platform's list of live and
-// leaving VMs. The list lags: a dead VM stays on it for a while, and a new one
-// is missing at first. A VM that was listed and then dropped is gone for good.
+// Package membership reads the platform's list of running and leaving VMs. The list lags: a
+// failed VM remains listed for some time, and a new one is missing at first. A VM that was listed
+// and then dropped never returns.
 package membership
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Kind tells what runs on a VM.
+// Kind is what a VM runs.
 type Kind string
 
 // The kinds of VM.
@@ -21,15 +21,15 @@
 	Endpoint Kind = "endpoint"
 )
 
-// VM is one line of the list.
+// VM is an entry of the list.
 type VM struct {
-	// Name is unique for the life of the VM and never used again.
+	// Name is unique and never reused.
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
 	// Zone is the availability zone.
 	Zone string `json:"zone"`
-	// Address is host:port of the VM's main process (the entry's peer
-	// address, or the endpoint's address).
+	// Address is the host:port of the VM's main process: the peer address of an entry VM, or the
+	// endpoint's address.
 	Address string `json:"address"`
 	// Leaving is set once the platform plans to stop the VM.
 	Leaving bool `json:"leaving"`
@@ -41,7 +41,7 @@
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// UnavailableError is a list that could not be read.
+// UnavailableError reports that the list couldn't be read.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -17,39 +17,39 @@
 	DefaultTimeout  = 2 * time.Second
 )
 
-// maxGone bounds the names remembered as gone. A name forgotten counts as not
-// gone, which holds things up rather than letting them pass.
+// maxRemoved bounds the number of removed VMs that are remembered. A forgotten name counts as not
+// removed, which delays work that waits for the removal and never lets it start too early.
 const maxRemoved = 8192
 
-// WatcherConfig says how often a Watcher polls. The zero value takes the defaults.
+// WatcherConfig sets the polling of a Watcher. The zero value takes the defaults.
 type WatcherConfig struct {
-	// Interval is the mean time between polls. Each wait is drawn evenly
-	// between half of it and one and a half times it.
+	// Interval is the mean time between polls. Each wait is drawn uniformly from 0.5 to 1.5 times
+	// the interval.
 	Interval time.Duration
 	// Timeout bounds one poll.
 	Timeout time.Duration
 }
 
-// Snapshot is the last list that was read.
+// Snapshot is the list as last read.
 type Snapshot struct {
-	// VMs is the list without the VMs that are gone. It is not to be changed.
+	// VMs is the list without the removed VMs. It must not be modified.
 	VMs []VM
-	// ReadAt is the moment before the read was sent, on the monotonic clock;
-	// zero when no read has succeeded yet.
+	// ReadAt is the time just before the read was sent, on the monotonic clock; zero before the
+	// first successful read.
 	ReadAt time.Time
 }
 
-// Loaded tells whether the list was ever read.
+// Loaded reports whether the list was read at least once.
 func (s Snapshot) Loaded() bool { return !s.ReadAt.IsZero() }
 
-// Age is how old the list is at now, apart from the platform's own lag.
+// Age returns the age of the list at now, without the platform's own lag.
 func (s Snapshot) Age(now time.Time) time.Duration { return now.Sub(s.ReadAt) }
 
-// Watcher polls a List and keeps the last good one.
+// Watcher polls a List and keeps the last list that was read.
 //
-// Invariant: once Removed(name) is true and while it is remembered, the VM is in no
-// snapshot, even if an older copy of the list shows it again. A VM that was
-// never seen, or is merely missing at first, is not gone.
+// Invariant: while a removed VM is remembered, so that Removed(name) is true, it is in no
+// snapshot, even if an older copy of the list shows it again. A VM that was never listed is not
+// removed.
 type Watcher struct {
 	list   List
 	config WatcherConfig
@@ -57,12 +57,13 @@
 	mu       sync.RWMutex
 	snapshot Snapshot
 	removed  map[string]bool
-	// goneOrder holds the keys of gone, oldest first.
+	// removedOrder holds the keys of removed, oldest first.
 	removedOrder []string
 	changed      chan struct{}
 }
 
-// NewWatcher returns a Watcher of list. It knows nothing until Poll or Run.
+// NewWatcher returns a Watcher of list. Its snapshot is empty until Poll or Run has read the
+// list.
 func NewWatcher(list List, config WatcherConfig) *Watcher {
 	if config.Interval <= 0 {
 		config.Interval = DefaultInterval
@@ -86,10 +87,10 @@
 			return
 		}
 		if err != nil && !failing {
-			klog.Warningf("membership: list not read, keeping the last: %v", err)
+			klog.Warningf("membership: failed to read the list, keeping the last one: %v", err)
 		}
 		if err == nil && failing {
-			klog.Infof("membership: list read again")
+			klog.Infof("membership: list is readable again")
 		}
 		failing = err != nil
 		if !loop.Sleep(ctx, loop.Jitter(w.config.Interval)) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Poll reads the list once. After an error the last list stands.
+// Poll reads the list once. After an error the last list is kept.
 func (w *Watcher) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, w.config.Timeout)
 	defer cancel()
@@ -118,7 +119,8 @@
 	return w.snapshot
 }
 
-// Removed tells whether the VM was listed and then dropped. False means not known.
+// Removed reports whether the VM was listed and then dropped. False doesn't prove that the VM is
+// running.
 func (w *Watcher) Removed(name string) bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -132,12 +134,12 @@
 	return w.changed
 }
 
-// take makes vms the last list.
+// update makes vms the last list.
 func (w *Watcher) update(vms []VM, readAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.snapshot.ReadAt.After(readAt) {
-		return // A slower read, overtaken by a later one.
+		return // a read that was sent later has already completed
 	}
 	old := byName(w.snapshot.VMs)
 	current := make([]VM, 0, len(vms))
@@ -162,9 +164,9 @@
 	}
 }
 
-// drop remembers that a VM is gone, with w.mu held.
+// markRemoved records that a VM was removed. The caller holds w.mu.
 func (w *Watcher) markRemoved(name string) {
-	klog.Infof("membership: VM %s is gone", name)
+	klog.Infof("membership: VM %s was removed from the list", name)
 	w.removed[name] = true
 	w.removedOrder = append(w.removedOrder, name)
 	if len(w.removedOrder) > maxRemoved {
--- a/membership/watcher_test.go
+++ b/membership/watcher_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-// TestWatcherFollowsList gives the list step by step and reads it once after each.
+// TestWatcherFollowsList changes the list in steps and polls once after each.
 func TestWatcherFollowsList(t *testing.T) {
 	leaving := vm("b")
 	leaving.Leaving = true
@@ -38,7 +38,7 @@
 		down    bool
 		want    string
 		removed string
-		// quiet is set when the change must not be announced.
+		// unsignalled is set when the step must not close the channel of Changed.
 		unsignalled bool
 	}{
 		{name: "down at first", down: true, unsignalled: true},
@@ -70,31 +70,30 @@
 				}
 			}
 			if diff := cmp.Diff(s.removed, removed); diff != "" {
-				t.Errorf("%s: gone: %s", s.name, diff)
+				t.Errorf("%s: removed: %s", s.name, diff)
 			}
 			select {
 			case <-changed:
 				if s.unsignalled {
-					t.Errorf("%s: announced", s.name)
+					t.Errorf("%s: change signalled", s.name)
 				}
 			default:
 				if !s.unsignalled {
-					t.Errorf("%s: not announced", s.name)
+					t.Errorf("%s: change not signalled", s.name)
 				}
 			}
 		}
 	})
 }
 
-// TestWatcherRun lets the list lag and go down, and checks what a reader can
-// tell from the age.
+// TestWatcherRun makes the list lag and hang, and checks the age that a reader gets.
 func TestWatcherRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := fakelist.New(vm("a"))
 		list.SetLag(5 * time.Second)
 		w := membership.NewWatcher(list, membership.WatcherConfig{})
 		if w.Snapshot().Loaded() {
-			t.Error("known before the first read")
+			t.Error("loaded before the first read")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -130,7 +129,7 @@
 	})
 }
 
-// TestGoneIsBounded drops more VMs than are remembered.
+// TestRemovedNamesAreBounded removes more VMs than are remembered.
 func TestRemovedNamesAreBounded(t *testing.T) {
 	const n = 9000
 	list := fakelist.New()
@@ -142,6 +141,6 @@
 		}
 	}
 	if w.Removed("0") || !w.Removed(fmt.Sprint(n-2)) {
-		t.Errorf("first gone: %v, last gone: %v", w.Removed("0"), w.Removed(fmt.Sprint(n-2)))
+		t.Errorf("first removed: %v, last removed: %v", w.Removed("0"), w.Removed(fmt.Sprint(n-2)))
 	}
 }
