--- a/table/batcher.go
+++ b/table/batcher.go
@@ -20,32 +20,31 @@
 
 // BatcherConfig bounds a Batcher. The zero value takes the defaults.
 type BatcherConfig struct {
-	// MaxConcurrent is the most commits in flight at once.
+	// MaxConcurrent is the maximum number of commits in flight.
 	MaxConcurrent int
-	// Interval is the least time between the starts of two commits, so that one
-	// process makes at most 1/Interval commits a second, apart from groups that
-	// fall apart in a conflict. Zero sets no bound. A transaction that comes
-	// after a quiet Interval is not delayed.
+	// Interval is the minimum time between the starts of two commits, so that one process starts
+	// at most 1/Interval commits a second, apart from groups that are split after a conflict.
+	// Zero sets no bound. A transaction that arrives after an idle Interval is not delayed.
 	Interval time.Duration
 	// Timeout bounds one commit of a group.
 	Timeout time.Duration
-	// MaxPending is the most transactions that wait; more are refused.
+	// MaxPending is the maximum number of queued transactions; further ones are refused.
 	MaxPending int
 }
 
-// Batcher is a Service that groups transactions which wait at the same moment
-// into one commit. Reads pass straight through. A transaction that finds a free
-// lane leaves at once, so without load nothing waits for company.
+// Batcher is a Service that groups concurrently queued transactions into one commit. Reads are
+// forwarded unchanged. A transaction that finds a free worker is committed at once, so without
+// load none waits for others to join it.
 //
-// A group is one transaction and holds or fails wholly, while each waiter must
-// get the result of its own. Only transactions that share no row are grouped,
-// so no check of one depends on a write of another, and committing the group
-// equals committing each in any order. If the group conflicts, nothing of it
-// took effect, and each is committed by itself.
+// A group is a single transaction, which applies as a whole or not at all, while each caller must
+// get the result of its own transaction. Only transactions that share no row are grouped. No
+// check of one then depends on a write of another, and committing the group is equivalent to
+// committing each in any order. If the group conflicts, none of it took effect, and each
+// transaction is committed by itself.
 //
-// A group whose answer was lost may yet take effect, like a lone transaction:
-// a waiter that repeats its own part moves a row that the group checks (see
-// CommitAndResolve), so the late group then fails wholly.
+// A group whose response was lost may still take effect, like a single transaction: a caller that
+// repeats its own transaction changes the version of a row that the group checks (see
+// CommitAndResolve), so the delayed group then fails as a whole.
 type Batcher struct {
 	Service
 	config BatcherConfig
@@ -53,16 +52,16 @@
 	// mu guards the fields below. It is not held during a commit.
 	mu    sync.Mutex
 	queue []*pending
-	// busy counts the lanes that run. At most one of them is pacing: it sleeps
-	// until the next commit may start and then takes a group. Invariant: while
-	// anything waits, a lane is pacing or all lanes are committing.
+	// active counts the running workers. At most one of them is pacing: it sleeps until the next
+	// commit may start and then takes a group. Invariant: while the queue is not empty, a worker
+	// is pacing or all workers are committing.
 	active int
 	pacing bool
 	// nextStart is when the next commit may start.
 	nextStart time.Time
 }
 
-// pending is one transaction on its way. done is closed once its result is set.
+// pending is a queued or running transaction. done is closed once its result is set.
 type pending struct {
 	txn      Txn
 	versions []Version
@@ -70,13 +69,13 @@
 	done     chan struct{}
 }
 
-// QueueFullError is the cause of an *UnavailableError for a transaction that found
-// too many others waiting.
+// QueueFullError is the cause of the *UnavailableError for a transaction that found the queue
+// full.
 type QueueFullError struct{ Pending int }
 
 // Error implements error.
 func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("%d transactions wait already", e.Pending)
+	return fmt.Sprintf("%d transactions are already queued", e.Pending)
 }
 
 // Reason implements failure.Coded.
@@ -96,8 +95,9 @@
 	return &Batcher{Service: s, config: c}
 }
 
-// Commit implements Service. When ctx ends, a transaction still waiting is taken
-// back and certainly had no effect; one that has left is unknown.
+// Commit implements Service. When ctx ends, a transaction that is still queued is withdrawn and
+// had no effect (*UnavailableError); the outcome of one that is in flight is unknown
+// (*UnknownError).
 func (b *Batcher) Commit(ctx context.Context, txn Txn) ([]Version, error) {
 	if err := txn.Validate(); err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	return nil, &UnknownError{Cause: context.Cause(ctx)}
 }
 
-// enqueue adds p to the waiting and starts a lane if one is free.
+// enqueue appends p to the queue and starts a worker if one is free.
 func (b *Batcher) enqueue(ctx context.Context, p *pending) error {
 	if ctx.Err() != nil {
 		return &UnavailableError{Cause: context.Cause(ctx)}
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// takeBack removes p from the waiting; it returns false when p has left.
+// withdraw removes p from the queue; it returns false if p is already in flight.
 func (b *Batcher) withdraw(p *pending) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,7 +144,7 @@
 	return true
 }
 
-// startLane starts a lane if one is needed and free, with b.mu held.
+// startWorker starts a worker if one is needed and free. The caller holds b.mu.
 func (b *Batcher) startWorker() {
 	if len(b.queue) == 0 || b.pacing || b.active >= b.config.MaxConcurrent {
 		return
@@ -154,7 +154,7 @@
 	go b.work()
 }
 
-// lane commits groups until nothing waits or another lane sees to it.
+// work commits groups until the queue is empty or another worker is pacing.
 func (b *Batcher) work() {
 	for {
 		time.Sleep(b.delay())
@@ -167,14 +167,15 @@
 	}
 }
 
-// delay is the time until the next commit may start.
+// delay returns the time until the next commit may start.
 func (b *Batcher) delay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Until(b.nextStart)
 }
 
-// again makes a lane that has committed the pacing one, or ends it.
+// continueWorking makes a worker that has committed the pacing one, or returns false if the
+// worker must end.
 func (b *Batcher) continueWorking() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,8 +187,8 @@
 	return true
 }
 
-// next takes the next group off the waiting, if any is left, and ends the
-// pacing. What does not go together with the group is another lane's.
+// nextGroup removes the next group from the queue, if it is not empty, and ends the pacing.
+// Transactions that can't join the group are left to another worker.
 func (b *Batcher) nextGroup() []*pending {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -201,8 +202,8 @@
 	return group
 }
 
-// split picks, oldest first, transactions that share no row and stay within the
-// limits of one.
+// selectGroup selects, oldest first, transactions that share no row and together stay within the
+// limits of one transaction.
 func selectGroup(queue []*pending) (group, rest []*pending) {
 	used := make(map[Key]bool)
 	rows, bytes := 0, 0
@@ -220,7 +221,7 @@
 	return group, rest
 }
 
-// touches tells whether txn touches a row in taken.
+// sharesRow reports whether txn checks or writes a row in used.
 func sharesRow(txn Txn, used map[Key]bool) bool {
 	for _, c := range txn.Checks {
 		if used[c.Key] {
@@ -235,7 +236,7 @@
 	return false
 }
 
-// take adds the rows of txn to taken.
+// addRows adds the rows of txn to used.
 func addRows(txn Txn, used map[Key]bool) {
 	for _, c := range txn.Checks {
 		used[c.Key] = true
@@ -245,7 +246,7 @@
 	}
 }
 
-// commitGroup commits a group and gives each waiter its own result.
+// commitGroup commits a group and gives each caller its own result.
 func (b *Batcher) commitGroup(group []*pending) {
 	versions, err := b.commit(merge(group))
 	var conflict *ConflictError
@@ -262,8 +263,8 @@
 	}
 }
 
-// commitSingly commits the transactions of a group each by itself, all at once:
-// one that is slow or lost must not hold up the others.
+// commitSingly commits each transaction of a group by itself, concurrently: a slow or lost one
+// must not delay the others.
 func (b *Batcher) commitSingly(group []*pending) {
 	var wg sync.WaitGroup
 	for _, p := range group {
@@ -276,15 +277,15 @@
 	wg.Wait()
 }
 
-// commit sends one transaction. It does not end with any waiter's context, as
-// others depend on it too.
+// commit sends one transaction. It doesn't end with any caller's context, because other callers
+// depend on it too.
 func (b *Batcher) commit(txn Txn) ([]Version, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), b.config.Timeout)
 	defer cancel()
 	return b.Service.Commit(ctx, txn)
 }
 
-// joined is one transaction that does what those of the group do.
+// merge returns one transaction that combines those of the group.
 func merge(group []*pending) Txn {
 	if len(group) == 1 {
 		return group[0].txn
@@ -297,7 +298,7 @@
 	return txn
 }
 
-// finish sets the result of p and wakes its waiter.
+// finish sets the result of p and wakes its caller.
 func (p *pending) finish(err error) {
 	p.err = err
 	close(p.done)
--- a/table/batcher_test.go
+++ b/table/batcher_test.go
@@ -18,13 +18,14 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// result is how a commit ended.
+// result is the outcome of a commit.
 type result struct {
 	Versions []table.Version
 	Reason   failure.Reason
 }
 
-// onlyAt is a version that holds for no absent row when i is at, and Absent otherwise.
+// mismatchAt returns a version that conflicts with an absent row if i is at, and Absent
+// otherwise.
 func mismatchAt(i, at int) table.Version {
 	if i == at {
 		return 1
@@ -32,7 +33,7 @@
 	return table.Absent
 }
 
-// commitAll commits txns at the same moment.
+// commitAll commits txns concurrently.
 func commitAll(ctx context.Context, s table.Service, txns []table.Txn) []result {
 	results := make([]result, len(txns))
 	var wg sync.WaitGroup
@@ -50,12 +51,13 @@
 	const n = 100
 	tests := []struct {
 		name string
-		// row names the row of the i-th transaction; version is what it checks.
+		// row returns the row of the i-th transaction; version returns the version that it
+		// checks.
 		row           func(i int) string
 		version       func(i int) table.Version
 		concurrency   int
 		wantSucceeded int
-		// maxCommits allows for the lane having left before the others came.
+		// maxCommits allows for a first group that the worker takes before the others are queued.
 		maxCommits uint64
 	}{
 		{name: "independent", row: func(i int) string { return fmt.Sprint(i) }, concurrency: 1, wantSucceeded: n, maxCommits: 2},
@@ -87,17 +89,17 @@
 					}
 				}
 				if succeeded != tt.wantSucceeded {
-					t.Errorf("%d won, want %d", succeeded, tt.wantSucceeded)
+					t.Errorf("%d succeeded, want %d", succeeded, tt.wantSucceeded)
 				}
 				if got := m.Counts().Commits; got > tt.maxCommits {
-					t.Errorf("%d commits, want %d at most", got, tt.maxCommits)
+					t.Errorf("%d commits, want at most %d", got, tt.maxCommits)
 				}
 			})
 		})
 	}
 }
 
-// checkWinner checks that the row holds what txn wrote, at the version answered.
+// checkWritten checks that the row holds what txn wrote, at the returned version.
 func checkWritten(t *testing.T, m *memtable.Table, r result, txn table.Txn) {
 	t.Helper()
 	w := txn.Writes[0]
@@ -111,8 +113,8 @@
 	}
 }
 
-// TestBatcherGivesUp ends the context of one transaction that has left and of
-// one that still waits behind it.
+// TestBatcherCancellation cancels the context of a transaction that is in flight, of one that is
+// queued behind it, and of one that was refused.
 func TestBatcherCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
@@ -141,7 +143,7 @@
 	})
 }
 
-// TestBatcherPacesCommits offers a steady load and then one lone transaction.
+// TestBatcherPacesCommits commits at a steady rate and then a single transaction.
 func TestBatcherPacesCommits(t *testing.T) {
 	const (
 		perSecond = 2000
@@ -174,13 +176,13 @@
 		start := time.Now()
 		commit("lone")
 		if took := time.Since(start); took != slow {
-			t.Errorf("a lone transaction took %v, want %v", took, slow)
+			t.Errorf("a single transaction took %v, want %v", took, slow)
 		}
 	})
 }
 
-// TestBatcherPassesOnDoubt loses the answer of a group: nobody may be told more
-// than is known.
+// TestBatcherReportsUnknownOutcome injects faults into the commit of a group. Each caller must
+// get the reason of its outcome and no versions: a lost response leaves the outcome unknown.
 func TestBatcherReportsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for fault, want := range map[memtable.Fault]failure.Reason{
@@ -194,7 +196,7 @@
 			txns := []table.Txn{guarded("a", "1", 0), guarded("b", "2", 0), guarded("c", "3", 0)}
 			for i, r := range commitAll(t.Context(), s, txns) {
 				if r.Reason != want || r.Versions != nil {
-					t.Errorf("%+v: transaction %d got %v, want %v", fault, i, r, want)
+					t.Errorf("fault %+v: transaction %d got %v, want %v", fault, i, r, want)
 				}
 			}
 		}
--- a/table/client.go
+++ b/table/client.go
@@ -11,9 +11,9 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// Client speaks HTTP/JSON to the platform's table service. It never repeats a
-// request by itself, and says UnavailableError for a write only when nothing of
-// it was sent or the service itself refused it.
+// Client accesses the platform's table service over HTTP/JSON. It never repeats a request by
+// itself, and returns UnavailableError for a write only when nothing was sent or the service
+// itself refused it.
 type Client struct {
 	base   string
 	sender *httponce.Sender
@@ -26,17 +26,17 @@
 	return &Client{base: "http://" + address, sender: httponce.NewSender(c)}
 }
 
-// ResponseError is an answer that the client does not understand.
+// ResponseError reports a response that the client can't interpret.
 type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
-	// Cause is the failure to decode, or nil.
+	// Cause is the decoding error, or nil.
 	Cause error
 }
 
 // Error implements error.
 func (e *ResponseError) Error() string {
-	return fmt.Sprintf("table answer with status %d not understood: %v", e.Status, e.Cause)
+	return fmt.Sprintf("unexpected table response with status %d: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
@@ -62,7 +62,7 @@
 	return c.read(ctx, ScanPath, ScanRequest{Table: table, Prefix: prefix, After: after, Limit: limit})
 }
 
-// read sends a read. Whatever goes wrong, a read had no effect.
+// read sends a read. A failed read had no effect, so its errors are never *UnknownError.
 func (c *Client) read(ctx context.Context, path string, request any) ([]Row, error) {
 	var response RowsResponse
 	err := c.call(ctx, path, request, &response)
@@ -88,8 +88,8 @@
 	return response.Versions, nil
 }
 
-// call sends one request and decodes its answer. Every error but an explicit
-// refusal counts as unknown once anything may have been sent.
+// call sends one request and decodes the response into out. Once anything may have been sent,
+// every error except an explicit refusal is an *UnknownError.
 func (c *Client) call(ctx context.Context, path string, request, out any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// refusal turns an answer other than 200 into an error.
+// errorOf converts a response with a status other than 200 to an error.
 func errorOf(response *httponce.Answer) error {
 	var r ErrorResponse
 	if err := json.Unmarshal(response.Body, &r); err != nil {
--- a/table/feed.go
+++ b/table/feed.go
@@ -8,30 +8,29 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Change is a row as it stands after a change.
+// Change is the state of a row after a change.
 type Change struct {
 	Row Row
-	// Deleted is set when the row is no longer there; Value is then nil.
+	// Deleted is set when the row was deleted; Value is then nil.
 	Deleted bool
-	// NotBefore is the earliest time, by this VM's clock, at which the change can have been
-	// made as far as its source can tell; zero if it cannot.
+	// NotBefore is the earliest time, by this VM's clock, at which the change can have been made;
+	// zero if the source can't determine it.
 	NotBefore time.Time
 }
 
-// Feed reads a table as a whole and follows its changes. Implementations are
-// safe for concurrent use.
+// Feed reads a whole table and follows its changes. Implementations are safe for concurrent use.
 type Feed interface {
-	// List returns all rows of a table as of a single moment, and the version to
-	// follow it from.
+	// List returns all rows of a table in one consistent snapshot, and the version from which to
+	// follow it.
 	List(ctx context.Context, table string) ([]Row, Version, error)
-	// Changes returns the rows that changed after a version, in order, and the
-	// version to continue from. It waits up to wait for a change; no rows and no
-	// error means that there was none. *HistoryGoneError means that the changes
-	// are no longer kept: list anew.
+	// Changes returns the rows that changed after a version, in order, and the version to
+	// continue from. It waits up to wait for a change; no rows and no error mean that there was
+	// none. *HistoryGoneError means that the history doesn't reach back to the version: list
+	// again.
 	Changes(ctx context.Context, table string, after Version, wait time.Duration) ([]Change, Version, error)
 }
 
-// HistoryGoneError is a question for changes that are no longer kept.
+// HistoryGoneError reports that the changes after a version are no longer kept.
 type HistoryGoneError struct {
 	Table string
 	After Version
--- a/table/follow.go
+++ b/table/follow.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// DefaultFeedWait is how long one question for changes waits. A longer wait
-	// makes fewer calls; a shorter one finds a store that fell silent sooner.
+	// DefaultFeedWait is how long one query for changes waits. A longer wait makes fewer calls; a
+	// shorter one detects an unresponsive store sooner.
 	DefaultFeedWait = 4 * time.Second
-	// feedRetryMin and feedRetryMax bound the mean pause before a failed
-	// question is asked again; it doubles with each.
+	// feedRetryMin and feedRetryMax bound the mean pause before a failed query is retried; the
+	// pause doubles with each failure.
 	feedRetryMin = 100 * time.Millisecond
 	feedRetryMax = 800 * time.Millisecond
 )
 
-// Listing tells under which circumstances a table was read whole.
+// Listing describes the circumstances under which a whole table was read.
 type Listing struct {
-	// AfterOutage marks the first answer after questions that failed: what it shows as missing
-	// may have lapsed only because the store was away.
+	// AfterOutage marks the first response after failed queries: rows that are missing from it
+	// may have expired only because the store was unavailable.
 	AfterOutage bool
-	// NewEpoch marks the first listing since the store came back from a copy: it may lack, or hold
-	// as it was, what has changed since the copy was taken.
+	// NewEpoch marks the first listing after the store was restored from a backup: changes made
+	// since the backup may be missing or reverted.
 	NewEpoch bool
 }
 
-// Follower keeps up with one table: it reads it whole, then follows its changes,
-// and reads it whole again when they are no longer kept.
+// Follower follows one table: it reads the whole table, then its changes, and reads the whole
+// table again when the changes are no longer kept.
 //
-// The callbacks are called one at a time, in the order of the table's versions. afterOutage is as
-// in Listing.
+// The callbacks are called one at a time, in the order of the table's versions. afterOutage has
+// the meaning of Listing.AfterOutage.
 type Follower struct {
 	Feed  Feed
 	Table string
-	// Wait is how long a question waits for a change; zero takes DefaultFeedWait.
+	// Wait is how long a query waits for a change; zero takes DefaultFeedWait.
 	Wait time.Duration
-	// OnList takes the whole table.
+	// OnList receives the whole table.
 	OnList func(rows []Row, listing Listing)
-	// OnChanges takes changes; there may be none.
+	// OnChanges receives changes; there may be none.
 	OnChanges func(changes []Change, afterOutage bool)
-	// OnResponse, which may be nil, is called after OnList or OnChanges has taken in an answer.
+	// OnResponse, which may be nil, is called after OnList or OnChanges has processed a response.
 	OnResponse func()
-	// OnUnavailable is called when a question fails after one that did not, OnRecovered
-	// when one succeeds again, with how long there was no answer. Both may be nil.
+	// OnUnavailable is called when a query fails after a successful one or as the first.
+	// OnRecovered is called at the next successful one, with the time since the last response.
+	// Both may be nil.
 	OnUnavailable func(err error)
-	OnRecovered   func(away time.Duration)
+	OnRecovered   func(outage time.Duration)
 
 	unavailable  bool
 	lastResponse time.Time
-	// failures counts the questions that failed one after the other.
+	// failures counts consecutive failed queries.
 	failures int
-	// epoch is that of the last listing.
+	// epoch is the epoch of the last listing.
 	epoch uint64
 }
 
@@ -79,13 +80,13 @@
 	}
 }
 
-// follow asks for changes until they are no longer kept.
+// follow queries for changes until they are no longer kept.
 func (f *Follower) follow(ctx context.Context, version Version) {
 	var historyGone *HistoryGoneError
 	for ctx.Err() == nil {
 		wait := f.Wait
 		if f.unavailable {
-			wait = 0 // the first answer must not mix in what happens after the outage
+			wait = 0 // the first response must not include changes made after the outage
 		}
 		changes, next, err := f.Feed.Changes(ctx, f.Table, version, wait)
 		switch {
@@ -107,7 +108,7 @@
 	}
 }
 
-// failed notes a question without an answer and pauses.
+// handleError records a failed query and sleeps for the backoff.
 func (f *Follower) handleError(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -123,7 +124,7 @@
 	loop.Sleep(ctx, loop.Jitter(pause))
 }
 
-// answered notes an answer and tells whether it is the first after an outage.
+// handleResponse records a response and reports whether it is the first after an outage.
 func (f *Follower) handleResponse() (afterOutage bool) {
 	now := clock.Now()
 	afterOutage = f.unavailable
--- a/table/follow_test.go
+++ b/table/follow_test.go
@@ -13,19 +13,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// feed is a table whose changes are numbered, and that can be away. Its lock guards
-// all fields: a test changes them while the follower asks.
+// fakeFeed is a table with numbered changes that can be unavailable. Its lock guards all fields:
+// a test changes them while the follower queries.
 type fakeFeed struct {
 	mu      sync.Mutex
 	log     []Change
 	trimmed Version
 	down    bool
-	// waits are the waits of the questions for changes.
+	// waits holds the waits of the queries for changes.
 	waits []time.Duration
 	calls int
 }
 
-var errDown = errors.New("away")
+var errDown = errors.New("down")
 
 func (f *fakeFeed) put(row string) {
 	f.mu.Lock()
@@ -39,7 +39,7 @@
 	f.log = append(f.log, Change{Row: Row{Key: Key{Table: "t", Row: row}, Version: f.version() + 1}, Deleted: true})
 }
 
-// now is the version of the newest change. The lock is held.
+// version returns the version of the newest change. The caller holds f.mu.
 func (f *fakeFeed) version() Version { return Version(len(f.log)) }
 
 func (f *fakeFeed) setDown(down bool) {
@@ -48,7 +48,7 @@
 	f.down = down
 }
 
-// forget drops the history up to now.
+// trim discards the history up to the current version.
 func (f *fakeFeed) trim() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +105,7 @@
 	return slices.Clone(f.log[min(after, f.version()):]), f.version(), nil
 }
 
-// follow runs a follower while steps change the feed, and returns what it told.
+// runFollower runs a follower while steps changes the feed, and returns a line for each callback.
 func runFollower(t *testing.T, f *fakeFeed, steps func()) []string {
 	t.Helper()
 	var events []string
@@ -155,9 +155,9 @@
 	}{
 		{"changes", func(f *fakeFeed) { f.put("b"); time.Sleep(time.Second); f.drop("a") },
 			[]string{"list 1 outage=false", "changes outage=false b deleted=false", "changes outage=false a deleted=true"}},
-		{"history gone", func(f *fakeFeed) { f.put("b"); f.trim() },
+		{"history trimmed", func(f *fakeFeed) { f.put("b"); f.trim() },
 			[]string{"list 1 outage=false", "list 2 outage=false"}},
-		{"an outage during which a row goes", func(f *fakeFeed) {
+		{"an outage during which a row is deleted", func(f *fakeFeed) {
 			f.setDown(true)
 			time.Sleep(3 * time.Second)
 			f.drop("a")
@@ -165,9 +165,9 @@
 			time.Sleep(2 * time.Second)
 			f.put("c")
 		}, []string{"list 1 outage=false", "lost", "regained", "changes outage=true a deleted=true", "changes outage=false c deleted=false"}},
-		{"an outage in which nothing happens", func(f *fakeFeed) { f.setDown(true); time.Sleep(3 * time.Second); f.setDown(false) },
+		{"an outage without changes", func(f *fakeFeed) { f.setDown(true); time.Sleep(3 * time.Second); f.setDown(false) },
 			[]string{"list 1 outage=false", "lost", "regained", "changes outage=true"}},
-		{"an outage after which the history is gone", func(f *fakeFeed) {
+		{"an outage after which the history is trimmed", func(f *fakeFeed) {
 			f.setDown(true)
 			time.Sleep(3 * time.Second)
 			f.drop("a")
@@ -185,8 +185,8 @@
 	}
 }
 
-// A table that is away from the start is asked until it answers, ever more seldom,
-// and the first answer after an outage takes in nothing that happens after it.
+// A table that is unavailable from the start is queried with increasing pauses until it responds.
+// The first query after an outage must not wait, so that its response includes no later changes.
 func TestFollowerBacksOffWhileUnavailable(t *testing.T) {
 	f := &fakeFeed{down: true}
 	f.put("a")
@@ -195,13 +195,13 @@
 		t.Error(diff)
 	}
 	if f.calls < 15 || f.calls > 50 {
-		t.Errorf("asked %d times in 21 s", f.calls)
+		t.Errorf("%d queries in 21 s, want 15 to 50", f.calls)
 	}
 	f = &fakeFeed{}
 	f.put("a")
 	runFollower(t, f, func() { f.setDown(true); time.Sleep(2 * time.Second); f.setDown(false) })
 	first := slices.Index(f.waits, 0)
 	if first < 0 || f.waits[len(f.waits)-1] != DefaultFeedWait {
-		t.Errorf("waits %v: want none while the table was away, and %v after", f.waits, DefaultFeedWait)
+		t.Errorf("waits %v: want 0 while the table was unavailable, and %v afterwards", f.waits, DefaultFeedWait)
 	}
 }
--- a/table/limits.go
+++ b/table/limits.go
@@ -8,24 +8,24 @@
 
 // Limits of one request to the table service.
 const (
-	// MaxTxnRows is the most rows that one transaction checks and writes together.
+	// MaxTxnRows is the maximum number of checks and writes of one transaction.
 	MaxTxnRows = 256
-	// MaxTxnBytes is the most bytes of values that one transaction writes.
+	// MaxTxnBytes is the maximum total size of the values that one transaction writes.
 	MaxTxnBytes = 4 << 20
-	// MaxGetRows is the most rows that one Get or Scan reads.
+	// MaxGetRows is the maximum number of rows that one Get or Scan reads.
 	MaxGetRows = 1000
-	// MaxValueBytes is the largest value of a row.
+	// MaxValueBytes is the maximum size of a row's value.
 	MaxValueBytes = 256 << 10
-	// MaxNameBytes is the longest name of a table or a row.
+	// MaxNameBytes is the maximum length of the name of a table or a row.
 	MaxNameBytes = 1024
 )
 
-// InvalidError is a request that breaks a limit or makes no sense. It
-// certainly had no effect, and repeating it does not help.
+// InvalidError reports a request that exceeds a limit or is malformed. It had no effect, and
+// repeating it doesn't help.
 type InvalidError struct {
-	// Key is the row concerned, or empty.
+	// Key is the invalid row, or empty.
 	Key Key
-	// Problem is a short sentence.
+	// Problem describes the error in a short sentence.
 	Problem string
 }
 
@@ -37,8 +37,8 @@
 // Reason implements failure.Coded.
 func (e *InvalidError) Reason() failure.Reason { return failure.TableInvalid }
 
-// Validate returns an *InvalidError unless txn is within the limits and writes
-// each row at most once.
+// Validate returns an *InvalidError unless t is within the limits and writes each row at most
+// once.
 func (t Txn) Validate() error {
 	if t.rows() > MaxTxnRows {
 		return &InvalidError{Problem: fmt.Sprintf("more than %d rows", MaxTxnRows)}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// ValidateKeys returns an *InvalidError unless a Get may ask for keys.
+// ValidateKeys returns an *InvalidError unless the keys are valid arguments of one Get.
 func ValidateKeys(keys []Key) error {
 	if len(keys) > MaxGetRows {
 		return &InvalidError{Problem: fmt.Sprintf("more than %d rows", MaxGetRows)}
@@ -77,10 +77,10 @@
 	return nil
 }
 
-// rows is how many rows t checks and writes.
+// rows returns the number of t's checks and writes.
 func (t Txn) rows() int { return len(t.Checks) + len(t.Writes) }
 
-// bytes is the size of the values that t writes.
+// bytes returns the total size of the values that t writes.
 func (t Txn) bytes() int {
 	n := 0
 	for _, w := range t.Writes {
--- a/table/malformed.go
+++ b/table/malformed.go
@@ -6,14 +6,15 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// MalformedRowError is a row that cannot be understood. What was known before stays in force.
+// MalformedRowError reports a row that can't be decoded. The last valid state remains in effect.
 type MalformedRowError struct {
 	Key     Key
 	Version Version
-	// Problem is what the row should have been, or its part.
+	// Problem describes the expected content of the row or of the part that is malformed.
 	Problem string
 	Cause   error
-	// Code is the failure's reason; the zero value is failure.Internal, of rows of our own.
+	// Code is the reason code; empty means failure.Internal, for rows that this system writes
+	// itself.
 	Code failure.Reason
 }
 
--- a/table/memtable/backup.go
+++ b/table/memtable/backup.go
@@ -7,22 +7,22 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Backup is what a Table held at a moment.
+// Backup is the content of a Table at one time.
 type Backup struct {
 	tables  map[string]*rows
 	version table.Version
 }
 
-// Backup returns what the table service holds now.
+// Backup returns the present content of the table service.
 func (t *Table) Backup() Backup {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Backup{tables: cloneTables(t.tables), version: t.version}
 }
 
-// Restore puts a copy in the place of what the table service holds and begins a new epoch: what was
-// written since is gone, and the numbers of its versions are given out again. Who waits for changes
-// is told that the history is gone.
+// Restore replaces the content of the table service by a backup and begins a new epoch:
+// everything written since the backup is lost, and its version numbers are assigned again. A
+// follower that waits for changes gets *table.HistoryGoneError.
 func (t *Table) Restore(c Backup) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,30 +39,30 @@
 	}
 }
 
-// Epoch counts how often the table service has come back from a copy.
+// Epoch returns how often the table service was restored from a backup.
 func (t *Table) Epoch() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.epoch
 }
 
-// inEpoch is the version of a copy's number in the present epoch.
+// inEpoch returns the version with v's number in the present epoch.
 func (t *Table) inEpoch(v table.Version) table.Version {
 	version, err := table.NewVersion(t.epoch, v.Number())
 	if err != nil {
-		panic(err) // more epochs than a test has
+		panic(err) // no test has that many epochs
 	}
 	return version
 }
 
-// renumber gives the rows of a copy, and what followers go by, versions of the present epoch.
+// renumber moves the rows of a backup, and the versions that followers use, to the present epoch.
 func (t *Table) renumber(r *rows) {
 	for name, row := range r.byName {
 		row.Version = t.inEpoch(row.Version)
 		r.byName[name] = row
 	}
 	r.floor = t.inEpoch(r.floor)
-	r.trimmedAt = t.version // no history is older than the epoch
+	r.trimmedAt = t.version // the history doesn't reach back before the epoch
 	r.log = nil
 }
 
--- a/table/memtable/backup_test.go
+++ b/table/memtable/backup_test.go
@@ -9,8 +9,8 @@
 	"github.com/springweir/springweir/table"
 )
 
-// What was written since the copy is gone, its numbers are given out again, and no condition and no
-// follower takes the one for the other.
+// A restore loses what was written since the backup and reuses its version numbers. No condition
+// and no follower may take a reused number for the lost version.
 func TestRestore(t *testing.T) {
 	m := New()
 	first := mustCommit(t, m, table.Txn{Writes: []table.Write{put("a", "old")}})[0]
@@ -30,7 +30,7 @@
 	m.Restore(backup)
 	var historyGone *table.HistoryGoneError
 	if err := <-waiting; !errors.As(err, &historyGone) {
-		t.Errorf("who waited was told %v", err)
+		t.Errorf("the waiting follower got %v", err)
 	}
 	rows, err := m.Get(t.Context(), key("a"), key("b"))
 	if err != nil || string(rows[0].Value) != "old" || rows[1].Version != table.Absent {
@@ -44,7 +44,7 @@
 		var conflict *table.ConflictError
 		_, err := m.Commit(t.Context(), table.Txn{Checks: []table.Check{{Key: key("a"), Version: old}}, Writes: []table.Write{put("a", "x")}})
 		if !errors.As(err, &conflict) {
-			t.Errorf("a condition on %v: %v", old, err)
+			t.Errorf("a check at version %v: %v", old, err)
 		}
 	}
 	if _, _, err := m.Changes(t.Context(), "t", version, 0); !errors.As(err, &historyGone) {
--- a/table/memtable/faults.go
+++ b/table/memtable/faults.go
@@ -20,7 +20,7 @@
 	OpCommit Op = "commit"
 )
 
-// Call is a call about to be served.
+// Call describes a call that is about to be served.
 type Call struct {
 	Op Op
 	// Keys are the rows of a Get, or the table and prefix of a Scan.
@@ -29,25 +29,25 @@
 	Txn table.Txn
 }
 
-// Fault is what to do to one call. The zero value does nothing.
+// Fault is a fault to inject into one call. The zero value injects none.
 type Fault struct {
 	// Delay is how long the call waits before anything else happens.
 	Delay time.Duration
 	// Fail refuses the call before it has any effect.
 	Fail bool
-	// ApplyAfter answers "unknown" at once and applies the transaction that
-	// much later, if its checks hold then.
+	// ApplyAfter returns *table.UnknownError at once and applies the transaction after this time,
+	// if its checks hold then.
 	ApplyAfter time.Duration
-	// LoseResponse lets the transaction take effect and answers "unknown".
+	// LoseResponse applies the transaction and returns *table.UnknownError.
 	LoseResponse bool
-	// Hang waits until the caller gives up; a Commit is then not applied, but
-	// the caller cannot know.
+	// Hang blocks until the caller's context ends. A Commit is then not applied, but returns
+	// *table.UnknownError.
 	Hang bool
 }
 
-// Counts are the calls served and the rows touched since the start.
+// Counts are the calls served and the rows read and written since the start.
 type Counts struct {
-	// Gets, Scans and Commits count calls, refused ones included.
+	// Gets, Scans and Commits count calls, including refused ones.
 	Gets    uint64 `json:"gets"`
 	Scans   uint64 `json:"scans"`
 	Commits uint64 `json:"commits"`
@@ -68,14 +68,14 @@
 // Reason implements failure.Coded.
 func (e *FaultError) Reason() failure.Reason { return failure.TableUnavailable }
 
-// faults are the faults in force for every call.
+// faults are the faults that apply to every call.
 type faults struct {
 	down bool
 	all  Fault
 	hook func(Call) Fault
 }
 
-// SetDown makes every call fail before it has any effect, or ends that.
+// SetDown sets whether every call fails before it has any effect.
 func (t *Table) SetDown(down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,8 +89,8 @@
 	t.faults.all = f
 }
 
-// SetHook asks hook what to do to each call; nil ends that. The hook runs
-// without locks and may call the table.
+// SetHook sets a function that returns the fault for each call; nil removes it. The hook is
+// called without locks held and may call the table.
 func (t *Table) SetHook(hook func(Call) Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +104,7 @@
 	return t.counts
 }
 
-// before counts a call and applies the faults that come before its effect.
+// beginCall counts a call and applies the faults that precede its effect.
 func (t *Table) beginCall(ctx context.Context, c Call) (Fault, error) {
 	f, hook := t.count(c.Op)
 	if ctx.Err() != nil {
@@ -120,7 +120,7 @@
 		<-ctx.Done()
 		return f, cancelledError(c.Op, context.Cause(ctx))
 	}
-	// An outage that began while the call waited hits it too.
+	// An outage that began while the call waited also fails it.
 	if f.Fail || t.down() {
 		t.mu.Lock()
 		t.counts.Failed++
@@ -135,7 +135,7 @@
 	return err
 }
 
-// count counts a call and returns the faults in force.
+// count counts a call and returns the present faults.
 func (t *Table) count(op Op) (Fault, func(Call) Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,7 +156,7 @@
 	return t.faults.down
 }
 
-// merge takes the worse of two faults, field by field.
+// merge combines two faults, taking the worse value of each field.
 func merge(a, b Fault) Fault {
 	return Fault{
 		Delay:        max(a.Delay, b.Delay),
@@ -167,8 +167,8 @@
 	}
 }
 
-// giveUp is the error of a call whose caller went away while it waited. A real
-// client could not know that a write had no effect, so neither may this one.
+// cancelledError returns the error of a call whose context ended while it waited. A real client
+// couldn't determine that a write had no effect, so a Commit returns *table.UnknownError.
 func cancelledError(op Op, cause error) error {
 	if op == OpCommit {
 		return &table.UnknownError{Cause: cause}
--- a/table/memtable/feed.go
+++ b/table/memtable/feed.go
@@ -10,16 +10,17 @@
 
 var _ table.Feed = (*Table)(nil)
 
-// maxLog is the number of changes that a table keeps for its followers.
+// maxLog is the number of changes that each table keeps for its followers.
 const maxLog = 1000
 
-// logged is a change, and the version after it that followers go by.
+// logEntry is a change and the table version after it.
 type logEntry struct {
 	change  table.Change
 	version table.Version
 }
 
-// note logs a change and wakes who waits for one, with the table's lock held.
+// logChange appends a change to the log and wakes all waiting followers. The caller holds the
+// Table's lock.
 func (r *rows) logChange(version table.Version, c table.Change) {
 	r.log = append(r.log, logEntry{change: c, version: version})
 	if excess := len(r.log) - maxLog; excess > 0 {
@@ -68,7 +69,8 @@
 	}
 }
 
-// since returns the changes after a version, and what is closed at the next one.
+// changesSince returns the changes after a version, the current version, and a channel that is
+// closed at the next change.
 func (t *Table) changesSince(name string, after table.Version) ([]table.Change, table.Version, <-chan struct{}, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/table/memtable/memtable.go
+++ b/table/memtable/memtable.go
@@ -1,5 +1,5 @@
-// Package memtable is an in-memory table service with fault injection. Tests
-// use it in place of the platform, and the platform stand-in serves it over HTTP.
+// Package memtable is an in-memory table service with fault injection. Tests use it in place of
+// the platform, and the platform stand-in serves it over HTTP.
 package memtable
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Table is an in-memory table.Service. It starts no goroutine of its own, apart
-// from timers for delayed writes, and waits only on timers and contexts, so that
-// it works in a synctest bubble. The zero value is not usable; call New.
+// Table is an in-memory table.Service. It starts no goroutines apart from timers for delayed
+// writes, and waits only on timers, channels and contexts, so that it works in a synctest bubble.
+// The zero value is not usable; call New.
 //
 // Lock order: mu is the only lock. It is never held while waiting.
 type Table struct {
@@ -23,9 +23,9 @@
 	tables map[string]*rows
 	faults faults
 	counts Counts
-	// written counts the writes of all rows: the version that followers go by.
+	// version counts the writes of all rows; followers use it as the table version.
 	version table.Version
-	// epoch counts how often it has come back from a copy.
+	// epoch counts the restores from a backup.
 	epoch uint64
 }
 
@@ -36,11 +36,11 @@
 	byName map[string]table.Row
 	// names holds the keys of byName in byte order.
 	names []string
-	// floor is the highest version that any deleted row had. A new row starts
-	// above it, so a version never comes back, and no tombstones are kept.
+	// floor is the highest version that any deleted row had. A new row starts above it, so a
+	// version is never reused, and no tombstones are needed.
 	floor table.Version
-	// log holds the changes of the table, the newest maxLog of them, and changed is
-	// closed at the next. dropped is the version of the newest one that it lacks.
+	// log holds the newest maxLog changes of the table, and changed is closed at the next change.
+	// trimmedAt is the version of the newest change that log lacks.
 	log       []logEntry
 	changed   chan struct{}
 	trimmedAt table.Version
@@ -107,7 +107,8 @@
 		return nil, err
 	}
 	if f.ApplyAfter > 0 {
-		// The transaction is in the network: it takes effect later, whoever waits.
+		// The transaction is still in the network: it takes effect later, even if the caller no
+		// longer waits.
 		time.AfterFunc(f.ApplyAfter, func() { _, _ = t.apply(txn) })
 		return nil, &table.UnknownError{Cause: &FaultError{Name: "applied late"}}
 	}
@@ -118,7 +119,7 @@
 	return versions, err
 }
 
-// apply checks and writes txn in one step.
+// apply checks and writes txn atomically.
 func (t *Table) apply(txn table.Txn) ([]table.Version, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,7 +137,7 @@
 	return versions, nil
 }
 
-// row returns a copy of the row, with t.mu held.
+// row returns a copy of the row. The caller holds t.mu.
 func (t *Table) row(k table.Key) table.Row {
 	if r := t.tables[k.Table]; r != nil {
 		if row, ok := r.byName[k.Row]; ok {
@@ -146,7 +147,7 @@
 	return table.Row{Key: k}
 }
 
-// write writes one row, with t.mu held.
+// write writes one row. The caller holds t.mu.
 func (t *Table) write(w table.Write) table.Version {
 	r := t.tableOf(w.Key.Table)
 	t.version++
@@ -160,7 +161,7 @@
 	return version
 }
 
-// of returns a table, which is made if it is not there, with t.mu held.
+// tableOf returns the table with the name, creating it if necessary. The caller holds t.mu.
 func (t *Table) tableOf(name string) *rows {
 	r := t.tables[name]
 	if r == nil {
--- a/table/memtable/memtable_test.go
+++ b/table/memtable/memtable_test.go
@@ -33,13 +33,13 @@
 		for range 2 {
 			v := mustCommit(t, m, table.Txn{Writes: []table.Write{put("a", "x")}})[0]
 			if seen[v] || v == table.Absent {
-				t.Errorf("version %d came back", v)
+				t.Errorf("version %d was reused", v)
 			}
 			seen[v] = true
 		}
 		v := mustCommit(t, m, table.Txn{Writes: []table.Write{{Key: key("a"), Delete: true}}})[0]
 		if v != table.Absent {
-			t.Errorf("a delete gave version %d", v)
+			t.Errorf("a delete returned version %d", v)
 		}
 	}
 }
@@ -128,8 +128,8 @@
 		wantUnknown bool
 		// wantErr is false when the commit succeeds.
 		wantErr bool
-		// wantNow and wantLater tell whether the row is there just after the
-		// answer and a minute later.
+		// wantNow and wantLater are whether the row is present just after the response and a
+		// minute later.
 		wantNow, wantLater bool
 		wantTook           time.Duration
 	}{
@@ -137,7 +137,7 @@
 		{name: "down", down: true, wantErr: true},
 		{name: "fail", fault: Fault{Fail: true}, wantErr: true},
 		{name: "slow", fault: Fault{Delay: time.Second}, wantNow: true, wantLater: true, wantTook: time.Second},
-		{name: "answer lost", fault: Fault{LoseResponse: true}, wantErr: true, wantUnknown: true, wantNow: true, wantLater: true},
+		{name: "response lost", fault: Fault{LoseResponse: true}, wantErr: true, wantUnknown: true, wantNow: true, wantLater: true},
 		{name: "applied late", fault: Fault{ApplyAfter: time.Second}, wantErr: true, wantUnknown: true, wantLater: true},
 		{name: "hang", fault: Fault{Hang: true}, wantErr: true, wantUnknown: true, wantTook: 10 * time.Second},
 		{name: "too slow", fault: Fault{Delay: time.Minute}, wantErr: true, wantUnknown: true, wantTook: 10 * time.Second},
--- a/table/metered.go
+++ b/table/metered.go
@@ -22,7 +22,7 @@
 //   - springweir_table_calls_total{op}
 //   - springweir_table_rows_total{op}: rows read by get and scan, written by commit
 //   - springweir_table_failures_total{op,reason}
-//   - springweir_table_seconds{op}: a histogram of the time a call took
+//   - springweir_table_seconds{op}: a histogram of the duration of a call
 type Metered struct {
 	service Service
 	set     *metrics.Set
@@ -30,7 +30,7 @@
 
 var _ Service = (*Metered)(nil)
 
-// NewMetered returns a Service that passes calls on to s and counts them in set.
+// NewMetered returns a Service that forwards calls to s and counts them in set.
 func NewMetered(s Service, set *metrics.Set) *Metered {
 	return &Metered{service: s, set: set}
 }
--- a/table/resolve.go
+++ b/table/resolve.go
@@ -11,26 +11,26 @@
 	"github.com/springweir/springweir/internal/loop"
 )
 
-// Backoff between the tries that settle a write. Each wait is drawn evenly
-// between half the bound and the bound.
+// Backoff between the attempts to resolve a write. Each wait is drawn uniformly between half the
+// bound and the bound.
 const (
 	retryFirstWait = 20 * time.Millisecond
 	retryMaxWait   = time.Second
 )
 
-// SupersededError is a write whose answer was lost, and whose rows now hold
-// what somebody else wrote. Whether the write took effect before that cannot be
-// told from the version numbers; Rows may tell those who know the values.
+// SupersededError reports a write whose response was lost, and whose rows now hold another
+// writer's values. The version numbers don't show whether the write took effect before that; a
+// caller that knows the values may find out from Rows.
 type SupersededError struct {
 	// Rows are the written rows as read back.
 	Rows []Row
-	// Conflict is what the repeated transaction met.
+	// Conflict is the conflict of the repeated transaction.
 	Conflict *ConflictError
 }
 
 // Error implements error.
 func (e *SupersededError) Error() string {
-	return fmt.Sprintf("table write superseded, its own effect is unknown: %v", e.Conflict)
+	return fmt.Sprintf("table write superseded, its effect is unknown: %v", e.Conflict)
 }
 
 // Reason implements failure.Coded.
@@ -39,29 +39,27 @@
 // Unwrap returns the conflict.
 func (e *SupersededError) Unwrap() error { return e.Conflict }
 
-// CommitAndResolve commits txn and settles a lost answer. mine tells whether a row
-// read back holds the id of this very write.
+// CommitAndResolve commits txn and, if the response is lost, determines the outcome. isOwnWrite
+// reports whether a row that was read back holds the id of this write.
 //
-// Returned versions are those of this write; for a row that somebody else has
-// written since, it is Absent, so that a later condition on it fails. A
-// transaction that only deletes leaves no id to read back and ends, after a lost
-// answer, in *SupersededError at best. Errors:
+// The returned versions are those of this write. For a row that another writer has written since,
+// the version is Absent, so that a later condition on it fails. A transaction that only deletes
+// leaves no id to read back; after a lost response it ends in *SupersededError at best. Errors:
 //
-//   - *ConflictError: txn certainly had no effect, and never will.
-//   - *UnavailableError: the only try certainly had no effect.
-//   - *UnknownError: ctx ended before the write was settled.
+//   - *ConflictError: txn had no effect, and never will.
+//   - *UnavailableError: the only attempt had no effect.
+//   - *UnknownError: ctx ended before the outcome was known.
 //   - *SupersededError: see there.
-//   - *InvalidError: txn is bad, or does not guard itself (see below).
+//   - *InvalidError: txn is invalid, or checks no row that it writes (see below).
 //
-// Invariant: at most one of the copies of txn that are sent ever takes effect,
-// however late they arrive. txn must therefore check a row that it also
-// writes. The copy that applies moves that row's version, versions never come
-// back, and so the check of every other copy fails. A check for Absent gives
-// this only while nobody deletes the row: rows made by such a transaction must
-// outlive every copy that can still be in flight.
+// Invariant: at most one of the copies of txn that are sent takes effect, however late they
+// arrive. txn must therefore check a row that it also writes. The copy that applies changes that
+// row's version, versions are never reused, and so the check of every other copy fails. A check
+// for Absent guarantees this only while the row is not deleted: rows created by such a
+// transaction must outlive every copy that can still be in flight.
 func CommitAndResolve(ctx context.Context, s Service, txn Txn, isOwnWrite func(Row) bool) ([]Version, error) {
 	if !checksWrittenRow(txn) {
-		return nil, &InvalidError{Problem: "a write to be settled must check a row that it writes"}
+		return nil, &InvalidError{Problem: "the transaction must check a row that it writes"}
 	}
 	var unknownErr error
 	for wait := retryFirstWait; ; wait = min(2*wait, retryMaxWait) {
@@ -77,20 +75,20 @@
 			return versions, err
 		}
 		if unknownErr == nil {
-			unknownErr = err // The first open error is always an *UnknownError.
+			unknownErr = err // the first unresolved error is always an *UnknownError
 		}
 		if !loop.Sleep(ctx, jitter(wait)) {
 			return nil, unknownErr
 		}
-		// While answers of writes are lost, those of reads may still come.
+		// While the responses to writes are lost, those to reads may still arrive.
 		if versions, applied := readBack(ctx, s, txn, isOwnWrite); applied {
 			return versions, nil
 		}
 	}
 }
 
-// readBack returns the versions of the rows written if they show that the
-// write took effect. That they do not proves nothing.
+// readBack returns the versions of the written rows if they show that the write took effect. If
+// they don't show it, the outcome remains unknown.
 func readBack(ctx context.Context, s Service, txn Txn, isOwnWrite func(Row) bool) ([]Version, bool) {
 	rows, err := readWritten(ctx, s, txn)
 	if err != nil {
@@ -108,15 +106,15 @@
 	return s.Get(ctx, keys...)
 }
 
-// isOpen tells whether the write is still unsettled after err. A refused repeat
-// settles nothing about an earlier try whose answer was lost.
+// isUnresolved reports whether the outcome of the write is still unknown after err. A refused
+// repetition doesn't resolve an earlier attempt whose response was lost.
 func isUnresolved(err, unknownErr error) bool {
 	var unknown *UnknownError
 	var unavailable *UnavailableError
 	return errors.As(err, &unknown) || unknownErr != nil && errors.As(err, &unavailable)
 }
 
-// settleConflict reads back after a repeat met a conflict.
+// resolveConflict reads the rows back after a repetition met a conflict.
 func resolveConflict(ctx context.Context, s Service, txn Txn, isOwnWrite func(Row) bool, conflict *ConflictError) ([]Version, error) {
 	rows, err := readWritten(ctx, s, txn)
 	if err != nil {
@@ -128,16 +126,16 @@
 	if !neverApplied(txn, rows) {
 		return nil, &SupersededError{Rows: rows, Conflict: conflict}
 	}
-	// A version never comes back, so no copy can take effect any more. But
-	// absence comes back with a delete, and an early copy may arrive after it.
+	// A version is never reused, so no copy can take effect any more. But a deletion makes the
+	// row absent again, and an early copy may arrive after it.
 	if conflict.Want == Absent {
 		return nil, &UnknownError{Cause: conflict}
 	}
 	return nil, conflict
 }
 
-// ownVersions returns the versions of the rows that hold this write. One such
-// row proves that all were written, as a transaction applies wholly.
+// ownVersions returns the versions of the rows that hold this write. One such row proves that all
+// were written, because a transaction is atomic.
 func ownVersions(rows []Row, isOwnWrite func(Row) bool) ([]Version, bool) {
 	versions := make([]Version, len(rows))
 	applied := false
@@ -150,11 +148,10 @@
 	return versions, applied
 }
 
-// neverApplied tells whether the rows read back prove that no copy of txn has
-// taken effect. A version counts the writes of its row, so a row checked at v
-// that is still at v was not written, and one at v+1 that is not ours was
-// written once, by somebody else. After a delete of ours, though, somebody may
-// have made the row anew at v+1.
+// neverApplied reports whether the rows read back prove that no copy of txn has taken effect. A
+// version counts the writes of its row, so a row that was checked at v and is still at v was not
+// written, and one at v+1 without this write's id was written once, by another writer. This
+// doesn't hold for a row that txn deletes: another writer may have created it again at v+1.
 func neverApplied(txn Txn, rows []Row) bool {
 	checked := checkedVersions(txn)
 	for i, r := range rows {
@@ -169,7 +166,7 @@
 	return false
 }
 
-// guardsItself tells whether txn checks a row that it also writes.
+// checksWrittenRow reports whether txn checks a row that it also writes.
 func checksWrittenRow(txn Txn) bool {
 	checked := checkedVersions(txn)
 	for _, w := range txn.Writes {
--- a/table/resolve_test.go
+++ b/table/resolve_test.go
@@ -22,7 +22,7 @@
 
 func put(row, value string) table.Write { return table.Write{Key: key(row), Value: []byte(value)} }
 
-// guarded writes value to row if it stands at version.
+// guarded returns a transaction that writes value to row if the row is at version.
 func guarded(row, value string, version table.Version) table.Txn {
 	return table.Txn{
 		Checks: []table.Check{{Key: key(row), Version: version}},
@@ -43,7 +43,7 @@
 	return versions
 }
 
-// reason is the code of err, or empty.
+// reason returns the reason code of err, or empty.
 func reason(err error) failure.Reason {
 	if err == nil {
 		return ""
@@ -51,7 +51,7 @@
 	return failure.ReasonOf(err)
 }
 
-// firstCommit is a hook that injects f into the first commit only.
+// firstCommit returns a hook that injects f into the first commit only.
 func firstCommit(f memtable.Fault) func(memtable.Call) memtable.Fault {
 	var once sync.Once
 	return func(c memtable.Call) (out memtable.Fault) {
@@ -71,19 +71,19 @@
 		name  string
 		txn   table.Txn
 		fault memtable.Fault
-		// between are what others commit right after the first try.
+		// between are the transactions of others right after the first attempt.
 		between []table.Txn
-		// before is what another commits before the first try.
+		// before is another writer's transaction before the first attempt.
 		before *table.Txn
-		// after is what another commits after ten seconds.
+		// after is another writer's transaction after ten seconds.
 		after        *table.Txn
 		want         failure.Reason
 		wantVersions []table.Version
-		// wantValue is the row "a" two minutes later.
+		// wantValue is the value of row "a" two minutes later.
 		wantValue string
 	}{
 		{name: "no fault", txn: ownTxn, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "answer lost", txn: ownTxn, fault: lost, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "response lost", txn: ownTxn, fault: lost, wantVersions: []table.Version{2}, wantValue: "mine"},
 		{name: "never arrives", txn: ownTxn, fault: memtable.Fault{Hang: true}, want: failure.TableUnknown, wantValue: "old"},
 		{name: "arrives after the repeat", txn: ownTxn, fault: late, wantVersions: []table.Version{2}, wantValue: "mine"},
 		{name: "arrives after the repeat and another write", txn: ownTxn, fault: late,
@@ -99,11 +99,11 @@
 			before: &table.Txn{Writes: []table.Write{put("a", "theirs")}}, want: failure.TableConflict, wantValue: "theirs"},
 		{name: "lost creation, another's row", txn: guarded("new", "mine", table.Absent), fault: late,
 			between: []table.Txn{other("new", "theirs")}, want: failure.TableSuperseded, wantValue: "old"},
-		{name: "conflict on an absence that comes back", txn: table.Txn{
+		{name: "conflict on a row that becomes absent again", txn: table.Txn{
 			Checks: append(guarded("new", "", table.Absent).Checks, ownTxn.Checks...), Writes: ownTxn.Writes}, fault: late,
 			between: []table.Txn{other("new", "theirs")}, after: &table.Txn{Writes: []table.Write{{Key: key("new"), Delete: true}}},
 			wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "lost delete, made anew", txn: table.Txn{Checks: ownTxn.Checks, Writes: []table.Write{{Key: key("a"), Delete: true}}},
+		{name: "lost delete, created again", txn: table.Txn{Checks: ownTxn.Checks, Writes: []table.Write{{Key: key("a"), Delete: true}}},
 			fault: lost, between: []table.Txn{other("a", "theirs")}, want: failure.TableSuperseded, wantValue: "theirs"},
 		{name: "unguarded", txn: other("a", "mine"), want: failure.TableInvalid, wantValue: "old"},
 	}
@@ -119,7 +119,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
 				go func() {
-					// Before the repeat, which waits 10 ms at least.
+					// This is before the repetition, which waits at least 10 ms.
 					time.Sleep(time.Millisecond)
 					for _, txn := range tt.between {
 						mustCommit(t, m, txn)
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestSettledOutageKeepsTrying loses an answer and then takes the table down:
-// the refusals that follow settle nothing.
+// TestCommitAndResolveRetriesDuringOutage loses a response and then takes the table down: the
+// refusals that follow don't resolve the outcome.
 func TestCommitAndResolveRetriesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
@@ -166,13 +166,13 @@
 			t.Error(diff)
 		}
 		if n := m.Counts().Commits; n > 100 {
-			t.Errorf("%d tries in a minute of outage", n)
+			t.Errorf("%d attempts in a minute of outage, want at most 100", n)
 		}
 	})
 }
 
-// TestSettledWithoutAnswers loses the answer of every write: reading back
-// settles one that took effect.
+// TestCommitAndResolveWithoutResponses loses the response to every write: reading back resolves a
+// write that took effect.
 func TestCommitAndResolveWithoutResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
@@ -184,7 +184,7 @@
 			t.Errorf("%v: %s", err, diff)
 		}
 		if _, err := table.CommitAndResolve(ctx, m, guarded("a", "late", table.Absent), hasValue("late")); reason(err) != failure.TableUnknown {
-			t.Errorf("a write that meets another's row, unheard: %v", err)
+			t.Errorf("a write that conflicts with another row, without responses: %v", err)
 		}
 	})
 }
@@ -203,9 +203,9 @@
 	return f
 }
 
-// TestSettledHistories lets writers append their ids to one row, through a
-// Batcher and random faults, and checks afterwards that each answer was true:
-// what succeeded is there once, and what failed for certain is not there.
+// TestCommitAndResolveHistories has writers append their ids to a few rows through a Batcher and
+// random faults. Afterwards a successful write must be present once, a failed one must be absent,
+// and a superseded one may be either.
 func TestCommitAndResolveHistories(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -217,7 +217,7 @@
 func runHistory(t *testing.T, seed uint64) {
 	const writers, writes = 6, 15
 	m := memtable.New()
-	var mu sync.Mutex // Guards r and results.
+	var mu sync.Mutex // guards r and results
 	r := rand.New(rand.NewPCG(seed, 0))
 	results := make(map[string]error)
 	m.SetHook(func(memtable.Call) memtable.Fault {
@@ -239,7 +239,7 @@
 		})
 	}
 	wg.Wait()
-	time.Sleep(time.Minute) // Late writes arrive.
+	time.Sleep(time.Minute) // delayed writes take effect
 	m.SetHook(nil)
 	rows, err := m.Scan(t.Context(), "t", "", "", 0)
 	if err != nil {
@@ -248,7 +248,7 @@
 	checkHistory(t, rows, results)
 }
 
-// appendID appends id to a row once.
+// appendID appends id to a row at most once.
 func appendID(ctx context.Context, s table.Service, k table.Key, id string) error {
 	rows, err := s.Get(ctx, k)
 	if err != nil {
@@ -277,11 +277,11 @@
 		case errors.As(err, &supersededErr) && n <= 1:
 			superseded++
 		case err == nil || n != 0:
-			t.Errorf("write %s answered %v and is there %d times", id, err, n)
+			t.Errorf("write %s returned %v and is present %d times", id, err, n)
 		}
 	}
 	if done == 0 {
 		t.Error("no write succeeded")
 	}
-	t.Logf("%d writes done, %d superseded, %d others", done, superseded, len(results)-done-superseded)
+	t.Logf("%d writes succeeded, %d superseded, %d others", done, superseded, len(results)-done-superseded)
 }
--- a/table/table.go
+++ b/table/table.go
@@ -1,9 +1,9 @@
-// Package table is the system's view of the platform's transactional table
-// service: conditional writes over several rows in one transaction. Everything
-// that must be agreed on or kept goes through it.
+// Package table is the client interface of the platform's transactional table service:
+// conditional writes of several rows in one transaction. All state that must be consistent or
+// durable across VMs is kept there.
 //
-// The interface is narrow so that another wire format can be swapped in.
-// Package table/memtable is the in-memory fake; Client speaks HTTP.
+// The interface is narrow so that another wire format can be substituted. Package table/memtable
+// is the in-memory fake; Client uses HTTP.
 package table
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Key names one row.
+// Key identifies one row.
 type Key struct {
 	// Table is the name of the table.
 	Table string `json:"table"`
-	// Row is the key within the table. Scans go by its byte order.
+	// Row is the key within the table. Scans return rows in its byte order.
 	Row string `json:"row"`
 }
 
@@ -32,7 +32,7 @@
 	Value []byte `json:"value"`
 }
 
-// Check is a condition: the row must stand at Version when the transaction commits.
+// Check is a condition: the row must be at Version when the transaction commits.
 type Check struct {
 	Key     Key     `json:"key"`
 	Version Version `json:"version"`
@@ -45,31 +45,30 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is applied wholly or not at all. It takes effect only if every check holds.
+// Txn is a transaction. It is applied as a whole or not at all, and only if every check holds.
 type Txn struct {
 	Checks []Check `json:"checks"`
 	Writes []Write `json:"writes"`
 }
 
-// Service is the platform's table service. Implementations are safe for
-// concurrent use. Errors are *UnavailableError, *UnknownError, *ConflictError or
-// *InvalidError.
+// Service is the platform's table service. Implementations are safe for concurrent use. Errors
+// are *UnavailableError, *UnknownError, *ConflictError or *InvalidError.
 type Service interface {
-	// Get reads rows in one request and one consistent snapshot. Absent rows
-	// come back with version Absent, in the order asked for.
+	// Get reads rows in one request and one consistent snapshot, in the order of keys. Absent
+	// rows have version Absent.
 	Get(ctx context.Context, keys ...Key) ([]Row, error)
-	// Scan reads up to limit rows of a table whose key begins with prefix and
-	// is greater than after, in key order.
+	// Scan reads up to limit rows of a table whose key begins with prefix and is greater than
+	// after, in key order.
 	Scan(ctx context.Context, table, prefix, after string, limit int) ([]Row, error)
-	// Commit applies txn and returns the new version of each write, in order
-	// (Absent for deletes). *UnknownError means the write may have taken
-	// effect, or may yet do so. Repeating the same conditional txn settles it:
-	// either it applies, or it conflicts and reading back the writer's own id
-	// in the row's value tells whether the first try won.
+	// Commit applies txn and returns the new version of each write, in order (Absent for
+	// deletes). *UnknownError means that the write may have taken effect, or may still do so.
+	// Repeating the same conditional txn resolves it: either it applies, or it conflicts and
+	// reading back the writer's id in the row's value shows whether the first attempt was
+	// applied.
 	Commit(ctx context.Context, txn Txn) ([]Version, error)
 }
 
-// UnavailableError is a call that certainly had no effect.
+// UnavailableError reports a call that had no effect.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -81,21 +80,22 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// StaleEpochError is an answer, or a condition, of an epoch of the store that is over.
+// StaleEpochError reports a response, or a condition, that belongs to an earlier epoch of the
+// store.
 type StaleEpochError struct {
-	// Epoch is the epoch that it belongs to, and Newest the newest that is known.
+	// Epoch is the epoch that it belongs to, and Newest the newest known one.
 	Epoch, Newest uint64
 }
 
 // Error implements error.
 func (e *StaleEpochError) Error() string {
-	return fmt.Sprintf("the store has come back from a copy: epoch %d is over, %d is the newest", e.Epoch, e.Newest)
+	return fmt.Sprintf("the store was restored from a backup: epoch %d has ended, %d is the newest", e.Epoch, e.Newest)
 }
 
 // Reason implements failure.Coded.
 func (e *StaleEpochError) Reason() failure.Reason { return failure.TableEpochOver }
 
-// UnknownError is a write that may or may not have taken effect.
+// UnknownError reports a write that may or may not have taken effect, or may still do so.
 type UnknownError struct{ Cause error }
 
 // Error implements error.
@@ -107,12 +107,12 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// ConflictError is a transaction refused because a check did not hold. It
-// certainly had no effect.
+// ConflictError reports a transaction that was refused because a check did not hold. It had no
+// effect.
 type ConflictError struct {
 	// Key is the first row whose check failed.
 	Key Key `json:"key"`
-	// Want is the version that the check named.
+	// Want is the version that the check required.
 	Want Version `json:"want"`
 	// Have is the row's version.
 	Have Version `json:"have"`
--- a/table/version_test.go
+++ b/table/version_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%v: epoch %d, number %d", again, again.Epoch(), again.Number())
 	}
 	if plain := newVersion(t, 0, 5); plain != 5 || plain.String() != "5" {
-		t.Errorf("without an epoch: %v", plain)
+		t.Errorf("epoch zero: %v", plain)
 	}
 	var invalid *InvalidError
 	for _, pair := range [][2]uint64{{1 << 16, 1}, {1, 1 << 48}} {
