--- a/feedshare/cache.go
+++ b/feedshare/cache.go
@@ -15,8 +15,8 @@
 // several times the wait of one query.
 const recentQueryWindow = 10 * time.Second
 
-// unconfirmed is the confirmation time of rows that were read from a peer. Such rows are not
-// served to other peers.
+// unconfirmed is the confirmation time of rows that were read from a peer, and of all rows after
+// the store has failed. Such rows are not served to other peers.
 var unconfirmed time.Time
 
 // cache holds a copy of one table and its recent history, which this VM serves to its peers. It
@@ -25,16 +25,16 @@
 // Invariant: rows is the table as of version, and history holds all changes after historyStart,
 // in the batches in which they were read.
 type cache struct {
-	// maxAge is how long after a response of the store the table may be served.
-	maxAge time.Duration
+	// ttl is how long after a response of the store the table may be served.
+	ttl time.Duration
 
 	mu                    sync.Mutex
 	rows                  map[string]table.Row
 	history               []batch
 	historyStart, version table.Version
-	// confirmedAt is the time of the store's last response, or unconfirmed if the last response
+	// confirmed is the time of the store's last response, or unconfirmed if the last response
 	// came from a peer or the store failed.
-	confirmedAt time.Time
+	confirmed time.Time
 	// changed is closed and replaced at every change of the fields above.
 	changed chan struct{}
 	// lastQueried is the time of the last query by a peer.
@@ -49,8 +49,8 @@
 	version table.Version
 }
 
-func newCache(maxAge time.Duration) *cache {
-	return &cache{maxAge: maxAge, rows: map[string]table.Row{}, changed: make(chan struct{})}
+func newCache(ttl time.Duration) *cache {
+	return &cache{ttl: ttl, rows: map[string]table.Row{}, changed: make(chan struct{})}
 }
 
 // currentVersion returns the version of the cached table.
@@ -96,7 +96,7 @@
 
 // setConfirmed sets the confirmation time and wakes all waiters. The caller holds mu.
 func (c *cache) setConfirmed(confirmedAt time.Time) {
-	c.confirmedAt = confirmedAt
+	c.confirmed = confirmedAt
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -116,10 +116,8 @@
 	return clock.Since(c.lastQueried) < recentQueryWindow
 }
 
-// servable reports whether the cached table is recent enough to be served. The caller holds mu.
-func (c *cache) servable() bool {
-	return c.confirmedAt != unconfirmed && clock.Since(c.confirmedAt) <= c.maxAge
-}
+// fresh reports whether the cached table is recent enough to be served. The caller holds mu.
+func (c *cache) fresh() bool { return c.confirmed != unconfirmed && clock.Since(c.confirmed) <= c.ttl }
 
 // list returns the whole table. Before the first read from the store it waits up to startupWait.
 func (c *cache) list(ctx context.Context, name string) ([]table.Row, table.Version, error) {
@@ -128,7 +126,7 @@
 	for {
 		c.mu.Lock()
 		c.lastQueried = clock.Now()
-		if c.servable() {
+		if c.fresh() {
 			rows, version := slices.Collect(maps.Values(c.rows)), c.version
 			c.mu.Unlock()
 			return rows, version, nil
@@ -167,7 +165,7 @@
 // mu.
 func (c *cache) changesSince(name string, after table.Version) ([]table.Change, error) {
 	switch {
-	case !c.servable():
+	case !c.fresh():
 		return nil, &NotReaderError{Table: name}
 	case after < c.historyStart:
 		return nil, &table.HistoryGoneError{Table: name, After: after}
--- a/feedshare/errors.go
+++ b/feedshare/errors.go
@@ -7,8 +7,8 @@
 	"github.com/springweir/springweir/table"
 )
 
-// NotReaderError is returned by a VM that doesn't read the table from the store itself, or whose
-// last response from the store is too old.
+// NotReaderError is returned by a VM that doesn't read the table from the store itself, or to
+// which the store hasn't responded recently.
 type NotReaderError struct{ Table string }
 
 // Error implements error.
--- a/feedshare/feedshare.go
+++ b/feedshare/feedshare.go
@@ -43,7 +43,8 @@
 	distantRank         = 12
 	distantStoreBackoff = 6 * time.Second
 	// storeResponseMargin is the time allowed for the store's response beyond the requested wait.
-	// The age of a later response is counted from when it was due.
+	// A response that took longer counts from when it was due, and a table without a more recent
+	// response is not served.
 	storeResponseMargin = 700 * time.Millisecond
 	// startupWait is how long a query by a peer waits for this VM's first response from the store
 	// before it is refused. After a power failure all VMs start within 300 ms.
@@ -69,8 +70,8 @@
 
 // Position is the position of a VM in the order of its zone.
 type Position struct {
-	// PrecedingPeers are the addresses of VMs that precede this one in the order of its zone, in
-	// the order in which to query them.
+	// PrecedingPeers are the addresses of some of the VMs that precede this one in the order of
+	// its zone, in the order in which to query them.
 	PrecedingPeers []string
 	// First is set on the VM that the others of the zone query first.
 	First bool
@@ -112,8 +113,8 @@
 	lastSource string
 }
 
-// NewSource returns a source of one table. Position returns the VM's present position and is
-// called often, also concurrently.
+// NewSource returns a source of one table. It calls position, which returns the VM's present
+// position, often and also concurrently.
 func NewSource(name string, s Settings, store table.Feed, peers Peers, position func() Position) *Source {
 	return &Source{
 		table: name, settings: s, store: store, peers: peers, position: position,
--- a/feedshare/propagation_test.go
+++ b/feedshare/propagation_test.go
@@ -22,10 +22,10 @@
 		sharingThreshold = 16
 	)
 	for _, tc := range []struct {
-		name    string
-		delay   time.Duration
-		forgets bool
-		// fault strikes the first VM of a zone just before a drain.
+		name      string
+		delay     time.Duration
+		noHistory bool
+		// fault occurs on the first VM of a zone just before a drain.
 		fault fault
 	}{
 		{"a healthy store", 4 * time.Millisecond, false, healthy},
@@ -38,9 +38,9 @@
 		for _, n := range []int{9, 30, 300} {
 			t.Run(fmt.Sprintf("%s, %d VMs", tc.name, n), func(t *testing.T) {
 				t.Parallel()
-				z := &zone{settings: Settings{PropagationLimit: limit, CoalesceInterval: limit / 3}, zones: min(n, 3), detectsFaults: true, storeDelay: tc.delay, noHistory: tc.forgets}
+				z := &zone{settings: Settings{PropagationLimit: limit, CoalesceInterval: limit / 3}, zones: min(n, 3), detectsFaults: true, storeDelay: tc.delay, noHistory: tc.noHistory}
 				if n < sharingThreshold {
-					z.zones = n // each VM asks the store itself
+					z.zones = n // each VM reads from the store itself
 				}
 				var delays []time.Duration
 				runZones(t, z, n, func(z *zone) { delays = z.simulateDrains(tc.fault, limit) })
@@ -55,7 +55,8 @@
 	}
 }
 
-// drainInterval is the mean time between two drains, and faultDuration that of a fault.
+// drainInterval is the mean time between two drains, and faultDuration the approximate duration
+// of a fault.
 const (
 	drainInterval = 800 * time.Millisecond
 	faultDuration = 3 * time.Second
--- a/feedshare/source.go
+++ b/feedshare/source.go
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// storeFailed records that the store failed to respond. It ends the backoff of all peers, as one
-// of them may reach the store first.
+// storeFailed records that the store failed to respond. If peers precede this VM, it starts the
+// store's backoff and ends that of all peers, as one of them may reach the store first.
 func (s *Source) storeFailed(err error) {
 	if isHistoryGone(err) {
 		return
--- a/feedshare/zonesim_test.go
+++ b/feedshare/zonesim_test.go
@@ -29,7 +29,7 @@
 	unreachable
 	// frozen VMs accept queries and don't respond, and send nothing themselves.
 	frozen
-	// storeFails makes the VM's queries of the store fail, storeHangs makes them time out.
+	// storeFails makes the VM's queries of the store fail; storeHangs makes them time out.
 	storeFails
 	storeHangs
 	// stale VMs report an older version than they have.
@@ -219,6 +219,7 @@
 // vmStore is the store as one VM reaches it.
 type vmStore struct{ vm *vm }
 
+// check returns an error if a fault keeps the VM from reading the store now.
 func (s vmStore) check(ctx context.Context) error {
 	down := s.vm.zone.isStoreDown()
 	if s.vm.hasFault(storeHangs) || s.vm.hasFault(frozen) {
@@ -262,6 +263,7 @@
 // vmPeers is how one VM reaches the others.
 type vmPeers struct{ vm *vm }
 
+// connect returns the VM at address, or an error if a fault makes it unreachable.
 func (p vmPeers) connect(ctx context.Context, address string) (*vm, error) {
 	var index int
 	if _, err := fmt.Sscan(address, &index); err != nil {
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -25,6 +25,7 @@
 	epoch       uint64
 }
 
+// respond returns the result of a call and records the epoch, or fails while v is partitioned.
 func (v *view) respond(err error) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -43,7 +43,7 @@
 // Fence returns the fencing token.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// First reports whether no tenure is known before this one.
+// First reports whether the lease's row did not exist before this tenure.
 func (l *Lease) First() bool { return l.first }
 
 // Holder returns the process that holds the lease.
--- a/table/client.go
+++ b/table/client.go
@@ -103,7 +103,7 @@
 	case err != nil:
 		return &UnknownError{Cause: err}
 	case response.Status != http.StatusOK:
-		return errorOf(response)
+		return statusError(response)
 	}
 	if err := json.Unmarshal(response.Body, out); err != nil {
 		return &UnknownError{Cause: &ResponseError{Status: response.Status, Cause: err}}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// errorOf converts a response with a status other than 200 to an error.
-func errorOf(response *httponce.Answer) error {
+// statusError converts a response with a status other than 200 to an error.
+func statusError(response *httponce.Answer) error {
 	var r ErrorResponse
 	if err := json.Unmarshal(response.Body, &r); err != nil {
 		return &UnknownError{Cause: &ResponseError{Status: response.Status, Cause: err}}
--- a/table/memtable/backup.go
+++ b/table/memtable/backup.go
@@ -23,13 +23,13 @@
 // Restore replaces the content of the table service by a backup and begins a new epoch:
 // everything written since the backup is lost, and its version numbers are assigned again. A
 // follower that waits for changes gets *table.HistoryGoneError.
-func (t *Table) Restore(c Backup) {
+func (t *Table) Restore(backup Backup) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.epoch++
 	old := t.tables
-	t.tables = cloneTables(c.tables)
-	t.version = t.inEpoch(c.version)
+	t.tables = cloneTables(backup.tables)
+	t.version = t.inEpoch(backup.version)
 	for _, r := range t.tables {
 		t.renumber(r)
 	}
--- a/table/memtable/memtable.go
+++ b/table/memtable/memtable.go
@@ -114,7 +114,7 @@
 	}
 	versions, err := t.apply(txn)
 	if f.LoseResponse {
-		return nil, &table.UnknownError{Cause: &FaultError{Name: "answer lost"}}
+		return nil, &table.UnknownError{Cause: &FaultError{Name: "response lost"}}
 	}
 	return versions, err
 }
