--- a/table/batcher.go
+++ b/table/batcher.go
@@ -74,9 +74,7 @@
 type QueueFullError struct{ Pending int }
 
 // Error implements error.
-func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("%d transactions are already queued", e.Pending)
-}
+func (e *QueueFullError) Error() string { return fmt.Sprintf("queue full: %d pending", e.Pending) }
 
 // Reason implements failure.Coded.
 func (e *QueueFullError) Reason() failure.Reason { return failure.TableUnavailable }
