--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// contender is a running holder and its current tenure.
+// contender is a running Holder and its current tenure.
 type contender struct {
 	fakeprocess.Process
 	holder *Holder
@@ -34,7 +34,7 @@
 	return c.lease
 }
 
-// holds tells whether the contender believes that it may act.
+// holds reports whether the contender has authority by its own clock.
 func (c *contender) holds() bool {
 	l := c.current()
 	if l == nil {
@@ -73,22 +73,22 @@
 	return c
 }
 
-// until waits in virtual time for a condition and returns how long it took.
-func until(t *testing.T, what string, cond func() bool) time.Duration {
-	began := time.Now()
+// waitUntil waits in virtual time for a condition and returns how long that took.
+func waitUntil(t *testing.T, what string, cond func() bool) time.Duration {
+	startedAt := time.Now()
 	for !cond() {
-		if time.Since(began) > time.Hour {
-			t.Fatalf("never: %s", what)
+		if time.Since(startedAt) > time.Hour {
+			t.Fatalf("condition not met within an hour: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
 func TestTakeoverWait(t *testing.T) {
 	now := time.Now()
 	row := table.Row{Version: 4}
-	obs := observation{version: 4, since: now.Add(-2 * time.Second)}
+	obs := observation{version: 4, firstSeen: now.Add(-2 * time.Second)}
 	for _, tc := range []struct {
 		name string
 		row  table.Row
@@ -97,9 +97,9 @@
 	}{
 		{"absent", table.Row{}, Record{}, 0},
 		{"released", row, Record{Released: true, TTLMillis: 9000}, 0},
-		{"seen for a part", row, Record{TTLMillis: 9000}, 7 * time.Second},
+		{"observed for a part of the TTL", row, Record{TTLMillis: 9000}, 7 * time.Second},
 		{"a holder with a longer lease", row, Record{TTLMillis: 20000}, 18 * time.Second},
-		{"a holder that claims a shorter one", row, Record{TTLMillis: 1}, 7 * time.Second},
+		{"a holder with a shorter lease", row, Record{TTLMillis: 1}, 7 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := takeoverWait(tc.row, tc.rec, obs, DefaultTTL, now)
@@ -110,23 +110,23 @@
 	}
 }
 
-// A holder that stands still is succeeded after a whole lease, never has
-// authority at the same time as its successor, and knows when it wakes.
-func TestPausedHolderIsSucceeded(t *testing.T) {
+// A paused holder is replaced after one lease duration, never has authority at the same time as
+// its successor, and has lost the lease when it resumes.
+func TestPausedHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		a := start(t, svc, "a", 0)
-		until(t, "a leads", a.holds)
+		waitUntil(t, "a leads", a.holds)
 		old := a.current()
 		b := start(t, svc, "b", 0)
 		time.Sleep(time.Minute)
 		if b.holds() {
-			t.Fatal("b leads beside a living holder")
+			t.Fatal("b leads while the holder is alive")
 		}
 		a.Pause()
-		wait := until(t, "b leads", func() bool {
+		wait := waitUntil(t, "b leads", func() bool {
 			if a.holds() && b.holds() {
-				t.Fatal("two holders have authority")
+				t.Fatal("two holders have authority at the same time")
 			}
 			return b.holds()
 		})
@@ -137,16 +137,16 @@
 			t.Errorf("fence %d after %d", got, old.Fence())
 		}
 		a.Wake()
-		until(t, "a knows", func() bool { return a.current() != old || !a.holds() })
+		waitUntil(t, "a has lost the lease", func() bool { return a.current() != old || !a.holds() })
 	})
 }
 
-// The row check alone, without any clock, keeps a superseded holder from writing.
-func TestCommitChecksTheRow(t *testing.T) {
+// Without relying on clocks, the check of the lease's row keeps a superseded holder from writing.
+func TestCommitChecksLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		h := NewHolder(svc, Config{Pool: "chat", Zone: "a", Identity: Identity{Process: "old"}})
-		old, err := h.take(t.Context(), table.Row{}, Record{}, 0)
+		old, err := h.acquire(t.Context(), table.Row{}, Record{}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +156,7 @@
 			_, err := old.Commit(t.Context(), txn, func(table.Row) bool { return false })
 			return err
 		}
-		// A renewal that the lease hasn't noted yet: the same tenure, a new version.
+		// A renewal that the Lease has not recorded yet: the same tenure at a new version.
 		if _, err := old.write(t.Context(), 1, old.record()); err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,7 @@
 		successor := NewHolder(svc, Config{Pool: "chat", Zone: "a", Identity: Identity{Process: "new"}})
 		rows, _ := svc.Get(t.Context(), Key("chat", "a"))
 		rec, _ := Decode(rows[0])
-		if _, err := successor.take(t.Context(), rows[0], rec, 0); err != nil {
+		if _, err := successor.acquire(t.Context(), rows[0], rec, 0); err != nil {
 			t.Fatal(err)
 		}
 		var lost *LostError
@@ -180,13 +180,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		a := start(t, svc, "a", 0)
-		until(t, "a leads", a.holds)
+		waitUntil(t, "a leads", a.holds)
 		b := start(t, svc, "b", 0)
 		time.Sleep(time.Minute)
 		before := a.current().Fence()
 		a.stop()
 		<-a.done
-		if wait := until(t, "b leads", b.holds); wait > DefaultPoll*3/2 {
+		if wait := waitUntil(t, "b leads", b.holds); wait > DefaultPoll*3/2 {
 			t.Errorf("hand-over took %v", wait)
 		}
 		if got := b.current().Fence(); got != before+1 {
@@ -195,33 +195,33 @@
 	})
 }
 
-// An outage ends the authority in time and tells the owner why; afterwards
-// somebody leads again.
+// An outage ends the authority in time, and the context of lead has the loss as its cause. After
+// the outage the lease is acquired again.
 func TestTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		a := start(t, svc, "a", 0)
-		until(t, "a leads", a.holds)
+		waitUntil(t, "a leads", a.holds)
 		time.Sleep(time.Minute)
 		svc.SetDown(true)
-		wait := until(t, "a has lost it", func() bool { return !a.holds() })
+		wait := waitUntil(t, "a loses its authority", func() bool { return !a.holds() })
 		if wait > DefaultTTL {
 			t.Errorf("authority lasted %v into the outage", wait)
 		}
 		synctest.Wait()
 		var lost *LostError
 		if !errors.As(a.cause, &lost) || lost.Cause != Expired {
-			t.Errorf("the owner was told %v, want expired", a.cause)
+			t.Errorf("the context's cause is %v, want expired", a.cause)
 		}
 		time.Sleep(10 * time.Minute)
 		svc.SetDown(false)
-		until(t, "a leads again", a.holds)
+		waitUntil(t, "a leads again", a.holds)
 	})
 }
 
-// Every other answer is lost, and some writes come late: one holder at a time,
-// and a lease once taken is known to be held.
-func TestLostAnswers(t *testing.T) {
+// One write in four loses its response and another takes effect late. There must be at most one
+// holder at a time, and the lease must be held nearly all the time.
+func TestLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
 		calls := 0
@@ -243,20 +243,21 @@
 		for range 6000 {
 			time.Sleep(100 * time.Millisecond)
 			if a.holds() && b.holds() {
-				t.Fatal("two holders have authority")
+				t.Fatal("two holders have authority at the same time")
 			}
 			if a.holds() || b.holds() {
 				held++
 			}
 		}
 		if held < 5900 {
-			t.Errorf("somebody led in %d of 6000 looks", held)
+			t.Errorf("the lease was held in %d of 6000 samples, want at least 5900", held)
 		}
 	})
 }
 
-// The load of one lease on the table stays within what the package states.
-func TestLoadOnTheTable(t *testing.T) {
+// The load of one lease on the table service must stay within what the package documentation
+// states.
+func TestTableLoad(t *testing.T) {
 	for _, tc := range []struct {
 		contenders    int
 		reads, writes float64 // a second
--- a/lease/slow_test.go
+++ b/lease/slow_test.go
@@ -12,42 +12,41 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// slowTable now and then takes slowWay for a call to come, or for its answer.
+// slowTable delays a third of the requests, and a third of the responses, by networkDelay.
 type slowTable struct {
 	*memtable.Table
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-const slowWay = 3 * time.Second
+const networkDelay = 3 * time.Second
 
-func way() {
+func randomDelay() {
 	if rand.IntN(3) == 0 {
-		time.Sleep(slowWay)
+		time.Sleep(networkDelay)
 	}
 }
 
 func (s *slowTable) Get(ctx context.Context, keys ...table.Key) ([]table.Row, error) {
-	way()
-	defer way()
-	if s.cut.Load() {
+	randomDelay()
+	defer randomDelay()
+	if s.partitioned.Load() {
 		return nil, &table.UnavailableError{}
 	}
 	return s.Table.Get(ctx, keys...)
 }
 
 func (s *slowTable) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
-	way()
-	defer way()
-	if s.cut.Load() {
+	randomDelay()
+	defer randomDelay()
+	if s.partitioned.Load() {
 		return nil, &table.UnavailableError{}
 	}
 	return s.Table.Commit(ctx, txn)
 }
 
-// TestSlowTable cuts whoever holds the lease from a slow table, again and again.
-// The holder goes on by its own count, and its successor never begins before
-// that has ended: the one counts from before it asked, the other from after it
-// was answered.
+// TestSlowTable repeatedly partitions the holder from a slow table. The holder's authority
+// continues by its own count, and the successor must never begin before that has ended: the
+// holder counts from before it sent its write, the successor from after it received its read.
 func TestSlowTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
@@ -55,7 +54,7 @@
 		contenders := []*contender{start(t, tables[0], "a", 0), start(t, tables[1], "b", 0)}
 		for range 400 {
 			holder := 0
-			until(t, "one leads", func() bool {
+			waitUntil(t, "one leads", func() bool {
 				if contenders[1].holds() {
 					holder = 1
 				}
@@ -65,14 +64,14 @@
 			if !contenders[holder].holds() {
 				continue
 			}
-			tables[holder].cut.Store(true)
-			until(t, "the other leads", func() bool {
+			tables[holder].partitioned.Store(true)
+			waitUntil(t, "the other leads", func() bool {
 				if contenders[0].holds() && contenders[1].holds() {
-					t.Fatal("two holders have authority")
+					t.Fatal("two holders have authority at the same time")
 				}
 				return contenders[1-holder].holds()
 			})
-			tables[holder].cut.Store(false)
+			tables[holder].partitioned.Store(false)
 		}
 	})
 }
--- a/membership/client.go
+++ b/membership/client.go
@@ -13,30 +13,30 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// ListPath is the HTTP path of the list. A GET returns a ListResponse with an
-// ETag, or 304 when If-None-Match names the present one. With ZoneParameter the
-// answer leaves out the endpoints of other zones.
+// ListPath is the HTTP path of the list. A GET returns a ListResponse with an ETag, or 304 when
+// If-None-Match names the current one. With ZoneParameter the response omits the endpoints of
+// other zones.
 const (
 	ListPath      = "/membership/list"
 	ZoneParameter = "zone"
 )
 
-// ListResponse is the answer to a request for the list.
+// ListResponse is the body of a response to a request for the list.
 type ListResponse struct {
 	VMs []VM `json:"vms"`
 }
 
-// ResponseError is an answer that the client does not understand.
+// ResponseError reports a response that the client can't interpret.
 type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
-	// Cause is the failure to decode, or nil.
+	// Cause is the decoding error, or nil.
 	Cause error
 }
 
 // Error implements error.
 func (e *ResponseError) Error() string {
-	return fmt.Sprintf("membership answer with status %d not understood: %v", e.Status, e.Cause)
+	return fmt.Sprintf("unexpected membership response with status %d: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
@@ -45,13 +45,13 @@
 // Unwrap returns the cause.
 func (e *ResponseError) Unwrap() error { return e.Cause }
 
-// Client reads the platform's list over HTTP/JSON. It fetches the list again
-// only when it changed, as a large fleet's list is too long for every poll.
+// Client reads the platform's list over HTTP/JSON. It uses conditional requests, because a large
+// fleet's list is too long to transfer at every poll.
 type Client struct {
 	url    string
 	sender *httponce.Sender
 
-	// mu guards the last list and its tag. It is not held during a request.
+	// mu guards the last list and its ETag. It is not held during a request.
 	mu   sync.Mutex
 	vms  []VM
 	etag string
@@ -59,8 +59,8 @@
 
 var _ List = (*Client)(nil)
 
-// NewClient returns a client of the list at address (host:port). When zone is
-// not empty, endpoints of other zones are left out; entries never are.
+// NewClient returns a client of the list at address (host:port). If zone is not empty, the list
+// omits the endpoints of other zones, but never entry VMs.
 func NewClient(address, zone string, c httponce.Config) *Client {
 	u := url.URL{Scheme: "http", Host: address, Path: ListPath}
 	if zone != "" {
@@ -71,39 +71,39 @@
 
 // VMs implements List.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
-	known, etag := c.last()
+	cachedVMs, etag := c.cached()
 	header := http.Header{}
 	if etag != "" {
 		header.Set("If-None-Match", etag)
 	}
-	a, err := c.sender.Call(ctx, http.MethodGet, c.url, header, nil)
+	response, err := c.sender.Call(ctx, http.MethodGet, c.url, header, nil)
 	switch {
 	case err != nil:
 		return nil, &UnavailableError{Cause: err}
-	case a.Status == http.StatusNotModified && etag != "":
-		return slices.Clone(known), nil
-	case a.Status != http.StatusOK:
-		return nil, &UnavailableError{Cause: &ResponseError{Status: a.Status}}
+	case response.Status == http.StatusNotModified && etag != "":
+		return slices.Clone(cachedVMs), nil
+	case response.Status != http.StatusOK:
+		return nil, &UnavailableError{Cause: &ResponseError{Status: response.Status}}
 	}
-	// A body that lacks the field must not pass for an empty list, which would
-	// declare every VM gone.
-	var answer struct {
+	// A body without the field must not be read as an empty list, which would mark every VM as
+	// removed.
+	var body struct {
 		VMs *[]VM `json:"vms"`
 	}
-	if err := json.Unmarshal(a.Body, &answer); err != nil || answer.VMs == nil {
-		return nil, &UnavailableError{Cause: &ResponseError{Status: a.Status, Cause: err}}
+	if err := json.Unmarshal(response.Body, &body); err != nil || body.VMs == nil {
+		return nil, &UnavailableError{Cause: &ResponseError{Status: response.Status, Cause: err}}
 	}
-	c.keep(*answer.VMs, a.Header.Get("ETag"))
-	return slices.Clone(*answer.VMs), nil
+	c.store(*body.VMs, response.Header.Get("ETag"))
+	return slices.Clone(*body.VMs), nil
 }
 
-func (c *Client) last() ([]VM, string) {
+func (c *Client) cached() ([]VM, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.vms, c.etag
 }
 
-func (c *Client) keep(vms []VM, etag string) {
+func (c *Client) store(vms []VM, etag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.vms = vms
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -17,63 +17,64 @@
 	DefaultTimeout  = 2 * time.Second
 )
 
-// maxGone bounds the names remembered as gone. A name forgotten counts as not
-// gone, which holds things up rather than letting them pass.
-const maxGone = 8192
+// maxRemoved bounds the number of removed VMs that are remembered. A forgotten name counts as not
+// removed, which delays work that waits for the removal and never lets it start too early.
+const maxRemoved = 8192
 
-// WatcherConfig says how often a Watcher polls. The zero value takes the defaults.
+// WatcherConfig sets the polling of a Watcher. The zero value takes the defaults.
 type WatcherConfig struct {
-	// Interval is the mean time between polls. Each wait is drawn evenly
-	// between half of it and one and a half times it.
+	// Interval is the mean time between polls. Each wait is drawn uniformly from 0.5 to 1.5 times
+	// the interval.
 	Interval time.Duration
 	// Timeout bounds one poll.
 	Timeout time.Duration
 }
 
-// Snapshot is the last list that was read.
+// Snapshot is the list as last read.
 type Snapshot struct {
-	// VMs is the list without the VMs that are gone. It is not to be changed.
+	// VMs is the list without the removed VMs. It must not be modified.
 	VMs []VM
-	// ReadAt is the moment before the read was sent, on the monotonic clock;
-	// zero when no read has succeeded yet.
+	// ReadAt is the time just before the read was sent, on the monotonic clock; zero before the
+	// first successful read.
 	ReadAt time.Time
 }
 
-// Loaded tells whether the list was ever read.
+// Loaded reports whether the list was read at least once.
 func (s Snapshot) Loaded() bool { return !s.ReadAt.IsZero() }
 
-// Age is how old the list is at now, apart from the platform's own lag.
+// Age returns the age of the list at now, without the platform's own lag.
 func (s Snapshot) Age(now time.Time) time.Duration { return now.Sub(s.ReadAt) }
 
-// Watcher polls a List and keeps the last good one.
+// Watcher polls a List and keeps the last list that was read.
 //
-// Invariant: once Removed(name) is true and while it is remembered, the VM is in no
-// snapshot, even if an older copy of the list shows it again. A VM that was
-// never seen, or is merely missing at first, is not gone.
+// Invariant: while a removed VM is remembered, so that Removed(name) is true, it is in no
+// snapshot, even if an older copy of the list shows it again. A VM that was never listed is not
+// removed.
 type Watcher struct {
 	list   List
 	config WatcherConfig
 
 	mu       sync.RWMutex
 	snapshot Snapshot
-	gone     map[string]bool
-	// goneOrder holds the keys of gone, oldest first.
-	goneOrder []string
-	changed   chan struct{}
+	removed  map[string]bool
+	// removedOrder holds the keys of removed, oldest first.
+	removedOrder []string
+	changed      chan struct{}
 }
 
-// NewWatcher returns a Watcher of list. It knows nothing until Poll or Run.
-func NewWatcher(list List, c WatcherConfig) *Watcher {
-	if c.Interval <= 0 {
-		c.Interval = DefaultInterval
+// NewWatcher returns a Watcher of list. Its snapshot is empty until Poll or Run has read the
+// list.
+func NewWatcher(list List, config WatcherConfig) *Watcher {
+	if config.Interval <= 0 {
+		config.Interval = DefaultInterval
 	}
-	if c.Timeout <= 0 {
-		c.Timeout = DefaultTimeout
+	if config.Timeout <= 0 {
+		config.Timeout = DefaultTimeout
 	}
 	return &Watcher{
 		list:    list,
-		config:  c,
-		gone:    make(map[string]bool),
+		config:  config,
+		removed: make(map[string]bool),
 		changed: make(chan struct{}),
 	}
 }
@@ -86,10 +87,10 @@
 			return
 		}
 		if err != nil && !failing {
-			klog.Warningf("membership: list not read, keeping the last: %v", err)
+			klog.Warningf("membership: failed to read the list, keeping the last one: %v", err)
 		}
 		if err == nil && failing {
-			klog.Infof("membership: list read again")
+			klog.Infof("membership: list is readable again")
 		}
 		failing = err != nil
 		if !loop.Sleep(ctx, loop.Jitter(w.config.Interval)) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Poll reads the list once. After an error the last list stands.
+// Poll reads the list once. After an error the last list is kept.
 func (w *Watcher) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, w.config.Timeout)
 	defer cancel()
@@ -107,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	w.take(vms, readAt)
+	w.update(vms, readAt)
 	return nil
 }
 
@@ -118,11 +119,12 @@
 	return w.snapshot
 }
 
-// Removed tells whether the VM was listed and then dropped. False means not known.
+// Removed reports whether the VM was listed and then dropped. False doesn't prove that the VM is
+// running.
 func (w *Watcher) Removed(name string) bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	return w.gone[name]
+	return w.removed[name]
 }
 
 // Changed returns a channel that is closed at the next change of the list.
@@ -132,51 +134,51 @@
 	return w.changed
 }
 
-// take makes vms the last list.
-func (w *Watcher) take(vms []VM, readAt time.Time) {
+// update makes vms the last list.
+func (w *Watcher) update(vms []VM, readAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.snapshot.ReadAt.After(readAt) {
-		return // A slower read, overtaken by a later one.
+		return // a read that was sent later has already completed
 	}
 	old := byName(w.snapshot.VMs)
-	kept := make([]VM, 0, len(vms))
+	current := make([]VM, 0, len(vms))
 	changed := !w.snapshot.Loaded()
 	for _, vm := range vms {
-		if w.gone[vm.Name] {
+		if w.removed[vm.Name] {
 			continue
 		}
-		kept = append(kept, vm)
-		was, ok := old[vm.Name]
-		changed = changed || !ok || was != vm
+		current = append(current, vm)
+		previous, ok := old[vm.Name]
+		changed = changed || !ok || previous != vm
 		delete(old, vm.Name)
 	}
 	for name := range old {
-		w.drop(name)
+		w.markRemoved(name)
 		changed = true
 	}
-	w.snapshot = Snapshot{VMs: kept, ReadAt: readAt}
+	w.snapshot = Snapshot{VMs: current, ReadAt: readAt}
 	if changed {
 		close(w.changed)
 		w.changed = make(chan struct{})
 	}
 }
 
-// drop remembers that a VM is gone, with w.mu held.
-func (w *Watcher) drop(name string) {
-	klog.Infof("membership: VM %s is gone", name)
-	w.gone[name] = true
-	w.goneOrder = append(w.goneOrder, name)
-	if len(w.goneOrder) > maxGone {
-		delete(w.gone, w.goneOrder[0])
-		w.goneOrder = w.goneOrder[1:]
+// markRemoved records that a VM was removed. The caller holds w.mu.
+func (w *Watcher) markRemoved(name string) {
+	klog.Infof("membership: VM %s was removed from the list", name)
+	w.removed[name] = true
+	w.removedOrder = append(w.removedOrder, name)
+	if len(w.removedOrder) > maxRemoved {
+		delete(w.removed, w.removedOrder[0])
+		w.removedOrder = w.removedOrder[1:]
 	}
 }
 
 func byName(vms []VM) map[string]VM {
-	out := make(map[string]VM, len(vms))
+	vmsByName := make(map[string]VM, len(vms))
 	for _, vm := range vms {
-		out[vm.Name] = vm
+		vmsByName[vm.Name] = vm
 	}
-	return out
+	return vmsByName
 }
--- a/table/batcher_test.go
+++ b/table/batcher_test.go
@@ -18,21 +18,22 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// result is how a commit ended.
+// result is the outcome of a commit.
 type result struct {
 	Versions []table.Version
 	Reason   failure.Reason
 }
 
-// onlyAt is a version that holds for no absent row when i is at, and Absent otherwise.
-func onlyAt(i, at int) table.Version {
+// mismatchAt returns a version that conflicts with an absent row if i is at, and Absent
+// otherwise.
+func mismatchAt(i, at int) table.Version {
 	if i == at {
 		return 1
 	}
 	return table.Absent
 }
 
-// commitAll commits txns at the same moment.
+// commitAll commits txns concurrently.
 func commitAll(ctx context.Context, s table.Service, txns []table.Txn) []result {
 	results := make([]result, len(txns))
 	var wg sync.WaitGroup
@@ -50,25 +51,26 @@
 	const n = 100
 	tests := []struct {
 		name string
-		// row names the row of the i-th transaction; version is what it checks.
-		row     func(i int) string
-		version func(i int) table.Version
-		lanes   int
-		wantWon int
-		// maxCommits allows for the lane having left before the others came.
+		// row returns the row of the i-th transaction; version returns the version that it
+		// checks.
+		row           func(i int) string
+		version       func(i int) table.Version
+		concurrency   int
+		wantSucceeded int
+		// maxCommits allows for a first group that the worker takes before the others are queued.
 		maxCommits uint64
 	}{
-		{name: "independent", row: func(i int) string { return fmt.Sprint(i) }, lanes: 1, wantWon: n, maxCommits: 2},
-		{name: "one conflict", row: func(i int) string { return fmt.Sprint(i) }, lanes: 1,
-			version: func(i int) table.Version { return onlyAt(i, n/2) }, wantWon: n - 1, maxCommits: n + 2},
-		{name: "all on one row", row: func(int) string { return "x" }, lanes: 4, wantWon: 1, maxCommits: n},
+		{name: "independent", row: func(i int) string { return fmt.Sprint(i) }, concurrency: 1, wantSucceeded: n, maxCommits: 2},
+		{name: "one conflict", row: func(i int) string { return fmt.Sprint(i) }, concurrency: 1,
+			version: func(i int) table.Version { return mismatchAt(i, n/2) }, wantSucceeded: n - 1, maxCommits: n + 2},
+		{name: "all on one row", row: func(int) string { return "x" }, concurrency: 4, wantSucceeded: 1, maxCommits: n},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := memtable.New()
 				m.SetFault(memtable.Fault{Delay: 5 * time.Millisecond})
-				s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: tt.lanes})
+				s := table.NewBatcher(m, table.BatcherConfig{MaxConcurrent: tt.concurrency})
 				var txns []table.Txn
 				for i := range n {
 					version := table.Absent
@@ -77,28 +79,28 @@
 					}
 					txns = append(txns, guarded(tt.row(i), fmt.Sprint(i), version))
 				}
-				won := 0
+				succeeded := 0
 				for i, r := range commitAll(t.Context(), s, txns) {
 					if r.Reason == "" {
-						won++
-						checkWinner(t, m, r, txns[i])
+						succeeded++
+						checkWritten(t, m, r, txns[i])
 					} else if r.Reason != failure.TableConflict {
 						t.Errorf("transaction %d: %v", i, r)
 					}
 				}
-				if won != tt.wantWon {
-					t.Errorf("%d won, want %d", won, tt.wantWon)
+				if succeeded != tt.wantSucceeded {
+					t.Errorf("%d succeeded, want %d", succeeded, tt.wantSucceeded)
 				}
 				if got := m.Counts().Commits; got > tt.maxCommits {
-					t.Errorf("%d commits, want %d at most", got, tt.maxCommits)
+					t.Errorf("%d commits, want at most %d", got, tt.maxCommits)
 				}
 			})
 		})
 	}
 }
 
-// checkWinner checks that the row holds what txn wrote, at the version answered.
-func checkWinner(t *testing.T, m *memtable.Table, r result, txn table.Txn) {
+// checkWritten checks that the row holds what txn wrote, at the returned version.
+func checkWritten(t *testing.T, m *memtable.Table, r result, txn table.Txn) {
 	t.Helper()
 	w := txn.Writes[0]
 	rows, err := m.Get(t.Context(), w.Key)
@@ -111,9 +113,9 @@
 	}
 }
 
-// TestBatcherGivesUp ends the context of one transaction that has left and of
-// one that still waits behind it.
-func TestBatcherGivesUp(t *testing.T) {
+// TestBatcherCancellation cancels the context of a transaction that is in flight, of one that is
+// queued behind it, and of one that was refused.
+func TestBatcherCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
 		m.SetFault(memtable.Fault{Delay: time.Second})
@@ -141,7 +143,7 @@
 	})
 }
 
-// TestBatcherPacesCommits offers a steady load and then one lone transaction.
+// TestBatcherPacesCommits commits at a steady rate and then a single transaction.
 func TestBatcherPacesCommits(t *testing.T) {
 	const (
 		perSecond = 2000
@@ -174,14 +176,14 @@
 		start := time.Now()
 		commit("lone")
 		if took := time.Since(start); took != slow {
-			t.Errorf("a lone transaction took %v, want %v", took, slow)
+			t.Errorf("a single transaction took %v, want %v", took, slow)
 		}
 	})
 }
 
-// TestBatcherPassesOnDoubt loses the answer of a group: nobody may be told more
-// than is known.
-func TestBatcherPassesOnDoubt(t *testing.T) {
+// TestBatcherReportsUnknownOutcome injects faults into the commit of a group. Each caller must
+// get the reason of its outcome and no versions: a lost response leaves the outcome unknown.
+func TestBatcherReportsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for fault, want := range map[memtable.Fault]failure.Reason{
 			{Delay: time.Second, LoseResponse: true}: failure.TableUnknown,
@@ -194,7 +196,7 @@
 			txns := []table.Txn{guarded("a", "1", 0), guarded("b", "2", 0), guarded("c", "3", 0)}
 			for i, r := range commitAll(t.Context(), s, txns) {
 				if r.Reason != want || r.Versions != nil {
-					t.Errorf("%+v: transaction %d got %v, want %v", fault, i, r, want)
+					t.Errorf("fault %+v: transaction %d got %v, want %v", fault, i, r, want)
 				}
 			}
 		}
--- a/table/follow.go
+++ b/table/follow.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// DefaultFeedWait is how long one question for changes waits. A longer wait
-	// makes fewer calls; a shorter one finds a store that fell silent sooner.
+	// DefaultFeedWait is how long one query for changes waits. A longer wait makes fewer calls; a
+	// shorter one detects an unresponsive store sooner.
 	DefaultFeedWait = 4 * time.Second
-	// feedRetryMin and feedRetryMax bound the mean pause before a failed
-	// question is asked again; it doubles with each.
+	// feedRetryMin and feedRetryMax bound the mean pause before a failed query is retried; the
+	// pause doubles with each failure.
 	feedRetryMin = 100 * time.Millisecond
 	feedRetryMax = 800 * time.Millisecond
 )
 
-// Listing tells under which circumstances a table was read whole.
+// Listing describes the circumstances under which a whole table was read.
 type Listing struct {
-	// AfterOutage marks the first answer after questions that failed: what it shows as missing
-	// may have lapsed only because the store was away.
+	// AfterOutage marks the first response after failed queries: rows that are missing from it
+	// may have expired only because the store was unavailable.
 	AfterOutage bool
-	// NewEpoch marks the first listing since the store came back from a copy: it may lack, or hold
-	// as it was, what has changed since the copy was taken.
+	// NewEpoch marks the first listing after the store was restored from a backup: changes made
+	// since the backup may be missing or reverted.
 	NewEpoch bool
 }
 
-// Follower keeps up with one table: it reads it whole, then follows its changes,
-// and reads it whole again when they are no longer kept.
+// Follower follows one table: it reads the whole table, then its changes, and reads the whole
+// table again when the changes are no longer kept.
 //
-// The callbacks are called one at a time, in the order of the table's versions. afterOutage is as
-// in Listing.
+// The callbacks are called one at a time, in the order of the table's versions. afterOutage has
+// the meaning of Listing.AfterOutage.
 type Follower struct {
 	Feed  Feed
 	Table string
-	// Wait is how long a question waits for a change; zero takes DefaultFeedWait.
+	// Wait is how long a query waits for a change; zero takes DefaultFeedWait.
 	Wait time.Duration
-	// OnList takes the whole table.
-	OnList func(rows []Row, l Listing)
-	// OnChanges takes changes; there may be none.
+	// OnList receives the whole table.
+	OnList func(rows []Row, listing Listing)
+	// OnChanges receives changes; there may be none.
 	OnChanges func(changes []Change, afterOutage bool)
-	// OnResponse, which may be nil, is called after OnList or OnChanges has taken in an answer.
+	// OnResponse, which may be nil, is called after OnList or OnChanges has processed a response.
 	OnResponse func()
-	// OnUnavailable is called when a question fails after one that did not, OnRecovered
-	// when one succeeds again, with how long there was no answer. Both may be nil.
+	// OnUnavailable is called when a query fails after a successful one or as the first.
+	// OnRecovered is called at the next successful one, with the time since the last response.
+	// Both may be nil.
 	OnUnavailable func(err error)
-	OnRecovered   func(away time.Duration)
+	OnRecovered   func(outage time.Duration)
 
-	lost  bool
-	since time.Time
-	// failures counts the questions that failed one after the other.
+	unavailable  bool
+	lastResponse time.Time
+	// failures counts consecutive failed queries.
 	failures int
-	// epoch is that of the last listing.
+	// epoch is the epoch of the last listing.
 	epoch uint64
 }
 
@@ -63,57 +64,57 @@
 	if f.Wait == 0 {
 		f.Wait = DefaultFeedWait
 	}
-	f.since = clock.Now()
+	f.lastResponse = clock.Now()
 	listed := false
 	for ctx.Err() == nil {
-		rows, at, err := f.Feed.List(ctx, f.Table)
+		rows, version, err := f.Feed.List(ctx, f.Table)
 		if err != nil {
-			f.failed(ctx, err)
+			f.handleError(ctx, err)
 			continue
 		}
-		l := Listing{AfterOutage: f.answered(), NewEpoch: listed && at.Epoch() > f.epoch}
-		listed, f.epoch = true, at.Epoch()
-		f.OnList(rows, l)
-		f.taken()
-		f.follow(ctx, at)
+		listing := Listing{AfterOutage: f.handleResponse(), NewEpoch: listed && version.Epoch() > f.epoch}
+		listed, f.epoch = true, version.Epoch()
+		f.OnList(rows, listing)
+		f.notifyResponse()
+		f.follow(ctx, version)
 	}
 }
 
-// follow asks for changes until they are no longer kept.
-func (f *Follower) follow(ctx context.Context, at Version) {
-	var gone *HistoryGoneError
+// follow queries for changes until they are no longer kept.
+func (f *Follower) follow(ctx context.Context, version Version) {
+	var historyGone *HistoryGoneError
 	for ctx.Err() == nil {
 		wait := f.Wait
-		if f.lost {
-			wait = 0 // the first answer must not mix in what happens after the outage
+		if f.unavailable {
+			wait = 0 // the first response must not include changes made after the outage
 		}
-		changes, next, err := f.Feed.Changes(ctx, f.Table, at, wait)
+		changes, next, err := f.Feed.Changes(ctx, f.Table, version, wait)
 		switch {
-		case errors.As(err, &gone):
+		case errors.As(err, &historyGone):
 			return
 		case err != nil:
-			f.failed(ctx, err)
+			f.handleError(ctx, err)
 		default:
-			f.OnChanges(changes, f.answered())
-			f.taken()
-			at = max(at, next)
+			f.OnChanges(changes, f.handleResponse())
+			f.notifyResponse()
+			version = max(version, next)
 		}
 	}
 }
 
-func (f *Follower) taken() {
+func (f *Follower) notifyResponse() {
 	if f.OnResponse != nil {
 		f.OnResponse()
 	}
 }
 
-// failed notes a question without an answer and pauses.
-func (f *Follower) failed(ctx context.Context, err error) {
+// handleError records a failed query and sleeps for the backoff.
+func (f *Follower) handleError(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !f.lost {
-		f.lost = true
+	if !f.unavailable {
+		f.unavailable = true
 		if f.OnUnavailable != nil {
 			f.OnUnavailable(err)
 		}
@@ -123,13 +124,13 @@
 	loop.Sleep(ctx, loop.Jitter(pause))
 }
 
-// answered notes an answer and tells whether it is the first after an outage.
-func (f *Follower) answered() (afterOutage bool) {
+// handleResponse records a response and reports whether it is the first after an outage.
+func (f *Follower) handleResponse() (afterOutage bool) {
 	now := clock.Now()
-	afterOutage = f.lost
-	if f.lost && f.OnRecovered != nil {
-		f.OnRecovered(now.Sub(f.since))
+	afterOutage = f.unavailable
+	if f.unavailable && f.OnRecovered != nil {
+		f.OnRecovered(now.Sub(f.lastResponse))
 	}
-	f.lost, f.failures, f.since = false, 0, now
+	f.unavailable, f.failures, f.lastResponse = false, 0, now
 	return afterOutage
 }
--- a/table/settle_test.go
+++ b/table/resolve_test.go
@@ -22,7 +22,7 @@
 
 func put(row, value string) table.Write { return table.Write{Key: key(row), Value: []byte(value)} }
 
-// guarded writes value to row if it stands at version.
+// guarded returns a transaction that writes value to row if the row is at version.
 func guarded(row, value string, version table.Version) table.Txn {
 	return table.Txn{
 		Checks: []table.Check{{Key: key(row), Version: version}},
@@ -30,7 +30,7 @@
 	}
 }
 
-func holds(value string) func(table.Row) bool {
+func hasValue(value string) func(table.Row) bool {
 	return func(r table.Row) bool { return string(r.Value) == value }
 }
 
@@ -43,7 +43,7 @@
 	return versions
 }
 
-// reason is the code of err, or empty.
+// reason returns the reason code of err, or empty.
 func reason(err error) failure.Reason {
 	if err == nil {
 		return ""
@@ -51,7 +51,7 @@
 	return failure.ReasonOf(err)
 }
 
-// firstCommit is a hook that injects f into the first commit only.
+// firstCommit returns a hook that injects f into the first commit only.
 func firstCommit(f memtable.Fault) func(memtable.Call) memtable.Fault {
 	var once sync.Once
 	return func(c memtable.Call) (out memtable.Fault) {
@@ -62,48 +62,48 @@
 	}
 }
 
-func TestCommitSettled(t *testing.T) {
+func TestCommitAndResolve(t *testing.T) {
 	lost := memtable.Fault{LoseResponse: true}
 	late := memtable.Fault{ApplyAfter: time.Minute}
-	mine := guarded("a", "mine", 1)
+	ownTxn := guarded("a", "mine", 1)
 	other := func(row, value string) table.Txn { return table.Txn{Writes: []table.Write{put(row, value)}} }
 	tests := []struct {
 		name  string
 		txn   table.Txn
 		fault memtable.Fault
-		// between are what others commit right after the first try.
+		// between are the transactions of others right after the first attempt.
 		between []table.Txn
-		// before is what another commits before the first try.
+		// before is another writer's transaction before the first attempt.
 		before *table.Txn
-		// after is what another commits after ten seconds.
+		// after is another writer's transaction after ten seconds.
 		after        *table.Txn
 		want         failure.Reason
 		wantVersions []table.Version
-		// wantValue is the row "a" two minutes later.
+		// wantValue is the value of row "a" two minutes later.
 		wantValue string
 	}{
-		{name: "no fault", txn: mine, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "answer lost", txn: mine, fault: lost, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "never arrives", txn: mine, fault: memtable.Fault{Hang: true}, want: failure.TableUnknown, wantValue: "old"},
-		{name: "arrives after the repeat", txn: mine, fault: late, wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "arrives after the repeat and another write", txn: mine, fault: late,
+		{name: "no fault", txn: ownTxn, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "response lost", txn: ownTxn, fault: lost, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "never arrives", txn: ownTxn, fault: memtable.Fault{Hang: true}, want: failure.TableUnknown, wantValue: "old"},
+		{name: "arrives after the repeat", txn: ownTxn, fault: late, wantVersions: []table.Version{2}, wantValue: "mine"},
+		{name: "arrives after the repeat and another write", txn: ownTxn, fault: late,
 			between: []table.Txn{other("a", "theirs")}, want: failure.TableConflict, wantValue: "theirs"},
-		{name: "refused", txn: mine, fault: memtable.Fault{Fail: true}, want: failure.TableUnavailable, wantValue: "old"},
+		{name: "refused", txn: ownTxn, fault: memtable.Fault{Fail: true}, want: failure.TableUnavailable, wantValue: "old"},
 		{name: "plain conflict", txn: guarded("a", "mine", 9), want: failure.TableConflict, wantValue: "old"},
-		{name: "lost, then overwritten", txn: mine, fault: lost,
+		{name: "lost, then overwritten", txn: ownTxn, fault: lost,
 			between: []table.Txn{other("a", "theirs")}, want: failure.TableSuperseded, wantValue: "theirs"},
 		{name: "lost, one of two overwritten", txn: table.Txn{
-			Checks: mine.Checks, Writes: []table.Write{put("a", "mine"), put("b", "mine")}}, fault: lost,
+			Checks: ownTxn.Checks, Writes: []table.Write{put("a", "mine"), put("b", "mine")}}, fault: lost,
 			between: []table.Txn{other("a", "theirs")}, wantVersions: []table.Version{table.Absent, 2}, wantValue: "theirs"},
-		{name: "lost conflict", txn: mine, fault: lost,
+		{name: "lost conflict", txn: ownTxn, fault: lost,
 			before: &table.Txn{Writes: []table.Write{put("a", "theirs")}}, want: failure.TableConflict, wantValue: "theirs"},
 		{name: "lost creation, another's row", txn: guarded("new", "mine", table.Absent), fault: late,
 			between: []table.Txn{other("new", "theirs")}, want: failure.TableSuperseded, wantValue: "old"},
-		{name: "conflict on an absence that comes back", txn: table.Txn{
-			Checks: append(guarded("new", "", table.Absent).Checks, mine.Checks...), Writes: mine.Writes}, fault: late,
+		{name: "conflict on a row that becomes absent again", txn: table.Txn{
+			Checks: append(guarded("new", "", table.Absent).Checks, ownTxn.Checks...), Writes: ownTxn.Writes}, fault: late,
 			between: []table.Txn{other("new", "theirs")}, after: &table.Txn{Writes: []table.Write{{Key: key("new"), Delete: true}}},
 			wantVersions: []table.Version{2}, wantValue: "mine"},
-		{name: "lost delete, made anew", txn: table.Txn{Checks: mine.Checks, Writes: []table.Write{{Key: key("a"), Delete: true}}},
+		{name: "lost delete, created again", txn: table.Txn{Checks: ownTxn.Checks, Writes: []table.Write{{Key: key("a"), Delete: true}}},
 			fault: lost, between: []table.Txn{other("a", "theirs")}, want: failure.TableSuperseded, wantValue: "theirs"},
 		{name: "unguarded", txn: other("a", "mine"), want: failure.TableInvalid, wantValue: "old"},
 	}
@@ -119,7 +119,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
 				go func() {
-					// Before the repeat, which waits 10 ms at least.
+					// This is before the repetition, which waits at least 10 ms.
 					time.Sleep(time.Millisecond)
 					for _, txn := range tt.between {
 						mustCommit(t, m, txn)
@@ -129,7 +129,7 @@
 						mustCommit(t, m, *tt.after)
 					}
 				}()
-				versions, err := table.CommitAndResolve(ctx, m, tt.txn, holds("mine"))
+				versions, err := table.CommitAndResolve(ctx, m, tt.txn, hasValue("mine"))
 				if diff := cmp.Diff(tt.want, reason(err)); diff != "" {
 					t.Errorf("%v: %s", err, diff)
 				}
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestSettledOutageKeepsTrying loses an answer and then takes the table down:
-// the refusals that follow settle nothing.
-func TestSettledOutageKeepsTrying(t *testing.T) {
+// TestCommitAndResolveRetriesDuringOutage loses a response and then takes the table down: the
+// refusals that follow don't resolve the outcome.
+func TestCommitAndResolveRetriesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
 		m.SetHook(firstCommit(memtable.Fault{LoseResponse: true}))
@@ -158,7 +158,7 @@
 			time.Sleep(time.Minute)
 			m.SetDown(false)
 		}()
-		versions, err := table.CommitAndResolve(t.Context(), m, guarded("a", "mine", table.Absent), holds("mine"))
+		versions, err := table.CommitAndResolve(t.Context(), m, guarded("a", "mine", table.Absent), hasValue("mine"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,25 +166,25 @@
 			t.Error(diff)
 		}
 		if n := m.Counts().Commits; n > 100 {
-			t.Errorf("%d tries in a minute of outage", n)
+			t.Errorf("%d attempts in a minute of outage, want at most 100", n)
 		}
 	})
 }
 
-// TestSettledWithoutAnswers loses the answer of every write: reading back
-// settles one that took effect.
-func TestSettledWithoutAnswers(t *testing.T) {
+// TestCommitAndResolveWithoutResponses loses the response to every write: reading back resolves a
+// write that took effect.
+func TestCommitAndResolveWithoutResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memtable.New()
 		m.SetFault(memtable.Fault{LoseResponse: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		versions, err := table.CommitAndResolve(ctx, m, guarded("a", "mine", table.Absent), holds("mine"))
+		versions, err := table.CommitAndResolve(ctx, m, guarded("a", "mine", table.Absent), hasValue("mine"))
 		if diff := cmp.Diff([]table.Version{1}, versions); diff != "" || err != nil {
 			t.Errorf("%v: %s", err, diff)
 		}
-		if _, err := table.CommitAndResolve(ctx, m, guarded("a", "late", table.Absent), holds("late")); reason(err) != failure.TableUnknown {
-			t.Errorf("a write that meets another's row, unheard: %v", err)
+		if _, err := table.CommitAndResolve(ctx, m, guarded("a", "late", table.Absent), hasValue("late")); reason(err) != failure.TableUnknown {
+			t.Errorf("a write that conflicts with another row, without responses: %v", err)
 		}
 	})
 }
@@ -203,10 +203,10 @@
 	return f
 }
 
-// TestSettledHistories lets writers append their ids to one row, through a
-// Batcher and random faults, and checks afterwards that each answer was true:
-// what succeeded is there once, and what failed for certain is not there.
-func TestSettledHistories(t *testing.T) {
+// TestCommitAndResolveHistories has writers append their ids to a few rows through a Batcher and
+// random faults. Afterwards a successful write must be present once, a failed one must be absent,
+// and a superseded one may be either.
+func TestCommitAndResolveHistories(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runHistory(t, seed) })
@@ -217,7 +217,7 @@
 func runHistory(t *testing.T, seed uint64) {
 	const writers, writes = 6, 15
 	m := memtable.New()
-	var mu sync.Mutex // Guards r and results.
+	var mu sync.Mutex // guards r and results
 	r := rand.New(rand.NewPCG(seed, 0))
 	results := make(map[string]error)
 	m.SetHook(func(memtable.Call) memtable.Fault {
@@ -239,7 +239,7 @@
 		})
 	}
 	wg.Wait()
-	time.Sleep(time.Minute) // Late writes arrive.
+	time.Sleep(time.Minute) // delayed writes take effect
 	m.SetHook(nil)
 	rows, err := m.Scan(t.Context(), "t", "", "", 0)
 	if err != nil {
@@ -248,40 +248,40 @@
 	checkHistory(t, rows, results)
 }
 
-// appendID appends id to a row once.
+// appendID appends id to a row at most once.
 func appendID(ctx context.Context, s table.Service, k table.Key, id string) error {
 	rows, err := s.Get(ctx, k)
 	if err != nil {
 		return err
 	}
 	txn := guarded(k.Row, string(rows[0].Value)+id+" ", rows[0].Version)
-	last := func(r table.Row) bool { return strings.HasSuffix(string(r.Value), id+" ") }
-	_, err = table.CommitAndResolve(ctx, s, txn, last)
+	isOwnWrite := func(r table.Row) bool { return strings.HasSuffix(string(r.Value), id+" ") }
+	_, err = table.CommitAndResolve(ctx, s, txn, isOwnWrite)
 	return err
 }
 
 func checkHistory(t *testing.T, rows []table.Row, results map[string]error) {
 	t.Helper()
-	times := make(map[string]int)
+	counts := make(map[string]int)
 	for _, row := range rows {
 		for _, id := range strings.Fields(string(row.Value)) {
-			times[id]++
+			counts[id]++
 		}
 	}
 	done, superseded := 0, 0
 	for id, err := range results {
-		var doubt *table.SupersededError
-		switch n := times[id]; {
+		var supersededErr *table.SupersededError
+		switch n := counts[id]; {
 		case err == nil && n == 1:
 			done++
-		case errors.As(err, &doubt) && n <= 1:
+		case errors.As(err, &supersededErr) && n <= 1:
 			superseded++
 		case err == nil || n != 0:
-			t.Errorf("write %s answered %v and is there %d times", id, err, n)
+			t.Errorf("write %s returned %v and is present %d times", id, err, n)
 		}
 	}
 	if done == 0 {
 		t.Error("no write succeeded")
 	}
-	t.Logf("%d writes done, %d superseded, %d others", done, superseded, len(results)-done-superseded)
+	t.Logf("%d writes succeeded, %d superseded, %d others", done, superseded, len(results)-done-superseded)
 }
