--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -11,8 +11,9 @@
 // the last moment at which a new request may reach it. Every delay between the two must have its
 // share in this struct.
 type drainBudget struct {
-	// batching is how long the store may collect endpoint changes before it responds. Without it,
-	// endpoints that start, leave or change roles one after the other would cost one request each.
+	// batching is the pause after reading endpoint changes, during which further changes collect at
+	// the store. Without it, endpoints that start, leave or change roles one after the other would
+	// cost one request each.
 	batching time.Duration
 	// readerFailover is how long a VM that reads the table through another VM keeps waiting after
 	// that VM died: until it counts as unresponsive and the next check notices.
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -20,8 +20,8 @@
 		if b.batching != tc.batching {
 			t.Errorf("of %v, %v are for batching, want %v", tc.within, b.batching, tc.batching)
 		}
-		if left := tc.within - (b.batching + b.readerFailover + b.storeResponse + b.delivery); left < tc.reserve {
-			t.Errorf("of %v, %v remain, want at least %v", tc.within, left, tc.reserve)
+		if remaining := tc.within - (b.batching + b.readerFailover + b.storeResponse + b.delivery); remaining < tc.reserve {
+			t.Errorf("of %v, %v remain, want at least %v", tc.within, remaining, tc.reserve)
 		}
 	}
 }
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -21,9 +21,9 @@
 		Feed:  g.endpoints,
 		Table: g.platform.Endpoints,
 		OnList: func(rows []table.Row, listing table.Listing) {
-			first := !g.state.endpointsListed.Load()
+			firstListing := !g.state.endpointsListed.Load()
 			g.applyEndpointList(rows, listing)
-			if first {
+			if firstListing {
 				g.queryCaches(ctx)
 			}
 		},
@@ -69,7 +69,7 @@
 // snapshot takes time proportional to the number of endpoints, and thousands register one after the
 // other when a large fleet starts.
 func (g *Gateway) applyEndpointChanges(changes []table.Change, afterOutage bool) {
-	var lapsed []string
+	var expired []string
 	var puts []directory.Registration
 	for _, c := range changes {
 		r, valid := directory.Registration{}, false
@@ -87,14 +87,14 @@
 		id := c.Row.Key.Row
 		if c.Deleted && afterOutage {
 			g.directory.MarkExpired(id)
-			lapsed = append(lapsed, id)
+			expired = append(expired, id)
 			continue
 		}
 		g.directory.Remove(id)
 		klog.InfoS("gateway: endpoint deregistered", "endpoint", id, "version", c.Row.Version.String())
 	}
 	g.putEndpoints(puts)
-	g.scheduleExpiry(lapsed)
+	g.scheduleExpiry(expired)
 }
 
 // recordDrainDelay records the time between a drain and its arrival at this VM. Only the first sign
@@ -109,9 +109,9 @@
 	klog.InfoS("gateway: endpoint draining", "endpoint", c.Row.Key.Row, "version", c.Row.Version.String(), "deleted", c.Deleted, "ageAtMostMS", age.Milliseconds())
 }
 
-func (g *Gateway) putEndpoints(list []directory.Registration) {
-	if len(list) > 0 {
-		g.directory.Put(list...)
+func (g *Gateway) putEndpoints(registrations []directory.Registration) {
+	if len(registrations) > 0 {
+		g.directory.Put(registrations...)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -360,18 +360,18 @@
 // first, and all requests are still served while the balancer notices; then the listener closes and
 // the open requests complete.
 func (g *Gateway) stop(callerServer *http.Server) {
-	began := time.Now()
+	start := time.Now()
 	g.state.stop(clock.Now().Add(g.settings.Grace - stopMargin))
 	g.exchange.Leave()
 	klog.InfoS("gateway: stopping", "grace", g.settings.Grace)
 	time.Sleep(min(g.settings.BalancerDelay, g.settings.Grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(g.settings.Grace-stopMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(g.settings.Grace-stopMargin))
 	defer cancel()
 	if err := callerServer.Shutdown(ctx); err != nil {
 		klog.InfoS("gateway: requests still open at the end of the grace period", "err", err)
 	}
 	g.closeUsage()
-	klog.InfoS("gateway: stopped", "took", time.Since(began))
+	klog.InfoS("gateway: stopped", "took", time.Since(start))
 }
 
 // staleConnectionInterval is how often stale connections to endpoints are closed.
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -57,7 +57,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	began := clock.Now() // includes the time the body takes to arrive
+	received := clock.Now() // includes the time the body takes to arrive
 	if h.state.isStopping() {
 		w.Header().Set("Connection", "close")
 	}
@@ -66,7 +66,7 @@
 		h.reject(w, r, call.ID, failed)
 		return
 	}
-	req, failed := h.buildRequest(w, r, call, began)
+	req, failed := h.buildRequest(w, r, call, received)
 	if failed != nil {
 		h.reject(w, r, call.ID, failed)
 		return
@@ -77,7 +77,7 @@
 }
 
 // buildRequest finds the route, identifies the caller and reads the body.
-func (h *handler) buildRequest(w http.ResponseWriter, r *http.Request, call Call, began time.Time) (*relay.Request, *failure.Request) {
+func (h *handler) buildRequest(w http.ResponseWriter, r *http.Request, call Call, received time.Time) (*relay.Request, *failure.Request) {
 	config := h.state.config.Load()
 	if config == nil {
 		return nil, newRefusal(failure.NoConfig, "this VM has no configuration yet")
@@ -97,11 +97,11 @@
 	req := &relay.Request{
 		ID: call.ID, Method: r.Method, Target: target(r), Host: r.Host,
 		Header: call.forwardedHeader(config), Body: body, HasBody: r.ContentLength != 0,
-		Caller: withoutPort(r.RemoteAddr), Received: began, Config: config, Route: route, Service: route.Service(rand.Float64()),
+		Caller: withoutPort(r.RemoteAddr), Received: received, Config: config, Route: route, Service: route.Service(rand.Float64()),
 		Credential: call.Credential, Organisation: caller, Prompt: call.Prompt, LastEventID: call.LastEventID,
 	}
 	if limit := shorterTimeout(call.Timeout, route.Timeout); limit > 0 {
-		req.Deadline = began.Add(limit)
+		req.Deadline = received.Add(limit)
 	}
 	return req, nil
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -38,9 +38,9 @@
 }
 
 // receiveAnnouncement handles an announcement sent to all VMs.
-func (g *Gateway) receiveAnnouncement(n loadshare.Announcement) {
-	g.guard.Receive(n)
-	g.signals.Receive(n.Signals)
+func (g *Gateway) receiveAnnouncement(announcement loadshare.Announcement) {
+	g.guard.Receive(announcement)
+	g.signals.Receive(announcement.Signals)
 }
 
 // receiveLoad handles another VM's load datagram.
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// configBatching is how long the store may collect configurations before it responds. They
-	// occasionally come in quick succession, and each must be in force soon.
+	// configBatching is the pause after reading configurations, during which further ones collect at
+	// the store. They occasionally come in quick succession, and each must be in force soon.
 	configBatching = 250 * time.Millisecond
 	// rosterBatching is the same for VMs: hundreds register when a site starts, and nothing waits
 	// for a single one.
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -51,19 +51,19 @@
 // A VM that reports ready must accept connections of callers, so its caller port opens before the
 // readiness check can be answered.
 func TestCallersCanConnectBeforeTheVMIsReady(t *testing.T) {
-	o := &recordingListener{slowAddress: "callers"}
+	listener := &recordingListener{slowAddress: "callers"}
 	g := New(Settings{VM: "vm", Zone: "a", Callers: "callers", Readiness: "readiness", Peers: "127.0.0.1:0"}, Platform{
 		Rows: memtable.New(), Feed: unavailableFeed{}, CloseStaleConnections: func(*directory.Snapshot) {},
-	}, network.Network{Listen: o.Listen})
+	}, network.Network{Listen: listener.Listen})
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if err := g.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	callers, readiness := slices.Index(o.addresses, "callers"), slices.Index(o.addresses, "readiness")
-	if callers != 0 || readiness < 0 || len(o.addresses) != 3 {
-		t.Errorf("listened on %v", o.addresses)
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	callers, readiness := slices.Index(listener.addresses, "callers"), slices.Index(listener.addresses, "readiness")
+	if callers != 0 || readiness < 0 || len(listener.addresses) != 3 {
+		t.Errorf("listened on %v", listener.addresses)
 	}
 }
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -30,7 +30,7 @@
 	configLostAt atomic.Int64
 }
 
-// stop marks the begin of a planned stop, which cuts off open requests at end.
+// stop marks the start of a planned stop, which cuts off open requests at end.
 func (s *state) stop(end time.Time) { s.shutdownAt.Store(&end) }
 
 func (s *state) isStopping() bool { return s.shutdownAt.Load() != nil }
--- a/organisation/organisation.go
+++ b/organisation/organisation.go
@@ -58,16 +58,16 @@
 
 // Registry looks up organisations by API key. It is immutable.
 type Registry struct {
-	list  []Organisation
-	byKey map[Digest]*Organisation
+	organisations []Organisation
+	byKey         map[Digest]*Organisation
 }
 
 // NewRegistry returns a registry of organisations. A key listed by several organisations belongs to
 // the first and is returned in shared: refusing it would lock out legitimate callers.
-func NewRegistry(list []Organisation) (r *Registry, shared []Digest) {
-	r = &Registry{list: slices.Clone(list), byKey: map[Digest]*Organisation{}}
-	for i := range r.list {
-		o := &r.list[i]
+func NewRegistry(organisations []Organisation) (r *Registry, shared []Digest) {
+	r = &Registry{organisations: slices.Clone(organisations), byKey: map[Digest]*Organisation{}}
+	for i := range r.organisations {
+		o := &r.organisations[i]
 		for _, key := range o.Keys {
 			switch owner := r.byKey[key]; {
 			case owner == nil:
@@ -85,12 +85,12 @@
 	if r == nil {
 		return 0
 	}
-	return len(r.list)
+	return len(r.organisations)
 }
 
 // Organisations returns all organisations in their configured order. The caller must not modify the
 // slice.
-func (r *Registry) Organisations() []Organisation { return r.list }
+func (r *Registry) Organisations() []Organisation { return r.organisations }
 
 // Identify returns the organisation of a credential. The error is *CredentialError.
 func (r *Registry) Identify(c Credential) (*Organisation, error) {
--- a/roster/epoch_test.go
+++ b/roster/epoch_test.go
@@ -66,8 +66,8 @@
 				if len(writes) != tc.lost {
 					t.Errorf("%d writes for %d lost rows", len(writes), tc.lost)
 				}
-				if most := maxWithin(writes, time.Second); most > 2*partitionWrites {
-					t.Errorf("%d writes within a second", most)
+				if highest := maxWithin(writes, time.Second); highest > 2*partitionWrites {
+					t.Errorf("%d writes within a second", highest)
 				}
 			})
 		})
@@ -77,14 +77,14 @@
 // maxWithin returns the highest number of times within any span of the given length.
 func maxWithin(times []time.Time, span time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > span {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
 // A VM rewrites its row if the backup holds the row of an earlier start.
--- a/roster/follow.go
+++ b/roster/follow.go
@@ -48,7 +48,7 @@
 		lost = r.retainLost(previousOthers, localListed)
 	}
 	if !localListed {
-		r.scheduleRewrite(lost + 1) // otherwise the other VMs treat this one as removed, or as its earlier start
+		r.scheduleRewrite(lost + 1) // otherwise the others treat this VM as removed or not restarted
 	}
 	r.mu.Unlock()
 	r.onChange(r.Others())
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -210,8 +210,8 @@
 // Add records a VM that announced itself in a datagram.
 func (r *Roster) Add(vm VM) {
 	r.mu.Lock()
-	known := r.others[vm.Name]
-	if vm.Name == r.self.Name || known.Address == vm.Address {
+	existing := r.others[vm.Name]
+	if vm.Name == r.self.Name || existing.Address == vm.Address {
 		r.mu.Unlock()
 		return
 	}
