--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -8,71 +8,71 @@
 )
 
 const (
-	// sharePart is the part of its even share of the extra retries that a VM
-	// uses. A VM that restarts forgets what it spent in the window, and one that
-	// joins takes a share before all others have made theirs smaller.
-	sharePart = 0.5
-	// ratioPart is the part of the ratio that is used, for requests that are
-	// counted a little later than their retries.
-	ratioPart = 0.8
-	// assumedVMs shares the extra retries until the other VMs are known.
-	assumedVMs = 16
+	// extraFraction is the fraction of its even share of the extra retries that a VM uses. The rest
+	// is a reserve: a VM that restarts forgets what it spent in the window, and one that joins
+	// takes a share before all other VMs have reduced theirs.
+	extraFraction = 0.5
+	// ratioFraction is the fraction of the configured ratio that is used. The rest covers requests
+	// that are counted slightly later than their retries.
+	ratioFraction = 0.8
+	// assumedVMCount is the number of VMs assumed to share the extra retries until the roster is
+	// available.
+	assumedVMCount = 16
 )
 
-// budgets holds the retry budget of each service: this VM's share of what all
-// VMs together may spend. It is safe for concurrent use; mu comes before the
-// lock of a budget.
-type budgets struct {
+// retryBudgets holds the retry budget of each service: this VM's share of the limits for the whole
+// region. It is safe for concurrent use; mu is locked before the lock of a budget.
+type retryBudgets struct {
 	mu sync.Mutex
-	// all are the limits over all VMs, vms among how many they are shared.
-	all       retry.WindowLimits
-	vms       int
-	byService map[string]*retry.Window
+	// regionLimits are the limits over all VMs; vmCount is the number of VMs that share them.
+	regionLimits retry.WindowLimits
+	vmCount      int
+	byService    map[string]*retry.Window
 }
 
-func newBudgets(all retry.WindowLimits) *budgets {
-	return &budgets{all: all, vms: assumedVMs, byService: map[string]*retry.Window{}}
+func newRetryBudgets(regionLimits retry.WindowLimits) *retryBudgets {
+	return &retryBudgets{regionLimits: regionLimits, vmCount: assumedVMCount, byService: map[string]*retry.Window{}}
 }
 
-// share is this VM's part of the limits.
-func (b *budgets) share() retry.WindowLimits {
-	l := b.all
-	l.Ratio *= ratioPart
-	l.Extra *= sharePart / float64(b.vms)
+// localLimits returns this VM's share of the limits.
+func (b *retryBudgets) localLimits() retry.WindowLimits {
+	l := b.regionLimits
+	l.Ratio *= ratioFraction
+	l.Extra *= extraFraction / float64(b.vmCount)
 	return l
 }
 
-// setVMs changes the number of VMs.
-func (b *budgets) setVMs(n int) {
+// setVMCount updates the number of VMs.
+func (b *retryBudgets) setVMCount(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.vms = n
-	b.apply()
+	b.vmCount = n
+	b.applyLimits()
 }
 
-// setLimits changes the limits over all VMs.
-func (b *budgets) setLimits(all retry.WindowLimits) {
+// setLimits updates the limits over all VMs.
+func (b *retryBudgets) setLimits(regionLimits retry.WindowLimits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.all = all
-	b.apply()
+	b.regionLimits = regionLimits
+	b.applyLimits()
 }
 
-// apply gives every budget its share. The caller holds mu.
-func (b *budgets) apply() {
-	share := b.share()
+// applyLimits sets the local limits on every budget. The caller holds mu.
+func (b *retryBudgets) applyLimits() {
+	limits := b.localLimits()
 	for _, w := range b.byService {
-		w.SetLimits(share)
+		w.SetLimits(limits)
 	}
 }
 
-// of returns the budget of a service.
-func (b *budgets) of(service string) relay.Budget {
+// forService returns the budget of a service, creating it on first use.
+func (b *retryBudgets) forService(service string) relay.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.byService[service]
 	if w == nil {
-		w = retry.NewWindow(b.share(), nil)
+		w = retry.NewWindow(b.localLimits(), nil)
 		b.byService[service] = w
 	}
 	return w
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The parts of the time for a leaving add up to less than the whole, with a reserve where it is long
-// enough; a time that is too short costs questions to the store, not lateness.
+// Checks that the parts of the drain budget add up to less than the total, with a reserve where it
+// is long enough. A total that is too short costs extra requests to the store, not lateness.
 func TestDrainBudget(t *testing.T) {
 	for _, tc := range []struct {
-		within, gather, reserve time.Duration
+		within, batching, reserve time.Duration
 	}{
 		{2 * time.Second, 2 * time.Second / 3, 300 * time.Millisecond},
 		{5 * time.Second, 5 * time.Second / 3, 2 * time.Second},
@@ -17,11 +17,11 @@
 		{800 * time.Millisecond, 0, -200 * time.Millisecond},
 	} {
 		b := newDrainBudget(tc.within)
-		if b.gather != tc.gather {
-			t.Errorf("of %v, %v are for gathering, want %v", tc.within, b.gather, tc.gather)
+		if b.batching != tc.batching {
+			t.Errorf("of %v, %v are for batching, want %v", tc.within, b.batching, tc.batching)
 		}
-		if left := tc.within - (b.gather + b.reader + b.store + b.write); left < tc.reserve {
-			t.Errorf("of %v, %v are left, want %v", tc.within, left, tc.reserve)
+		if remaining := tc.within - (b.batching + b.readerFailover + b.storeResponse + b.delivery); remaining < tc.reserve {
+			t.Errorf("of %v, %v remain, want at least %v", tc.within, remaining, tc.reserve)
 		}
 	}
 }
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -11,74 +11,73 @@
 	"github.com/springweir/springweir/table"
 )
 
-// lapseGrace is how long an endpoint whose row was found missing after an outage
-// of the store is still used: a live one writes its row again within about two
-// seconds.
-const lapseGrace = 2 * time.Second
+// expiryGrace is how long an endpoint stays in use after its row was found missing following an
+// outage of the store: a live endpoint rewrites its row within about two seconds.
+const expiryGrace = 2 * time.Second
 
-// followEndpoints keeps the directory.
+// followEndpoints keeps the directory up to date with the table of endpoints until ctx ends.
 func (g *Gateway) followEndpoints(ctx context.Context) {
 	f := &table.Follower{
 		Feed:  g.endpoints,
 		Table: g.platform.Endpoints,
-		OnList: func(rows []table.Row, l table.Listing) {
-			first := !g.state.listed.Load()
-			g.takeEndpoints(rows, l)
-			if first {
-				g.learnCaches(ctx)
+		OnList: func(rows []table.Row, listing table.Listing) {
+			firstListing := !g.state.endpointsListed.Load()
+			g.applyEndpointList(rows, listing)
+			if firstListing {
+				g.queryCaches(ctx)
 			}
 		},
-		OnChanges: g.changeEndpoints,
+		OnChanges: g.applyEndpointChanges,
 		OnUnavailable: func(err error) {
-			klog.InfoS("gateway: endpoints cannot be followed, the known ones stay", "err", err)
+			klog.InfoS("gateway: endpoints cannot be followed, keeping the known ones", "err", err)
 		},
-		OnRecovered: func(away time.Duration) {
-			klog.InfoS("gateway: endpoints are followed again", "away", away)
+		OnRecovered: func(outage time.Duration) {
+			klog.InfoS("gateway: endpoints are followed again after an outage", "away", outage)
 		},
 	}
 	f.Run(ctx)
 }
 
-// takeEndpoints takes in the whole table.
-func (g *Gateway) takeEndpoints(rows []table.Row, l table.Listing) {
-	list := make([]directory.Registration, 0, len(rows))
+// applyEndpointList applies a complete listing of the table.
+func (g *Gateway) applyEndpointList(rows []table.Row, listing table.Listing) {
+	registrations := make([]directory.Registration, 0, len(rows))
 	var malformed []string
 	for _, row := range rows {
 		if r, ok := g.decodeEndpoint(row); ok {
-			list = append(list, r)
+			registrations = append(registrations, r)
 		} else {
 			malformed = append(malformed, row.Key.Row)
 		}
 	}
-	var lapsed []string
+	var expired []string
 	var disputed []directory.Registration
-	if l.NewEpoch {
-		lapsed, disputed = g.directory.ReplaceFromRestore(list)
+	if listing.NewEpoch {
+		expired, disputed = g.directory.ReplaceFromRestore(registrations)
 	} else {
-		lapsed = g.directory.Replace(list, l.AfterOutage)
+		expired = g.directory.Replace(registrations, listing.AfterOutage)
 	}
 	if len(malformed) > 0 {
 		g.directory.Remove(malformed...)
 	}
-	g.lapse(lapsed)
-	g.dispute(disputed)
-	g.state.listed.Store(true)
-	klog.InfoS("gateway: endpoints read", "count", len(list), "afterOutage", l.AfterOutage, "newEpoch", l.NewEpoch)
+	g.scheduleExpiry(expired)
+	g.scheduleResolution(disputed)
+	g.state.endpointsListed.Store(true)
+	klog.InfoS("gateway: endpoints read", "count", len(registrations), "afterOutage", listing.AfterOutage, "newEpoch", listing.NewEpoch)
 }
 
-// changeEndpoints takes in changes, in their order. Registrations that follow each
-// other are put together: each new picture of the endpoints costs their number, and at
-// the start of a large fleet thousands register one after the other.
-func (g *Gateway) changeEndpoints(changes []table.Change, afterOutage bool) {
-	var lapsed []string
+// applyEndpointChanges applies changes in order. Consecutive registrations are batched: building a
+// snapshot takes time proportional to the number of endpoints, and thousands register one after the
+// other when a large fleet starts.
+func (g *Gateway) applyEndpointChanges(changes []table.Change, afterOutage bool) {
+	var expired []string
 	var puts []directory.Registration
 	for _, c := range changes {
-		r, known := directory.Registration{}, false
+		r, valid := directory.Registration{}, false
 		if !c.Deleted {
-			r, known = g.decodeEndpoint(c.Row)
+			r, valid = g.decodeEndpoint(c.Row)
 		}
-		g.noteDrain(c, r.Draining)
-		if known {
+		g.recordDrainDelay(c, r.Draining)
+		if valid {
 			logEndpoint(r)
 			puts = append(puts, r)
 			continue
@@ -88,31 +87,31 @@
 		id := c.Row.Key.Row
 		if c.Deleted && afterOutage {
 			g.directory.MarkExpired(id)
-			lapsed = append(lapsed, id)
+			expired = append(expired, id)
 			continue
 		}
 		g.directory.Remove(id)
-		klog.InfoS("gateway: endpoint gone", "endpoint", id, "version", c.Row.Version.String())
+		klog.InfoS("gateway: endpoint deregistered", "endpoint", id, "version", c.Row.Version.String())
 	}
 	g.putEndpoints(puts)
-	g.lapse(lapsed)
+	g.scheduleExpiry(expired)
 }
 
-// noteDrain takes the time between a drain and its being known here. Only the first sign of
-// it counts: an endpoint that has said that it leaves is gone later.
-func (g *Gateway) noteDrain(c table.Change, draining bool) {
-	before := g.directory.Snapshot().Endpoint(c.Row.Key.Row)
-	if before == nil || !before.Usable() || !draining && !c.Deleted || c.NotBefore.IsZero() {
+// recordDrainDelay records the time between a drain and its arrival at this VM. Only the first sign
+// of the drain counts: an endpoint that has announced that it is leaving is deregistered later.
+func (g *Gateway) recordDrainDelay(c table.Change, draining bool) {
+	previous := g.directory.Snapshot().Endpoint(c.Row.Key.Row)
+	if previous == nil || !previous.Usable() || !draining && !c.Deleted || c.NotBefore.IsZero() {
 		return
 	}
 	age := clock.Since(c.NotBefore)
-	drainKnown.Update(age.Seconds())
-	klog.InfoS("gateway: endpoint drains", "endpoint", c.Row.Key.Row, "version", c.Row.Version.String(), "deleted", c.Deleted, "ageAtMostMS", age.Milliseconds())
+	drainDelay.Update(age.Seconds())
+	klog.InfoS("gateway: endpoint draining", "endpoint", c.Row.Key.Row, "version", c.Row.Version.String(), "deleted", c.Deleted, "ageAtMostMS", age.Milliseconds())
 }
 
-func (g *Gateway) putEndpoints(list []directory.Registration) {
-	if len(list) > 0 {
-		g.directory.Put(list...)
+func (g *Gateway) putEndpoints(registrations []directory.Registration) {
+	if len(registrations) > 0 {
+		g.directory.Put(registrations...)
 	}
 }
 
@@ -121,33 +120,34 @@
 		"zone", r.Zone, "draining", r.Draining, "role", r.Role, "version", r.Version.String())
 }
 
-// decodeEndpoint reads a registration. A row that cannot be understood names no
-// endpoint: what it says may come from another writer, so that not even the address
-// that was known before can be trusted. The next heartbeat of a live endpoint mends it.
+// decodeEndpoint decodes a registration. Callers must remove the endpoint of a malformed row: the
+// row may come from another writer, so even the previously known address cannot be trusted. The
+// next heartbeat of a live endpoint repairs the row.
 func (g *Gateway) decodeEndpoint(row table.Row) (directory.Registration, bool) {
 	r, err := g.platform.DecodeEndpoint(row)
 	if err != nil {
 		malformedEndpoints.Inc()
-		klog.ErrorS(err, "gateway: endpoint not understood, it gets no work", "endpoint", row.Key.Row, "version", row.Version.String())
+		klog.ErrorS(err, "gateway: malformed endpoint row, endpoint gets no requests", "endpoint", row.Key.Row, "version", row.Version.String())
 	}
 	return r, err == nil
 }
 
-// disputeBeats is for how many heartbeats of endpoints what a copy of the store says against what is
-// known does not count. One that lives writes its row again within one, and the store drops the
-// row of one that does not after three; the rest is for a store and for news that are slow.
-const disputeBeats = 5
+// disputeHeartbeats is the number of endpoint heartbeats during which rows of a restored store that
+// contradict known state are ignored. A live endpoint rewrites its row within one heartbeat, and
+// the store drops the row of a dead one after three; the rest allows for a slow store and slow
+// propagation.
+const disputeHeartbeats = 5
 
-// dispute lets rows of a copy count that are older than what was known, once the endpoints had the
-// time to write theirs again.
-func (g *Gateway) dispute(rows []directory.Registration) {
+// scheduleResolution accepts rows of a restored store that are older than the known state, once the
+// endpoints have had time to rewrite theirs.
+func (g *Gateway) scheduleResolution(rows []directory.Registration) {
 	if len(rows) == 0 {
 		return
 	}
-	klog.InfoS("gateway: the copy of the store is older than what is known of endpoints, which stands", "endpoints", idsOf(rows))
-	time.AfterFunc(disputeBeats*g.settings.EndpointHeartbeat, func() {
-		if settled := g.directory.ResolveDisputed(rows); len(settled) > 0 {
-			klog.InfoS("gateway: endpoints are as the copy of the store says", "endpoints", settled)
+	klog.InfoS("gateway: restored store holds older endpoint rows, keeping the known state for now", "endpoints", idsOf(rows))
+	time.AfterFunc(disputeHeartbeats*g.settings.EndpointHeartbeat, func() {
+		if resolved := g.directory.ResolveDisputed(rows); len(resolved) > 0 {
+			klog.InfoS("gateway: endpoint rows of the restored store accepted", "endpoints", resolved)
 		}
 	})
 }
@@ -160,16 +160,16 @@
 	return ids
 }
 
-// lapse drops endpoints once they had the time to write their rows again.
-func (g *Gateway) lapse(ids []string) {
+// scheduleExpiry removes endpoints whose rows are still missing after expiryGrace.
+func (g *Gateway) scheduleExpiry(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
-	klog.InfoS("gateway: endpoints missing after an outage, used a little longer", "endpoints", ids)
+	klog.InfoS("gateway: endpoints missing after a store outage, kept for a grace period", "endpoints", ids)
 	since := clock.Now()
-	time.AfterFunc(lapseGrace, func() {
-		if gone := g.directory.RemoveExpired(ids, since); len(gone) > 0 {
-			klog.InfoS("gateway: endpoints gone", "endpoints", gone)
+	time.AfterFunc(expiryGrace, func() {
+		if removed := g.directory.RemoveExpired(ids, since); len(removed) > 0 {
+			klog.InfoS("gateway: endpoints removed", "endpoints", removed)
 		}
 	})
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -13,40 +13,40 @@
 	"github.com/springweir/springweir/roster"
 )
 
-// setPeers takes in the other VMs: whom to tell of the own work, and among how
-// many the retry budget is shared.
+// setPeers updates the other VMs: the recipients of this VM's load reports and the number of VMs
+// that share the retry budget.
 func (g *Gateway) setPeers(vms []roster.VM) {
 	peers := make([]loadshare.Peer, 0, len(vms))
 	for _, vm := range vms {
 		address, err := netip.ParseAddrPort(vm.Address)
 		if err != nil {
-			klog.ErrorS(err, "gateway: VM without a usable address", "vm", vm.Name)
+			klog.ErrorS(err, "gateway: VM has an invalid address", "vm", vm.Name)
 			continue
 		}
 		peers = append(peers, loadshare.Peer{Name: vm.Name, Zone: vm.Zone, Capacity: vm.Capacity, Address: address})
 	}
 	g.exchange.SetPeers(peers)
-	g.budgets.setVMs(len(vms) + 1)
+	g.budgets.setVMCount(len(vms) + 1)
 }
 
-// memberPeriod is how often the signals are told which VMs are there.
-const memberPeriod = 100 * time.Millisecond
+// membershipInterval is how often the signal tracker receives the current members.
+const membershipInterval = 100 * time.Millisecond
 
-// followMembers keeps the shares of rate limits in step with the VMs that are there.
-func (g *Gateway) followMembers(ctx context.Context) {
-	loop.Every(ctx, memberPeriod, func() { g.signals.SetMembers(g.exchange.Membership()) })
+// updateMembership keeps the shares of rate limits in line with the VMs that are present.
+func (g *Gateway) updateMembership(ctx context.Context) {
+	loop.Every(ctx, membershipInterval, func() { g.signals.SetMembers(g.exchange.Membership()) })
 }
 
-// heardNews takes in what is told to all VMs.
-func (g *Gateway) heardNews(n loadshare.Announcement) {
-	g.guard.Receive(n)
-	g.signals.Receive(n.Signals)
+// receiveAnnouncement handles an announcement sent to all VMs.
+func (g *Gateway) receiveAnnouncement(announcement loadshare.Announcement) {
+	g.guard.Receive(announcement)
+	g.signals.Receive(announcement.Signals)
 }
 
-// heard takes in another VM's datagram.
-func (g *Gateway) heard(load *sharepb.Load) {
+// receiveLoad handles another VM's load datagram.
+func (g *Gateway) receiveLoad(load *sharepb.Load) {
 	if load.Leaving && !load.ZoneSum && !load.RegionSum {
-		load.Work = nil // what it still does ends soon, and it takes nothing new
+		load.Work = nil // its remaining work ends soon, and it accepts no new requests
 	}
 	g.roster.Add(roster.VM{Name: load.Vm, Zone: load.Zone, Capacity: int(load.Strength), Address: load.Address})
 	g.planner.ReceiveLoad(load)
--- a/organisation/organisation_test.go
+++ b/organisation/organisation_test.go
@@ -11,7 +11,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-func keys(names ...string) []Digest {
+func digests(names ...string) []Digest {
 	var list []Digest
 	for _, name := range names {
 		list = append(list, DigestOf(name))
@@ -22,11 +22,11 @@
 func TestIdentify(t *testing.T) {
 	urgent := 1
 	r, shared := NewRegistry([]Organisation{
-		{Name: "north", Priority: &urgent, Keys: keys("a", "b", "both")},
-		{Name: "south", Keys: keys("c", "both", "c")},
+		{Name: "north", Priority: &urgent, Keys: digests("a", "b", "both")},
+		{Name: "south", Keys: digests("c", "both", "c")},
 		{Name: "keyless"},
 	})
-	if diff := cmp.Diff(keys("both"), shared); diff != "" {
+	if diff := cmp.Diff(digests("both"), shared); diff != "" {
 		t.Error(diff)
 	}
 	for _, tc := range []struct {
@@ -70,15 +70,16 @@
 		_, err := ParseDigest(text)
 		var bad *DigestError
 		if !errors.As(err, &bad) {
-			t.Errorf("%q gave %v", text, err)
+			t.Errorf("ParseDigest(%q): error %v", text, err)
 		}
 		if text != "" && strings.Contains(err.Error(), text) {
-			t.Errorf("the error repeats %q, which may be a key", text)
+			t.Errorf("the error contains %q, which may be a key", text)
 		}
 	}
 }
 
-// A registry of many keys is made once for each version and asked for each request.
+// Measures Identify with many keys. A registry is built once per configuration and queried for each
+// request.
 func BenchmarkIdentify(b *testing.B) {
 	var list []Organisation
 	for i := range 4500 {
--- a/roster/epoch_test.go
+++ b/roster/epoch_test.go
@@ -10,28 +10,28 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// A region whose rows the store has lost, some or all, is written down again within two seconds, each
-// VM with one write, and without more of them at once than one part of the store's tables takes.
-// Nobody forgets a VM meanwhile.
+// When the store loses some or all rows of a region, they are rewritten within two seconds, with
+// one write per VM, at no higher rate than a partition of the store's tables accepts. No VM is
+// dropped from a roster meanwhile.
 func TestLostRowsAreWrittenAgain(t *testing.T) {
 	const (
-		within = 2 * time.Second
-		// partWrites is what one part of the store's tables takes in a second; more than a
-		// second's worth that waits is turned away.
-		partWrites = 150
+		rewriteTime = 2 * time.Second
+		// partitionWrites is the number of writes a partition of the store's tables accepts per
+		// second; beyond a backlog of one second it rejects writes.
+		partitionWrites = 150
 	)
 	for _, tc := range []struct{ vms, lost int }{{9, 1}, {9, 9}, {300, 20}, {300, 300}} {
 		t.Run(fmt.Sprintf("%d of %d VMs", tc.lost, tc.vms), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rows := memtable.New()
 				var all []*Roster
-				copied := rows.Backup()
+				backup := rows.Backup()
 				for i := range tc.vms {
 					if i == tc.vms-tc.lost {
 						time.Sleep(time.Minute)
-						copied = rows.Backup()
+						backup = rows.Backup()
 					}
-					r, stop := start(t, rows, fmt.Sprintf("v%03d", i))
+					r, stop := startRoster(t, rows, fmt.Sprintf("v%03d", i))
 					defer stop()
 					all = append(all, r)
 				}
@@ -43,19 +43,19 @@
 					}
 					return memtable.Fault{}
 				})
-				rows.Restore(copied)
-				back := time.Now()
-				for time.Since(back) < within {
+				rows.Restore(backup)
+				restored := time.Now()
+				for time.Since(restored) < rewriteTime {
 					time.Sleep(50 * time.Millisecond)
 					for _, r := range []*Roster{all[0], all[len(all)-1]} {
 						if n := len(r.Others()); n != tc.vms-1 {
-							t.Fatalf("%v after the store came back a VM knows %d others", time.Since(back), n)
+							t.Fatalf("%v after the restore a VM lists %d others", time.Since(restored), n)
 						}
 					}
 				}
 				list, _, err := rows.List(t.Context(), Table)
 				if err != nil || len(list) != tc.vms {
-					t.Errorf("%d rows, %v", len(list), err)
+					t.Errorf("%d rows listed, error %v", len(list), err)
 				}
 				time.Sleep(3 * time.Second)
 				close(written)
@@ -64,90 +64,91 @@
 					writes = append(writes, at)
 				}
 				if len(writes) != tc.lost {
-					t.Errorf("%d writes for %d rows", len(writes), tc.lost)
+					t.Errorf("%d writes for %d lost rows", len(writes), tc.lost)
 				}
-				if most := mostWithin(writes, time.Second); most > 2*partWrites {
-					t.Errorf("%d writes within a second", most)
+				if highest := maxWithin(writes, time.Second); highest > 2*partitionWrites {
+					t.Errorf("%d writes within a second", highest)
 				}
 			})
 		})
 	}
 }
 
-// mostWithin is the highest number of times that lie within a span.
-func mostWithin(times []time.Time, span time.Duration) int {
+// maxWithin returns the highest number of times within any span of the given length.
+func maxWithin(times []time.Time, span time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > span {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// A VM whose row the copy holds as it was at an earlier start writes it again.
+// A VM rewrites its row if the backup holds the row of an earlier start.
 func TestRowOfAnEarlierStartIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
-		_, stopEarlier := start(t, rows, "v1")
+		_, stopEarlier := startRoster(t, rows, "v1")
 		time.Sleep(time.Second)
-		copied := rows.Backup()
+		backup := rows.Backup()
 		stopEarlier()
-		r, stop := start(t, rows, "v1")
+		r, stop := startRoster(t, rows, "v1")
 		defer stop()
 		time.Sleep(time.Second)
-		rows.Restore(copied)
+		rows.Restore(backup)
 		time.Sleep(2 * time.Second)
 		list, _, err := rows.List(t.Context(), Table)
-		if err != nil || len(list) != 1 || !r.isOwn(list[0]) {
+		if err != nil || len(list) != 1 || !r.isLocalRow(list[0]) {
 			t.Errorf("%v, %v", list, err)
 		}
 	})
 }
 
-// A VM that died after the copy, and whom the copy lacks, is forgotten once it could have been back.
-func TestLostVMThatDiedIsForgotten(t *testing.T) {
+// A VM that died after the backup and is missing from it is removed once it has had time to rewrite
+// its row.
+func TestLostVMThatDiedIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
-		r, stop := start(t, rows, "v1")
+		r, stop := startRoster(t, rows, "v1")
 		defer stop()
 		time.Sleep(time.Second)
-		copied := rows.Backup()
-		_, stopOther := start(t, rows, "v2")
-		time.Sleep(checkPeriod)
+		backup := rows.Backup()
+		_, stopOther := startRoster(t, rows, "v2")
+		time.Sleep(checkInterval)
 		stopOther()
-		rows.Restore(copied)
+		rows.Restore(backup)
 		time.Sleep(time.Second)
-		if got := names(r); got != "v2" {
-			t.Errorf("at first %q are known", got)
+		if got := otherNames(r); got != "v2" {
+			t.Errorf("before the grace period ends: listed %q, want v2", got)
 		}
 		time.Sleep(rewriteGrace)
-		if got := names(r); got != "" {
-			t.Errorf("later %q are known", got)
+		if got := otherNames(r); got != "" {
+			t.Errorf("after the grace period: listed %q, want none", got)
 		}
 	})
 }
 
-// A VM whose row the store loses twice within seconds counts all the while.
-func TestRowLostTwice(t *testing.T) {
+// A VM whose row the store loses twice within seconds stays listed throughout.
+func TestVMStaysListedWhenItsRowIsLostTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
-		r, stop := start(t, rows, "v1")
+		r, stop := startRoster(t, rows, "v1")
 		defer stop()
 		time.Sleep(time.Second)
-		copied := rows.Backup()
-		_, stopOther := start(t, rows, "v2")
+		backup := rows.Backup()
+		_, stopOther := startRoster(t, rows, "v2")
 		defer stopOther()
-		time.Sleep(checkPeriod)
-		rows.Restore(copied)
+		time.Sleep(checkInterval)
+		rows.Restore(backup)
 		time.Sleep(rewriteGrace - 500*time.Millisecond)
-		rows.Restore(copied)
+		rows.Restore(backup)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
-			if got := names(r); got != "v2" {
-				t.Fatalf("%q are known", got)
+			if got := otherNames(r); got != "v2" {
+				t.Fatalf("listed %q", got)
 			}
 		}
 	})
