--- a/contact/keeper_test.go
+++ b/contact/keeper_test.go
@@ -26,13 +26,13 @@
 		hinder func(z *fakepeer.Zone, on bool)
 	}{
 		{"at once", func(*fakepeer.Zone, bool) {}},
-		{"another VM takes no roster", func(z *fakepeer.Zone, on bool) { z.Deaf["b"] = on }},
+		{"another VM takes no roster", func(z *fakepeer.Zone, on bool) { z.IgnoresRosters["b"] = on }},
 		{"another VM keeps restarting", func(z *fakepeer.Zone, on bool) {
 			if on {
 				go func() {
 					for range 6000 {
 						time.Sleep(10 * time.Millisecond)
-						z.Change(func() { z.Instance["b"]++; z.Holds["b"] = 0 })
+						z.Update(func() { z.Instances["b"]++; z.RosterRevisions["b"] = 0 })
 					}
 				}()
 			}
@@ -42,12 +42,12 @@
 				go func() {
 					for range 20 {
 						time.Sleep(3 * time.Second)
-						z.Change(func() { z.Instance["b"]++ })
+						z.Update(func() { z.Instances["b"]++ })
 					}
 				}()
 			}
 		}},
-		{"another VM is silent too", func(z *fakepeer.Zone, on bool) { z.Silent["b"] = on }},
+		{"another VM is silent too", func(z *fakepeer.Zone, on bool) { z.Unresponsive["b"] = on }},
 	}
 	for i, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -65,12 +65,12 @@
 					t.Fatal(err)
 				}
 				ids := 0
-				k := contact.NewKeeper("z", rows, z, list, fakepeer.Held{}, func() string { ids++; return fmt.Sprint(ids) })
+				k := contact.NewKeeper("z", rows, z, list, fakepeer.Lease{}, func() string { ids++; return fmt.Sprint(ids) })
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go k.Run(ctx)
 				time.Sleep(5 * time.Second)
-				z.Change(func() { z.Silent["c"] = true; tt.hinder(z, true) })
+				z.Update(func() { z.Unresponsive["c"] = true; tt.hinder(z, true) })
 				began := time.Now()
 				names := func() []string {
 					got, err := rows.Get(t.Context(), contact.Key("z"))
@@ -90,7 +90,7 @@
 				if hindered := i > 0; hindered != (len(names()) == 3) {
 					t.Errorf("after a minute: %v", names())
 				}
-				z.Change(func() { tt.hinder(z, false) })
+				z.Update(func() { tt.hinder(z, false) })
 				time.Sleep(time.Minute)
 				if diff := cmp.Diff([]string{"a", "b"}, names()); diff != "" {
 					t.Errorf("roster (-want +got):\n%s", diff)
--- a/controller/site_test.go
+++ b/controller/site_test.go
@@ -128,7 +128,7 @@
 	}
 	cp := *p
 	cp.Peers, cp.Advertise, cp.Metrics = host+":7200", host+":7200", host+":7201"
-	e, err := entry.NewOn(z.net.Network(), p, entry.Platform{Rows: z.rows, Objects: z.objects, Members: z.list})
+	e, err := entry.NewWithNetwork(z.net.Network(), p, entry.Platform{Rows: z.rows, Objects: z.objects, Members: z.list})
 	if err != nil {
 		z.t.Fatal(err)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -92,11 +92,11 @@
 
 // New binds the addresses and wires the process. The error is of package net.
 func New(p *settings.Process, platform Platform) (*Entry, error) {
-	return NewOn(network.TCP(), p, platform)
+	return NewWithNetwork(network.TCP(), p, platform)
 }
 
-// NewOn is New on a given network.
-func NewOn(n network.Network, p *settings.Process, platform Platform) (*Entry, error) {
+// NewWithNetwork is New on a given network.
+func NewWithNetwork(n network.Network, p *settings.Process, platform Platform) (*Entry, error) {
 	e := &Entry{network: n, process: p, platform: platform, cat: &catalogue{}, leave: leaving.NewSet()}
 	if err := e.listen(); err != nil {
 		return nil, err
@@ -168,20 +168,20 @@
 
 // wirePeers puts together what the zone's VMs say to each other.
 func (e *Entry) wirePeers() {
-	book := share.NewBook(e.process.VM)
-	e.server = peer.NewServer(peer.Parts{
+	book := share.NewReportStore(e.process.VM)
+	e.server = peer.NewServer(peer.ServerConfig{
 		Instance: newInstance(),
 		Member:   e.member,
 		Applier:  e.applier,
 		Gate:     e.gate,
-		Book:     book,
+		Reports:  book,
 		Leaving:  e.leave,
 	})
 	client := peer.NewClient(e.server, e.network.Over(peer.NewTransport()))
 	store := rollout.NewStore(e.platform.Rows, e.platform.Objects)
 	e.syncer = rollout.NewSyncer(e.member, e.applier, store, e.platform.Rows, client, e.advertise(), writeID)
 	e.exchanger = peer.NewExchanger(e.member, e.syncer, client, e.process.Seeds)
-	e.common.announce = e.exchanger.Announce
+	e.common.announce = e.exchanger.AnnounceLeaving
 	e.reports = newReports(e.common, e.upstreams, book)
 }
 
--- a/entry/golden_test.go
+++ b/entry/golden_test.go
@@ -83,7 +83,7 @@
 	go e.Run(ctx)
 	s.listenFor(logged(log, peerEntry, e), o.listenAt(9, 9000))
 	p := &settings.Process{VM: "vm9", Zone: "b", Callers: o.listenAt(9, 8080), Peers: o.listenAt(9, 7100), Metrics: o.listenAt(9, 7101)}
-	far, err := NewOn(o.network, p, s.entry.platform)
+	far, err := NewWithNetwork(o.network, p, s.entry.platform)
 	if err != nil {
 		s.tb.Fatal(err)
 	}
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -40,7 +40,7 @@
 type reports struct {
 	d         *common
 	upstreams *upstreams
-	book      *share.Book
+	book      *share.ReportStore
 	poller    *fleet.Poller
 
 	mu sync.Mutex
@@ -60,7 +60,7 @@
 	at    time.Time
 }
 
-func newReports(d *common, u *upstreams, book *share.Book) *reports {
+func newReports(d *common, u *upstreams, book *share.ReportStore) *reports {
 	r := &reports{d: d, upstreams: u, book: book, own: map[string]ownReport{}}
 	cfg := fleet.PollerConfig{Interval: leaving.EndpointPollInterval, Timeout: pollTimeout, Workers: pollWorkers}
 	r.poller = fleet.NewPoller(cfg, d.store, d.now, r.open, r.mine, r.heard)
@@ -91,7 +91,7 @@
 	if r.d.store.Snapshot().Len() <= directZone {
 		return fleet.PollStateAndCache
 	}
-	if share.Polls(r.d.member.Roster(), r.d.member.Name(), e.Name, e.Age(r.d.now())) {
+	if share.ShouldPoll(r.d.member.Roster(), r.d.member.Name(), e.Name, e.Age(r.d.now())) {
 		return fleet.PollStateAndCache
 	}
 	r.mu.Lock()
@@ -131,7 +131,7 @@
 func (r *reports) publishes(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.published) < share.PublishEvery(len(r.d.member.Roster().VMs)) {
+	if now.Sub(r.published) < share.PublishInterval(len(r.d.member.Roster().VMs)) {
 		return false
 	}
 	r.published = now
--- a/entry/reports_test.go
+++ b/entry/reports_test.go
@@ -20,7 +20,7 @@
 
 // largeZone are the reports of an entry that polls none of its zone's engines,
 // because it is not on the roster yet, and the book of the VM that polls them.
-func largeZone(engines int) (r *reports, poller *share.Book, roster contact.Roster) {
+func largeZone(engines int) (r *reports, poller *share.ReportStore, roster contact.Roster) {
 	var specs []fleet.Spec
 	for i := range engines {
 		specs = append(specs, fleet.Spec{Name: fmt.Sprintf("e%d", i), Kind: fleet.Engine, Zone: "a"})
@@ -32,8 +32,8 @@
 	member.Adopt(roster)
 	d := &common{start: time.Now(), store: store, member: member, leave: leaving.NewSet()}
 	d.announce = func(context.Context, string, string) {}
-	r = newReports(d, newUpstreams(d, nil, nil), share.NewBook("vm1"))
-	return r, share.NewBook("vm2"), roster
+	r = newReports(d, newUpstreams(d, nil, nil), share.NewReportStore("vm1"))
+	return r, share.NewReportStore("vm2"), roster
 }
 
 func stateWith(sequence uint64, age time.Duration, models ...string) engine.State {
@@ -81,7 +81,7 @@
 				}
 				time.Sleep(time.Second)
 				poller.Publish([]share.Report{sharedForm("e0", ownReport{state: c.shared}, 0)})
-				r.book.Merge(roster, poller.Newer(roster, nil))
+				r.book.Merge(roster, poller.NewerBatches(roster, nil))
 				r.takeShared()
 				asked := map[string]fleet.PollScope{}
 				for _, e := range r.d.store.Snapshot().Endpoints() {
--- a/entry/site_test.go
+++ b/entry/site_test.go
@@ -110,7 +110,7 @@
 		VM: "vm1", Zone: "a", Callers: o.listenAt(1, 8080), Peers: o.listenAt(1, 7100), Metrics: o.listenAt(1, 7101),
 		StopGrace: o.grace, BalancerDelay: o.balancerDelay,
 	}
-	e, err := NewOn(o.network, p, Platform{Rows: s.platformRows(), Objects: objects, Members: s.list})
+	e, err := NewWithNetwork(o.network, p, Platform{Rows: s.platformRows(), Objects: objects, Members: s.list})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/entry/upkeep_test.go
+++ b/entry/upkeep_test.go
@@ -27,7 +27,7 @@
 }
 
 func idleEntryOn(tb testing.TB, n network.Network, p *settings.Process, engines int) *Entry {
-	e, err := NewOn(n, p, Platform{})
+	e, err := NewWithNetwork(n, p, Platform{})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/peer/client.go
+++ b/peer/client.go
@@ -41,7 +41,7 @@
 // itself, and bounds its time. Errors are *CallError.
 type Client struct {
 	member *contact.Member
-	book   *share.Book
+	book   *share.ReportStore
 	ack    func() *entrypb.Ack
 	http   entrypb.HTTPClient
 
@@ -163,7 +163,7 @@
 // the peer holds and this entry lacks.
 func (c *Client) Exchange(ctx context.Context, vm contact.VM) (rollout.Exchanged, error) {
 	mine := c.member.Roster()
-	req := &entrypb.ExchangeRequest{From: c.member.Name(), Holds: c.ack(), Seen: c.book.Seen(mine)}
+	req := &entrypb.ExchangeRequest{From: c.member.Name(), Holds: c.ack(), Seen: c.book.VersionVector(mine)}
 	req.Holds.Roster = mine.Revision // Seen goes by it
 	resp, err := call(ctx, vm, askTimeout, c.stub(vm.Address).Exchange, req)
 	if err != nil {
--- a/peer/exchange_bench_test.go
+++ b/peer/exchange_bench_test.go
@@ -78,7 +78,7 @@
 	for i := range engines {
 		name := fmt.Sprintf("engine-%03d", i)
 		for _, vm := range roster.Names() {
-			if share.Polls(roster, vm, name, 0) {
+			if share.ShouldPoll(roster, vm, name, 0) {
 				polled[vm] = append(polled[vm], busy(name))
 			}
 		}
@@ -87,7 +87,7 @@
 		for _, p := range parts {
 			p.book.Publish(polled[p.member.Name()])
 		}
-		for turn := range share.Rounds(vms) {
+		for turn := range share.PullsPerRound(vms) {
 			for _, p := range parts {
 				vm, _ := share.Partner(roster, p.member.Name(), turn)
 				if _, err := p.client.Exchange(b.Context(), vm); err != nil {
@@ -105,8 +105,8 @@
 	}
 	b.StopTimer()
 	rounds := float64(b.N) * float64(vms)
-	pulls := rounds * float64(share.Rounds(vms))
-	period := share.Interval(vms) * time.Duration(share.Rounds(vms))
+	pulls := rounds * float64(share.PullsPerRound(vms))
+	period := share.PullInterval(vms) * time.Duration(share.PullsPerRound(vms))
 	b.ReportMetric(float64(bytes.Load())/pulls, "bytes/pull")
 	// Each byte is sent by one entry and received by another.
 	b.ReportMetric(2*float64(bytes.Load())/rounds/period.Seconds(), "bytes/s/node")
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -38,7 +38,7 @@
 func (x *Exchanger) Run(ctx context.Context) {
 	retry := failurePause
 	for turn := 0; ctx.Err() == nil; turn++ {
-		pause := share.Interval(len(x.member.Roster().VMs))
+		pause := share.PullInterval(len(x.member.Roster().VMs))
 		retry = min(2*retry, pause)
 		if x.pull(ctx, turn) {
 			retry = failurePause / 2
@@ -73,10 +73,10 @@
 	return contact.VM{Address: x.seeds[turn%len(x.seeds)]}, true
 }
 
-// Announce tells all entries of the zone that an endpoint said it is leaving.
+// AnnounceLeaving tells all entries of the zone that an endpoint said it is leaving.
 // The entry that polls the endpoint calls it once, when leaving.Set.Note says
 // that it is news. One that misses it learns it from the shared reports.
-func (x *Exchanger) Announce(ctx context.Context, endpoint, incarnation string) {
+func (x *Exchanger) AnnounceLeaving(ctx context.Context, endpoint, incarnation string) {
 	ctx, cancel := context.WithTimeout(ctx, leaving.MaxStopDelay)
 	defer cancel()
 	others := x.member.Roster().Others(x.member.Name())
--- a/peer/fakenet/fakenet.go
+++ b/peer/fakenet/fakenet.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// CutError is a call that did not get through or whose answer was lost.
-type CutError struct{ From, To string }
+// UnreachableError is a call that did not get through or whose answer was lost.
+type UnreachableError struct{ From, To string }
 
 // Error implements error.
-func (e *CutError) Error() string { return fmt.Sprintf("no path from %s to %s", e.From, e.To) }
+func (e *UnreachableError) Error() string { return fmt.Sprintf("no path from %s to %s", e.From, e.To) }
 
 // Reason implements failure.Coded.
-func (e *CutError) Reason() failure.Reason { return failure.PeerUnreachable }
+func (e *UnreachableError) Reason() failure.Reason { return failure.PeerUnreachable }
 
 // Listen serves the host's requests by h; nil takes the host down, so that
 // calls to it are refused at once.
@@ -58,17 +58,17 @@
 	n.delay = d
 }
 
-// Cut drops all messages between a and b in both directions, or ends that.
-func (n *Net) Cut(a, b string, cut bool) {
+// Partition drops all messages between a and b in both directions, or ends that.
+func (n *Net) Partition(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]string{a, b}] = cut
 	n.cut[[2]string{b, a}] = cut
 }
 
-// LoseAnswers lets calls from one host to another take effect and loses their
+// LoseResponses lets calls from one host to another take effect and loses their
 // answers, or ends that.
-func (n *Net) LoseAnswers(from, to string, lose bool) {
+func (n *Net) LoseResponses(from, to string, lose bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent[[2]string{from, to}] = lose
@@ -114,7 +114,7 @@
 	h.ServeHTTP(rec, inner)
 	if lost || !t.net.open(req, t.from, to) {
 		<-req.Context().Done()
-		return nil, &CutError{From: t.from, To: to}
+		return nil, &UnreachableError{From: t.from, To: to}
 	}
 	t.net.count(t.from, to, len(body)+rec.body.Len())
 	return &http.Response{
@@ -128,13 +128,13 @@
 func (n *Net) path(req *http.Request, from, to string) (http.Handler, bool, error) {
 	if !n.open(req, from, to) {
 		<-req.Context().Done()
-		return nil, false, &CutError{From: from, To: to}
+		return nil, false, &UnreachableError{From: from, To: to}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := n.handlers[to]
 	if h == nil {
-		return nil, false, &CutError{From: from, To: to}
+		return nil, false, &UnreachableError{From: from, To: to}
 	}
 	return h, n.silent[[2]string{from, to}], nil
 }
--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -19,40 +19,40 @@
 	_ contact.Peers      = (*Zone)(nil)
 	_ withhold.Peers     = (*Zone)(nil)
 	_ withhold.Endpoints = (*Zone)(nil)
-	_ rollout.Peers      = Scripted{}
-	_ contact.Authority  = Held{}
+	_ rollout.Peers      = StaticPeer{}
+	_ contact.Authority  = Lease{}
 )
 
-// SilentError is a VM that does not answer.
-type SilentError struct{ Name string }
+// UnresponsiveError is a VM that does not answer.
+type UnresponsiveError struct{ Name string }
 
 // Error implements error.
-func (e *SilentError) Error() string { return e.Name + " does not answer" }
+func (e *UnresponsiveError) Error() string { return e.Name + " does not answer" }
 
 // Reason implements failure.Coded.
-func (e *SilentError) Reason() failure.Reason { return failure.PeerUnreachable }
+func (e *UnresponsiveError) Reason() failure.Reason { return failure.PeerUnreachable }
 
-// Held is a lease that is held, or lost for the reason Err.
-type Held struct{ Err error }
+// Lease is a lease that is held, or lost for the reason Err.
+type Lease struct{ Err error }
 
 // Checks implements contact.Authority.
-func (h Held) Checks() ([]table.Check, error) { return nil, h.Err }
+func (h Lease) Checks() ([]table.Check, error) { return nil, h.Err }
 
 // Zone answers for the VMs of a zone. Set its fields before use, or through
-// Change.
+// Update.
 type Zone struct {
 	// Delay is how long each call takes.
 	Delay time.Duration
-	// Holds is the roster revision that each VM holds, Instance its process.
-	Holds, Instance map[string]uint64
-	// Silent VMs do not answer; Deaf ones answer but take no roster.
-	Silent, Deaf map[string]bool
+	// RosterRevisions is the roster revision that each VM holds, Instances its process.
+	RosterRevisions, Instances map[string]uint64
+	// Unresponsive VMs do not answer; IgnoresRosters ones answer but take no roster.
+	Unresponsive, IgnoresRosters map[string]bool
 	// Gates are the VMs' gates.
 	Gates map[string]*withhold.Gate
-	// Open is how many streams each endpoint says it has. EndpointSilent makes
+	// OpenStreams is how many streams each endpoint says it has. EndpointsUnresponsive makes
 	// endpoints not answer.
-	Open           map[string]int
-	EndpointSilent bool
+	OpenStreams           map[string]int
+	EndpointsUnresponsive bool
 
 	mu sync.Mutex
 }
@@ -60,13 +60,13 @@
 // NewZone returns a zone of VMs that answer.
 func NewZone() *Zone {
 	return &Zone{
-		Holds: map[string]uint64{}, Instance: map[string]uint64{}, Open: map[string]int{},
-		Silent: map[string]bool{}, Deaf: map[string]bool{}, Gates: map[string]*withhold.Gate{},
+		RosterRevisions: map[string]uint64{}, Instances: map[string]uint64{}, OpenStreams: map[string]int{},
+		Unresponsive: map[string]bool{}, IgnoresRosters: map[string]bool{}, Gates: map[string]*withhold.Gate{},
 	}
 }
 
-// Change changes the zone while it is in use.
-func (z *Zone) Change(change func()) {
+// Update changes the zone while it is in use.
+func (z *Zone) Update(change func()) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	change()
@@ -77,8 +77,8 @@
 	time.Sleep(z.Delay)
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.Silent[name] {
-		return &SilentError{Name: name}
+	if z.Unresponsive[name] {
+		return &UnresponsiveError{Name: name}
 	}
 	answer()
 	return nil
@@ -86,17 +86,17 @@
 
 // Probe implements contact.Peers.
 func (z *Zone) Probe(_ context.Context, vm contact.VM) (a contact.Ack, err error) {
-	err = z.call(vm.Name, func() { a = contact.Ack{Instance: z.Instance[vm.Name], Roster: z.Holds[vm.Name]} })
+	err = z.call(vm.Name, func() { a = contact.Ack{Instance: z.Instances[vm.Name], Roster: z.RosterRevisions[vm.Name]} })
 	return a, err
 }
 
 // Shun implements contact.Peers.
 func (z *Zone) Shun(_ context.Context, vm contact.VM, r contact.Roster) (a contact.Ack, err error) {
 	err = z.call(vm.Name, func() {
-		if !z.Deaf[vm.Name] {
-			z.Holds[vm.Name] = r.Revision
+		if !z.IgnoresRosters[vm.Name] {
+			z.RosterRevisions[vm.Name] = r.Revision
 		}
-		a = contact.Ack{Instance: z.Instance[vm.Name], Roster: z.Holds[vm.Name]}
+		a = contact.Ack{Instance: z.Instances[vm.Name], Roster: z.RosterRevisions[vm.Name]}
 	})
 	return a, err
 }
@@ -104,7 +104,7 @@
 // Withhold implements withhold.Peers.
 func (z *Zone) Withhold(_ context.Context, vm contact.VM, endpoint string, epoch uint64) (a withhold.EntryState, err error) {
 	err = z.call(vm.Name, func() {
-		a = withhold.EntryState{Instance: z.Instance[vm.Name], State: z.Gates[vm.Name].Withhold(endpoint, epoch)}
+		a = withhold.EntryState{Instance: z.Instances[vm.Name], State: z.Gates[vm.Name].Withhold(endpoint, epoch)}
 	})
 	return a, err
 }
@@ -112,7 +112,7 @@
 // Restore implements withhold.Peers.
 func (z *Zone) Restore(_ context.Context, vm contact.VM, endpoint string, epoch uint64) (a withhold.EntryState, err error) {
 	err = z.call(vm.Name, func() {
-		a = withhold.EntryState{Instance: z.Instance[vm.Name], State: z.Gates[vm.Name].Restore(endpoint, epoch)}
+		a = withhold.EntryState{Instance: z.Instances[vm.Name], State: z.Gates[vm.Name].Restore(endpoint, epoch)}
 	})
 	return a, err
 }
@@ -121,15 +121,15 @@
 func (z *Zone) Streams(_ context.Context, endpoint string) (int, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.EndpointSilent {
-		return 0, &SilentError{Name: endpoint}
+	if z.EndpointsUnresponsive {
+		return 0, &UnresponsiveError{Name: endpoint}
 	}
-	return z.Open[endpoint], nil
+	return z.OpenStreams[endpoint], nil
 }
 
-// Scripted is a peer that always answers the same.
-type Scripted struct {
-	Answer rollout.Exchanged
+// StaticPeer is a peer that always answers the same.
+type StaticPeer struct {
+	Response rollout.Exchanged
 	// Delay is how long an exchange takes.
 	Delay time.Duration
 	// Update is what it has in force; nil makes fetching fail.
@@ -137,20 +137,20 @@
 }
 
 // Exchange implements rollout.Peers.
-func (s Scripted) Exchange(context.Context, contact.VM) (rollout.Exchanged, error) {
+func (s StaticPeer) Exchange(context.Context, contact.VM) (rollout.Exchanged, error) {
 	time.Sleep(s.Delay)
-	return s.Answer, nil
+	return s.Response, nil
 }
 
 // FetchConfig implements rollout.Peers.
-func (s Scripted) FetchConfig(_ context.Context, vm contact.VM, _ rollout.Version) (rollout.Update, error) {
+func (s StaticPeer) FetchConfig(_ context.Context, vm contact.VM, _ rollout.Version) (rollout.Update, error) {
 	if s.Update == nil {
-		return rollout.Update{}, &SilentError{Name: vm.Name}
+		return rollout.Update{}, &UnresponsiveError{Name: vm.Name}
 	}
 	return *s.Update, nil
 }
 
 // Shun implements rollout.Peers.
-func (s Scripted) Shun(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
+func (s StaticPeer) Shun(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
 	return contact.Ack{}, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,7 +23,7 @@
 	member *contact.Member
 	gate   *withhold.Gate
 	set    *leaving.Set
-	book   *share.Book
+	book   *share.ReportStore
 	client *Client
 }
 
@@ -34,12 +34,12 @@
 	parts := make([]*part, vms)
 	for i := range parts {
 		name := fmt.Sprintf("vm-%03d", i)
-		p := &part{set: leaving.NewSet(), book: share.NewBook(name)}
+		p := &part{set: leaving.NewSet(), book: share.NewReportStore(name)}
 		p.gate = withhold.NewGate(p.set)
 		p.member = contact.NewMember("z", name, p.gate.ApplyRoster)
 		p.gate.SetPermit(p.member)
-		s := NewServer(Parts{
-			Instance: uint64(i + 1), Member: p.member, Gate: p.gate, Book: p.book, Leaving: p.set,
+		s := NewServer(ServerConfig{
+			Instance: uint64(i + 1), Member: p.member, Gate: p.gate, Reports: p.book, Leaving: p.set,
 			Applier: rollout.NewApplier(func(rollout.Document) error { return nil }),
 		})
 		_, h := s.Handler()
@@ -74,7 +74,7 @@
 				for range 10 {
 					time.Sleep(leaving.EndpointPollInterval)
 					if parts[0].set.Record("e", "1", said.Load()) {
-						x.Announce(t.Context(), "e", "1")
+						x.AnnounceLeaving(t.Context(), "e", "1")
 					}
 				}
 			}()
@@ -115,7 +115,7 @@
 			t.Errorf("FetchConfig: %+v, %v", u, err)
 		}
 		// A call that is cut ends in time and says which VM.
-		n.Cut("control", vm.Address, true)
+		n.Partition("control", vm.Address, true)
 		began := time.Now()
 		_, err := c.Restore(t.Context(), vm, "e", 11)
 		var failed *CallError
--- a/peer/server.go
+++ b/peer/server.go
@@ -22,26 +22,26 @@
 	member   *contact.Member
 	applier  *rollout.Applier
 	gate     *withhold.Gate
-	book     *share.Book
+	book     *share.ReportStore
 	leaving  *leaving.Set
 }
 
-// Parts are what a server answers for.
-type Parts struct {
+// ServerConfig is what a server answers for.
+type ServerConfig struct {
 	// Instance is unique for each start of the process, and not zero.
 	Instance uint64
 	Member   *contact.Member
 	Applier  *rollout.Applier
 	Gate     *withhold.Gate
-	Book     *share.Book
+	Reports  *share.ReportStore
 	Leaving  *leaving.Set
 }
 
 // NewServer returns the server of an entry.
-func NewServer(p Parts) *Server {
+func NewServer(p ServerConfig) *Server {
 	return &Server{
 		instance: p.Instance, member: p.Member, applier: p.Applier,
-		gate: p.Gate, book: p.Book, leaving: p.Leaving,
+		gate: p.Gate, book: p.Reports, leaving: p.Leaving,
 	}
 }
 
@@ -83,9 +83,9 @@
 	switch {
 	case theirs < roster.Revision:
 		resp.Roster = roster.Encode()
-		resp.Batches = s.book.Newer(roster, nil)
+		resp.Batches = s.book.NewerBatches(roster, nil)
 	case theirs == roster.Revision && theirs != 0:
-		resp.Batches = s.book.Newer(roster, req.Seen)
+		resp.Batches = s.book.NewerBatches(roster, req.Seen)
 	}
 	return resp, nil
 }
--- a/peer/share/book.go
+++ b/peer/share/book.go
@@ -75,12 +75,12 @@
 	return p.batch.AgeMs + uint32(now.Sub(p.held).Milliseconds())
 }
 
-// Book holds the newest batch of each poller of the zone. It is safe for
+// ReportStore holds the newest batch of each poller of the zone. It is safe for
 // concurrent use.
 //
 // Invariant: a poller's batches are numbered upwards, also across a restart of
 // its process, and a page is only ever replaced by one with a higher number.
-type Book struct {
+type ReportStore struct {
 	self string
 
 	// mu guards pages. It is a leaf.
@@ -88,11 +88,13 @@
 	pages map[string]page
 }
 
-// NewBook returns an empty book of the VM of that name.
-func NewBook(self string) *Book { return &Book{self: self, pages: map[string]page{}} }
+// NewReportStore returns an empty book of the VM of that name.
+func NewReportStore(self string) *ReportStore {
+	return &ReportStore{self: self, pages: map[string]page{}}
+}
 
 // Publish replaces what this VM itself has read.
-func (b *Book) Publish(reports []Report) {
+func (b *ReportStore) Publish(reports []Report) {
 	batch := encode(reports)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,14 +112,14 @@
 	}
 }
 
-// seenBytes is the length of one VM's part of what Seen returns.
+// seenBytes is the length of one VM's part of what VersionVector returns.
 const seenBytes = 2
 
-// Seen returns the two lowest bytes of the number of the newest batch of each
+// VersionVector returns the two lowest bytes of the number of the newest batch of each
 // VM of the roster, or zero for none. A page is forgotten long before its
 // poller can have published half of that range, so they are enough to tell
 // older from newer; a batch whose bytes happen to be zero is sent once more.
-func (b *Book) Seen(r contact.Roster) []byte {
+func (b *ReportStore) VersionVector(r contact.Roster) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	seen := make([]byte, 0, seenBytes*len(r.VMs))
@@ -131,9 +133,9 @@
 	return seen
 }
 
-// Newer returns the batches that are newer than seen, which is by the same
+// NewerBatches returns the batches that are newer than seen, which is by the same
 // roster, or all of them when seen is nil.
-func (b *Book) Newer(r contact.Roster, seen []byte) []*entrypb.Batch {
+func (b *ReportStore) NewerBatches(r contact.Roster, seen []byte) []*entrypb.Batch {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
@@ -158,7 +160,7 @@
 }
 
 // Merge takes in batches whose pollers are numbered by the roster.
-func (b *Book) Merge(r contact.Roster, batches []*entrypb.Batch) {
+func (b *ReportStore) Merge(r contact.Roster, batches []*entrypb.Batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
@@ -176,7 +178,7 @@
 
 // Reports returns the newest report of each engine. Of two with the same
 // incarnation the higher sequence is newer, otherwise the one read later.
-func (b *Book) Reports() map[uint32]Report {
+func (b *ReportStore) Reports() map[uint32]Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// TakeOver is the age of an engine's newest report at which the next entry
+	// TakeoverAge is the age of an engine's newest report at which the next entry
 	// in rank polls it too. In a large zone a report is up to a poll, a
 	// publication and a round of pulls old, 7 s.
-	TakeOver = 8 * time.Second
+	TakeoverAge = 8 * time.Second
 	// maxRank is the last rank that takes over.
 	maxRank = 3
 	// smallZone is the largest zone in which each entry pulls round once in
@@ -53,12 +53,12 @@
 	return rank
 }
 
-// Polls tells whether the VM should poll the endpoint whose newest report is
+// ShouldPoll tells whether the VM should poll the endpoint whose newest report is
 // of that age. The first in rank always does; the next ones fill a gap when
 // reports stop coming. Polling twice is harmless.
-func Polls(r contact.Roster, vm, endpoint string, age time.Duration) bool {
+func ShouldPoll(r contact.Roster, vm, endpoint string, age time.Duration) bool {
 	rank := Rank(r, vm, endpoint)
-	return rank >= 0 && rank <= maxRank && age >= time.Duration(rank)*TakeOver
+	return rank >= 0 && rank <= maxRank && age >= time.Duration(rank)*TakeoverAge
 }
 
 func weight(vm, endpoint string) uint64 {
@@ -70,23 +70,23 @@
 	return d.Sum64()
 }
 
-// Rounds returns how many pulls it takes to hear of all n entries.
-func Rounds(n int) int { return max(1, bits.Len(uint(max(0, n-1)))) }
+// PullsPerRound returns how many pulls it takes to hear of all n entries.
+func PullsPerRound(n int) int { return max(1, bits.Len(uint(max(0, n-1)))) }
 
-// Interval returns the time between two pulls in a zone of n entries.
-func Interval(n int) time.Duration {
+// PullInterval returns the time between two pulls in a zone of n entries.
+func PullInterval(n int) time.Duration {
 	period := largePeriod
 	if n <= smallZone {
 		period = smallPeriod
 	}
-	return period / time.Duration(Rounds(n))
+	return period / time.Duration(PullsPerRound(n))
 }
 
-// PublishEvery returns the time between two publications of an entry in a zone
+// PublishInterval returns the time between two publications of an entry in a zone
 // of n entries: at each pull in a small one, and twice a round in a large one.
-func PublishEvery(n int) time.Duration {
+func PublishInterval(n int) time.Duration {
 	if n <= smallZone {
-		return Interval(n)
+		return PullInterval(n)
 	}
 	return largePeriod / 2
 }
@@ -100,7 +100,7 @@
 		return contact.VM{}, false
 	}
 	// Each round starts with the neighbour, then goes twice as far.
-	step := 1 << (turn % Rounds(n))
+	step := 1 << (turn % PullsPerRound(n))
 	for k := range n {
 		next := r.VMs[(i+step+k)%n]
 		if next.Name != vm && !next.Shunned() {
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -37,7 +37,7 @@
 	for _, e := range engines(400) {
 		first := 0
 		for _, vm := range r.Names() {
-			if Polls(r, vm, e, 0) {
+			if ShouldPoll(r, vm, e, 0) {
 				first++
 				load[vm]++
 				most = max(most, load[vm])
@@ -61,16 +61,16 @@
 	now.VMs = old.Others(gone)
 	for _, e := range engines(100) {
 		for _, vm := range now.Names() {
-			if Polls(old, vm, e, 0) && !Polls(now, vm, e, 0) {
+			if ShouldPoll(old, vm, e, 0) && !ShouldPoll(now, vm, e, 0) {
 				t.Errorf("%s lost %s though it stayed", vm, e)
 			}
 		}
-		if !Polls(old, gone, e, 0) {
+		if !ShouldPoll(old, gone, e, 0) {
 			continue
 		}
 		fill := 0
 		for _, vm := range now.Names() {
-			if Polls(old, vm, e, TakeOver) {
+			if ShouldPoll(old, vm, e, TakeoverAge) {
 				fill++
 			}
 		}
@@ -101,21 +101,21 @@
 	}
 }
 
-// After as many pulls as Rounds says, everybody has every report, once.
+// After as many pulls as PullsPerRound says, everybody has every report, once.
 func TestReportsReachAll(t *testing.T) {
 	for _, n := range []int{2, 3, 8, 63, 64} {
 		r := zoneOf(n)
-		books := map[string]*Book{}
+		books := map[string]*ReportStore{}
 		for i, name := range r.Names() {
-			books[name] = NewBook(name)
+			books[name] = NewReportStore(name)
 			books[name].Publish([]Report{report(fmt.Sprint(i), 1, 1)})
 		}
 		moved := 0
-		for turn := range Rounds(n) {
+		for turn := range PullsPerRound(n) {
 			pulled := map[string][]*entrypb.Batch{}
 			for _, name := range r.Names() {
 				vm, _ := Partner(r, name, turn)
-				pulled[name] = books[vm.Name].Newer(r, books[name].Seen(r))
+				pulled[name] = books[vm.Name].NewerBatches(r, books[name].VersionVector(r))
 			}
 			for name, b := range pulled {
 				books[name].Merge(r, b)
@@ -136,12 +136,12 @@
 func TestMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := zoneOf(3)
-		a, b, c := NewBook("vm-000"), NewBook("vm-001"), NewBook("vm-002")
+		a, b, c := NewReportStore("vm-000"), NewReportStore("vm-001"), NewReportStore("vm-002")
 		a.Publish([]Report{report("e", 1, 7), report("f", 1, 9)})
 		time.Sleep(time.Second)
 		b.Publish([]Report{report("e", 1, 6), report("f", 2, 1)})
-		c.Merge(r, a.Newer(r, nil))
-		c.Merge(r, b.Newer(r, nil))
+		c.Merge(r, a.NewerBatches(r, nil))
+		c.Merge(r, b.NewerBatches(r, nil))
 		time.Sleep(time.Second)
 		e := report("e", 1, 7)
 		e.Load.AgeMillis = 2120
@@ -152,25 +152,25 @@
 			t.Errorf("reports (-want +got):\n%s", diff)
 		}
 		// A process that restarts goes on from the number that its peers hold.
-		anew := NewBook("vm-000")
-		anew.Merge(r, c.Newer(r, nil))
+		anew := NewReportStore("vm-000")
+		anew.Merge(r, c.NewerBatches(r, nil))
 		anew.Publish([]Report{report("e", 1, 8)})
-		c.Merge(r, anew.Newer(r, c.Seen(r)))
+		c.Merge(r, anew.NewerBatches(r, c.VersionVector(r)))
 		if got := c.Reports()[e.Endpoint].Load.Sequence; got != 8 {
 			t.Errorf("after a restart of the poller: sequence %d", got)
 		}
-		held := c.Seen(r)
+		held := c.VersionVector(r)
 		c.Merge(r, []*entrypb.Batch{{Poller: 9}, {Number: 99, Engine: []uint32{1}}})
-		if diff := cmp.Diff(held, c.Seen(r)); diff != "" {
+		if diff := cmp.Diff(held, c.VersionVector(r)); diff != "" {
 			t.Errorf("took a malformed batch:\n%s", diff)
 		}
 		// A number that has gone round the two bytes is still newer.
 		for range 70_000 {
 			anew.Publish([]Report{report("e", 1, 9)})
-			if len(anew.Newer(r, c.Seen(r))) == 0 {
+			if len(anew.NewerBatches(r, c.VersionVector(r))) == 0 {
 				t.Fatal("a newer batch is taken for an older one")
 			}
-			c.Merge(r, anew.Newer(r, c.Seen(r)))
+			c.Merge(r, anew.NewerBatches(r, c.VersionVector(r)))
 		}
 	})
 }
--- a/rollout/fakefleet/fakefleet.go
+++ b/rollout/fakefleet/fakefleet.go
@@ -87,8 +87,8 @@
 func (f *Fleet) Control() {
 	for _, z := range f.Zones {
 		client := peer.NewControllerClient(f.Net.Transport(controlHost(z)))
-		keeper := contact.NewKeeper(z, f.Rows, client, f.List, fakepeer.Held{}, f.ID)
-		confirmer := rollout.NewConfirmer(z, f.Rows, f.Store, f.Pusher(client), fakepeer.Held{}, keeper.Suspect, f.ID)
+		keeper := contact.NewKeeper(z, f.Rows, client, f.List, fakepeer.Lease{}, f.ID)
+		confirmer := rollout.NewConfirmer(z, f.Rows, f.Store, f.Pusher(client), fakepeer.Lease{}, keeper.Suspect, f.ID)
 		go keeper.Run(f.ctx)
 		go confirmer.Run(f.ctx)
 	}
@@ -113,9 +113,9 @@
 		f.Checker.applied(fmt.Sprintf("%s/%d", name, instance), d.Version)
 		return nil
 	})
-	server := peer.NewServer(peer.Parts{
+	server := peer.NewServer(peer.ServerConfig{
 		Instance: instance, Member: n.Member, Applier: n.Applier,
-		Gate: n.Gate, Book: share.NewBook(name), Leaving: set,
+		Gate: n.Gate, Reports: share.NewReportStore(name), Leaving: set,
 	})
 	_, n.handler = server.Handler()
 	client := peer.NewClient(server, f.Net.Transport(name))
@@ -176,7 +176,7 @@
 	f.Nodes[name].Table.SetCut(cut)
 	for _, other := range f.Names() {
 		if other != name {
-			f.Net.Cut(name, other, cut)
+			f.Net.Partition(name, other, cut)
 		}
 	}
 	f.CutControl(name, cut)
@@ -185,7 +185,7 @@
 // CutControl cuts a VM from the controllers of all zones, or ends that.
 func (f *Fleet) CutControl(name string, cut bool) {
 	for _, z := range f.Zones {
-		f.Net.Cut(name, controlHost(z), cut)
+		f.Net.Partition(name, controlHost(z), cut)
 	}
 }
 
--- a/rollout/fakefleet/table.go
+++ b/rollout/fakefleet/table.go
@@ -21,7 +21,7 @@
 	if !v.cut.Load() {
 		return nil
 	}
-	return &table.UnavailableError{Cause: &fakenet.CutError{To: "table"}}
+	return &table.UnavailableError{Cause: &fakenet.UnreachableError{To: "table"}}
 }
 
 // Get implements table.Service.
--- a/rollout/pruner_test.go
+++ b/rollout/pruner_test.go
@@ -49,7 +49,7 @@
 		}
 		prune := func(zone string, want int) {
 			t.Helper()
-			if n, err := rollout.NewPruner(zone, store, fakepeer.Held{}).Step(t.Context()); n != want || err != nil {
+			if n, err := rollout.NewPruner(zone, store, fakepeer.Lease{}).Step(t.Context()); n != want || err != nil {
 				t.Errorf("zone %s deleted %d, %v; want %d", zone, n, err, want)
 			}
 		}
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 		objects.SetFault(memobject.Fault{Down: true})
-		if _, err := rollout.NewPruner("a", store, fakepeer.Held{}).Step(t.Context()); err == nil {
+		if _, err := rollout.NewPruner("a", store, fakepeer.Lease{}).Step(t.Context()); err == nil {
 			t.Error("no failure with the object store down")
 		}
 		objects.SetFault(memobject.Fault{})
--- a/rollout/random_test.go
+++ b/rollout/random_test.go
@@ -138,7 +138,7 @@
 	case 9:
 		n.Table.SetCut(rng.IntN(2) == 0)
 	case 10:
-		f.Net.Cut(name, names[rng.IntN(len(names))], rng.IntN(2) == 0)
+		f.Net.Partition(name, names[rng.IntN(len(names))], rng.IntN(2) == 0)
 	case 11: // the VM is replaced
 		f.Remove(name)
 		f.Add(n.Zone+"-"+f.ID(), n.Zone)
--- a/rollout/scenario_test.go
+++ b/rollout/scenario_test.go
@@ -273,7 +273,7 @@
 		for _, name := range pair {
 			f.Isolate(name, true)
 		}
-		f.Net.Cut(pair[0], pair[1], false)
+		f.Net.Partition(pair[0], pair[1], false)
 		v := f.put("without the two")
 		f.watch(time.Minute)
 		for _, name := range pair {
@@ -311,7 +311,7 @@
 		time.Sleep(50 * time.Millisecond) // all others have acknowledged
 		f.Kill("a3")
 		f.Isolate("a3", true)
-		f.Net.Cut("a1", "a3", false)
+		f.Net.Partition("a1", "a3", false)
 		f.Start("a3", "a")
 		v := f.put("without the two")
 		for range 600 {
--- a/rollout/syncer_test.go
+++ b/rollout/syncer_test.go
@@ -48,17 +48,17 @@
 		name string
 		// known is the roster of a VM that had contact before; none is a new process.
 		known contact.Roster
-		peer  fakepeer.Scripted
+		peer  fakepeer.StaticPeer
 		want  contact.Standing
 	}{
-		{"new, from a peer that serves", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true, Roster: abc()}, Update: &update}, contact.InForce},
-		{"new, from a peer that does not serve", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Roster: abc()}, Update: &update}, contact.NotJoined},
-		{"new, not on the roster", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Serving: true, Roster: abc().Leave("a")}, Update: &update}, contact.NotJoined},
-		{"new, configuration not fetched", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true, Roster: abc()}, Update: nil}, contact.NoContact},
-		{"known, from a peer that lapsed too", abc(), fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true}, Update: &update}, contact.InForce},
-		{"known, not vouched for", abc(), fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Serving: true}, Update: &update}, contact.NoContact},
-		{"known, from a shunned peer", shunned, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true}, Update: &update}, contact.NoContact},
-		{"known, configuration not fetched", abc(), fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true}, Update: nil}, contact.NoContact},
+		{"new, from a peer that serves", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Vouched: true, Serving: true, Roster: abc()}, Update: &update}, contact.InForce},
+		{"new, from a peer that does not serve", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Vouched: true, Roster: abc()}, Update: &update}, contact.NotJoined},
+		{"new, not on the roster", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Serving: true, Roster: abc().Leave("a")}, Update: &update}, contact.NotJoined},
+		{"new, configuration not fetched", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Vouched: true, Serving: true, Roster: abc()}, Update: nil}, contact.NoContact},
+		{"known, from a peer that lapsed too", abc(), fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Vouched: true}, Update: &update}, contact.InForce},
+		{"known, not vouched for", abc(), fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, from a shunned peer", shunned, fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Vouched: true, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, configuration not fetched", abc(), fakepeer.StaticPeer{Response: rollout.Exchanged{Holds: held, Vouched: true, Serving: true}, Update: nil}, contact.NoContact},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 	}
 	for name, contactWith := range sync {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.Scripted{Answer: rollout.Exchanged{Vouched: true}, Delay: slow})
+			r := newRig(fakepeer.StaticPeer{Response: rollout.Exchanged{Vouched: true}, Delay: slow})
 			txn := table.Txn{Writes: []table.Write{{Key: contact.Key("z"), Value: abc().Encode()}}}
 			if _, err := r.rows.Commit(t.Context(), txn); err != nil {
 				t.Fatal(err)
@@ -112,7 +112,7 @@
 // A change that is committed between a VM's read and its join makes the join
 // conflict: no VM comes onto a roster with an old version.
 func TestJoinRacesWithEdit(t *testing.T) {
-	r := newRig(fakepeer.Scripted{})
+	r := newRig(fakepeer.StaticPeer{})
 	r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 		if c.Op == memtable.OpCommit {
 			r.rows.SetHook(nil)
@@ -134,7 +134,7 @@
 // Contact with the table counts only once the newest version is in force.
 func TestTableContactNeedsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(fakepeer.Scripted{})
+		r := newRig(fakepeer.StaticPeer{})
 		if err := r.syncer.SyncTable(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 func TestPutSettles(t *testing.T) {
 	for _, fault := range []memtable.Fault{{LoseResponse: true}, {ApplyAfter: 300 * time.Millisecond}, {ApplyAfter: time.Minute}} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.Scripted{})
+			r := newRig(fakepeer.StaticPeer{})
 			first := true
 			r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 				if c.Op != memtable.OpCommit || !first {
--- a/withhold/churn_test.go
+++ b/withhold/churn_test.go
@@ -165,7 +165,7 @@
 				t.Errorf("seed %d: nothing ran", seed)
 			}
 			entries := peer.NewControllerClient(c.Net.Transport("control-a"))
-			controller := withhold.NewController("a", c.Rows, entries, c, fakepeer.Held{}, c.ID)
+			controller := withhold.NewController("a", c.Rows, entries, c, fakepeer.Lease{}, c.ID)
 			var done atomic.Bool
 			go func() { done.Store(c.withhold(ctx, controller)) }()
 			c.run(time.Minute, true, done.Load)
--- a/withhold/controller_test.go
+++ b/withhold/controller_test.go
@@ -47,7 +47,7 @@
 	b.write(t, r)
 	n := 0
 	id := func() string { n++; return fmt.Sprint(n) }
-	b.c = withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{}, id)
+	b.c = withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Lease{}, id)
 	return b
 }
 
@@ -90,21 +90,21 @@
 			func(b *bench) { b.hold, _ = b.zone.Gates["b"].TryAcquire("e") }, withhold.WaitingError{Endpoint: "e", VMs: []string{"b"}},
 			func(_ *testing.T, b *bench) { b.hold.Release() }},
 		{"for an entry that is paused or out of reach",
-			func(b *bench) { b.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
-			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.Silent["c"] = false }) }},
+			func(b *bench) { b.zone.Unresponsive["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
+			func(_ *testing.T, b *bench) { b.zone.Update(func() { b.zone.Unresponsive["c"] = false }) }},
 		{"until such an entry is off the roster",
-			func(b *bench) { b.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
+			func(b *bench) { b.zone.Unresponsive["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
 			func(t *testing.T, b *bench) {
 				r := b.roster(t)
 				r.VMs = r.Others("c")
 				b.write(t, r)
 			}},
 		{"for a stream of an entry that was dropped",
-			func(b *bench) { b.zone.Open["e"] = 1 }, withhold.WaitingError{Endpoint: "e", Streams: 1},
-			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.Open["e"] = 0 }) }},
+			func(b *bench) { b.zone.OpenStreams["e"] = 1 }, withhold.WaitingError{Endpoint: "e", Streams: 1},
+			func(_ *testing.T, b *bench) { b.zone.Update(func() { b.zone.OpenStreams["e"] = 0 }) }},
 		{"for an endpoint that does not answer",
-			func(b *bench) { b.zone.EndpointSilent = true }, withhold.WaitingError{Endpoint: "e", Unresponsive: true},
-			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.EndpointSilent = false }) }},
+			func(b *bench) { b.zone.EndpointsUnresponsive = true }, withhold.WaitingError{Endpoint: "e", Unresponsive: true},
+			func(_ *testing.T, b *bench) { b.zone.Update(func() { b.zone.EndpointsUnresponsive = false }) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 func TestWithholdEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t)
-		b.zone.Silent["c"] = true
+		b.zone.Unresponsive["c"] = true
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		var waiting *withhold.WaitingError
@@ -150,7 +150,7 @@
 		if err := <-done; !errors.As(err, &restored) {
 			t.Errorf("after another controller restored it: %v", err)
 		}
-		lost := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{Err: &withhold.RestoredError{}}, nil)
+		lost := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Lease{Err: &withhold.RestoredError{}}, nil)
 		if err := lost.Withhold(t.Context(), "e"); err == nil || b.zone.Gates["a"].Withheld("e") {
 			t.Error("withholds without the lease")
 		}
@@ -174,7 +174,7 @@
 			lose = !lose && fault.LoseResponse
 			return fault
 		})
-		successor := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{}, func() string { return "s" })
+		successor := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Lease{}, func() string { return "s" })
 		if err := successor.RestoreUnwanted(t.Context(), func(e string) bool { return e == "wanted" }); err != nil {
 			t.Fatal(err)
 		}
