--- a/contact/decide.go
+++ b/contact/decide.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// SilentAfter is how long a VM has to be silent before it is shunned. No safety
+// ExcludeAfter is how long a VM has to be silent before it is shunned. No safety
 // rests on it: shunning a VM that is alive costs its service until it answers.
-const SilentAfter = time.Second
+const ExcludeAfter = time.Second
 
-// AbsentAfter is how long a VM that the membership list never showed has to be
+// UnlistedTimeout is how long a VM that the membership list never showed has to be
 // silent before its absence from the list means that it is gone. It rests on
 // the platform to show a new VM sooner than that: a VM on the roster started
 // before it fell silent, so a list that is read then would have it.
-const AbsentAfter = 5 * time.Minute
+const UnlistedTimeout = 5 * time.Minute
 
 // Observed is what the keeper of a roster knows when it decides.
 type Observed struct {
@@ -22,7 +22,7 @@
 	// Silent is how long each VM has not answered; zero for one that did.
 	Silent map[string]time.Duration
 	// Settled names the shunned VMs whose shunning is acknowledged by all
-	// others and whose SettleTime has passed.
+	// others and whose RemovalDelay has passed.
 	Settled map[string]bool
 	// Listed is the membership list's names, read after the roster; nil when
 	// the list could not be read.
@@ -60,7 +60,7 @@
 
 // dropGone drops VMs that the membership list had and has no more: they are
 // gone for good. So is one that it never had and that has been silent for
-// AbsentAfter, such as a VM that came and went while the list was out of reach.
+// UnlistedTimeout, such as a VM that came and went while the list was out of reach.
 // One that answers is alive, whatever the list says.
 func dropGone(_ Roster, next *Roster, seen Observed) {
 	if seen.Listed == nil {
@@ -68,7 +68,7 @@
 	}
 	next.VMs = slices.DeleteFunc(next.VMs, func(vm VM) bool {
 		_, answered := seen.Acks[vm.Name]
-		known := vm.Listed || seen.Silent[vm.Name] >= AbsentAfter
+		known := vm.Listed || seen.Silent[vm.Name] >= UnlistedTimeout
 		return known && !seen.Listed[vm.Name] && !answered
 	})
 }
@@ -78,7 +78,7 @@
 // itself, and a new process of it follows the rule until it has joined.
 func dropSettled(_ Roster, next *Roster, seen Observed) {
 	next.VMs = slices.DeleteFunc(next.VMs, func(vm VM) bool {
-		return vm.Shunned() && seen.Settled[vm.Name] && (vm.Lapse || vm.Left)
+		return vm.Excluded() && seen.Settled[vm.Name] && (vm.HasTimeout || vm.Left)
 	})
 }
 
@@ -97,13 +97,13 @@
 func markLapse(old Roster, next *Roster, seen Observed) {
 	for i := range next.VMs {
 		vm := &next.VMs[i]
-		if next.RuledSince == 0 {
-			vm.Lapse = vm.Lapse && (vm.Shunned() || !vm.Listed)
+		if next.TimeoutSince == 0 {
+			vm.HasTimeout = vm.HasTimeout && (vm.Excluded() || !vm.Listed)
 			continue
 		}
 		ack, answered := seen.Acks[vm.Name]
-		if answered && old.RuledSince != 0 && ack.Roster >= old.RuledSince {
-			vm.Lapse = true
+		if answered && old.TimeoutSince != 0 && ack.Roster >= old.TimeoutSince {
+			vm.HasTimeout = true
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	for i := range next.VMs {
 		vm := &next.VMs[i]
 		if _, answered := seen.Acks[vm.Name]; answered && !vm.Left {
-			vm.ShunnedAt = 0
+			vm.ExcludedAt = 0
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	vm := &next.VMs[silent]
-	if vm.Lapse && !vm.Shunned() && seen.Silent[vm.Name] >= SilentAfter {
-		vm.ShunnedAt = next.Revision
+	if vm.HasTimeout && !vm.Excluded() && seen.Silent[vm.Name] >= ExcludeAfter {
+		vm.ExcludedAt = next.Revision
 	}
 }
--- a/contact/decide_test.go
+++ b/contact/decide_test.go
@@ -9,15 +9,15 @@
 
 // vm returns a VM in good standing that follows the lapse rule.
 func vm(name string, change ...func(*VM)) VM {
-	v := VM{Name: name, Lapse: true, Listed: true}
+	v := VM{Name: name, HasTimeout: true, Listed: true}
 	for _, c := range change {
 		c(&v)
 	}
 	return v
 }
 
-func shunnedAt(rev uint64) func(*VM) { return func(v *VM) { v.ShunnedAt = rev } }
-func noLapse(v *VM)                  { v.Lapse = false }
+func shunnedAt(rev uint64) func(*VM) { return func(v *VM) { v.ExcludedAt = rev } }
+func noLapse(v *VM)                  { v.HasTimeout = false }
 func unlisted(v *VM)                 { v.Listed = false }
 func left(v *VM)                     { v.Left = true }
 
@@ -33,14 +33,14 @@
 	long := func(names ...string) map[string]time.Duration {
 		m := map[string]time.Duration{}
 		for _, n := range names {
-			m[n] = SilentAfter
+			m[n] = ExcludeAfter
 		}
 		return m
 	}
 	absent := func(names ...string) map[string]time.Duration {
 		m := map[string]time.Duration{}
 		for _, n := range names {
-			m[n] = AbsentAfter
+			m[n] = UnlistedTimeout
 		}
 		return m
 	}
@@ -53,14 +53,14 @@
 		want []VM
 	}{
 		{"nothing happens", abc, Observed{Acks: acks("a", "b", "c")}, abc},
-		{"silent for a moment", abc, Observed{Acks: acks("a", "b"), Silent: map[string]time.Duration{"c": SilentAfter - 1}}, abc},
+		{"silent for a moment", abc, Observed{Acks: acks("a", "b"), Silent: map[string]time.Duration{"c": ExcludeAfter - 1}}, abc},
 		{"silent for long", abc, Observed{Acks: acks("a", "b"), Silent: long("c")}, []VM{vm("a"), vm("b"), vm("c", shunnedAt(rev+1))}},
 		{"two silent", abc, Observed{Acks: acks("a"), Silent: long("b", "c")}, abc},
 		{"silent without the lapse rule", []VM{vm("a"), vm("b"), vm("c", noLapse)}, Observed{Acks: acks("a", "b"), Silent: long("c")}, []VM{vm("a"), vm("b"), vm("c", noLapse)}},
 		{"silent in a zone of two", []VM{vm("a", noLapse), vm("b", noLapse)}, Observed{Acks: acks("a"), Silent: long("b")}, []VM{vm("a", noLapse), vm("b", noLapse)}},
 		{"silent in a zone of two and never listed", []VM{vm("a", noLapse), vm("b", unlisted)}, Observed{Acks: acks("a"), Silent: long("b")}, []VM{vm("a", noLapse), vm("b", unlisted, shunnedAt(rev+1))}},
 		{"never listed and silent for very long", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), Silent: absent("b", "c"), Listed: map[string]bool{"a": true}}, []VM{vm("a", noLapse)}},
-		{"never listed and nearly silent for so long", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), Silent: map[string]time.Duration{"b": AbsentAfter - 1, "c": AbsentAfter - 1}, Listed: map[string]bool{"a": true}}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
+		{"never listed and nearly silent for so long", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), Silent: map[string]time.Duration{"b": UnlistedTimeout - 1, "c": UnlistedTimeout - 1}, Listed: map[string]bool{"a": true}}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
 		{"never listed, silent for very long, list out of reach", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), Silent: absent("b", "c")}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
 		{"listed in a zone of two", []VM{vm("a", noLapse), vm("b", unlisted)}, Observed{Acks: acks("a", "b"), Listed: map[string]bool{"a": true, "b": true}}, []VM{vm("a", noLapse), vm("b", noLapse)}},
 		{"shunned and not settled", []VM{vm("a"), vm("b"), vm("c", shunnedAt(5))}, Observed{Acks: acks("a", "b"), Silent: long("c")}, []VM{vm("a"), vm("b"), vm("c", shunnedAt(5))}},
@@ -79,8 +79,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			old := Roster{Zone: "z", Revision: rev, VMs: tt.old}
-			if len(tt.old) >= MinLapseVMs {
-				old.RuledSince = ruled
+			if len(tt.old) >= MinTimeoutVMs {
+				old.TimeoutSince = ruled
 			}
 			next, changed := Decide(old, tt.seen)
 			if diff := cmp.Diff(tt.want, next.VMs); diff != "" {
--- a/contact/errors.go
+++ b/contact/errors.go
@@ -18,32 +18,32 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// Standing is why a VM may not serve.
-type Standing string
+// Status is why a VM may not serve.
+type Status string
 
 // The standings.
 const (
-	// InForce is a VM that may serve.
-	InForce Standing = "in-force"
+	// Active is a VM that may serve.
+	Active Status = "in-force"
 	// NotJoined is a VM that is not on its zone's roster, or shunned there.
-	NotJoined Standing = "not-joined"
+	NotJoined Status = "not-joined"
 	// NoContact is a VM that has been out of contact, or paused, for too long.
-	NoContact Standing = "no-contact"
+	NoContact Status = "no-contact"
 	// Departed is a VM that stops by plan.
-	Departed Standing = "departed"
+	Stopping Status = "departed"
 )
 
 // UnconfirmedError is a refusal to serve: this VM's configuration may be old.
-type UnconfirmedError struct{ Standing Standing }
+type UnconfirmedError struct{ Status Status }
 
 // Error implements error.
 func (e *UnconfirmedError) Error() string {
-	return fmt.Sprintf("configuration unconfirmed: %s", e.Standing)
+	return fmt.Sprintf("configuration unconfirmed: %s", e.Status)
 }
 
 // Reason implements failure.Coded.
 func (e *UnconfirmedError) Reason() failure.Reason {
-	if e.Standing == Departed {
+	if e.Status == Stopping {
 		return failure.Stopping
 	}
 	return failure.ConfigUnconfirmed
--- a/contact/keeper.go
+++ b/contact/keeper.go
@@ -18,8 +18,8 @@
 type Peers interface {
 	// Probe asks what the VM holds.
 	Probe(ctx context.Context, vm VM) (Ack, error)
-	// Shun hands the VM a roster and returns what it then holds.
-	Shun(ctx context.Context, vm VM, r Roster) (Ack, error)
+	// PushRoster hands the VM a roster and returns what it then holds.
+	PushRoster(ctx context.Context, vm VM, r Roster) (Ack, error)
 }
 
 // Authority gives conditions that hold only while this process holds the
@@ -28,13 +28,13 @@
 	Checks() ([]table.Check, error)
 }
 
-// Keeper keeps the roster of one zone, under the zone's lease. Its state is
+// Reconciler keeps the roster of one zone, under the zone's lease. Its state is
 // lost with the process: a successor starts its own count for every shunning.
 //
 // Invariant: each write states facts that stay true as long as its checks
 // hold. So a write whose answer was lost needs no settling: if it takes effect
 // late it is still right, and the next Step reads what stands.
-type Keeper struct {
+type Reconciler struct {
 	zone    string
 	rows    table.Service
 	peers   Peers
@@ -61,10 +61,10 @@
 	suspected chan struct{}
 }
 
-// NewKeeper returns the keeper of a zone's roster. writeID gives a new id for
+// NewReconciler returns the keeper of a zone's roster. writeID gives a new id for
 // each call.
-func NewKeeper(zone string, rows table.Service, peers Peers, members membership.List, auth Authority, writeID func() string) *Keeper {
-	return &Keeper{
+func NewReconciler(zone string, rows table.Service, peers Peers, members membership.List, auth Authority, writeID func() string) *Reconciler {
+	return &Reconciler{
 		zone: zone, rows: rows, peers: peers, members: members, auth: auth, writeID: writeID,
 		silentSince: map[string]time.Time{},
 		settles:     map[string]settle{},
@@ -76,7 +76,7 @@
 
 // Suspect has the keeper ask these VMs at once, as somebody could not reach
 // them. It may be called from any goroutine.
-func (k *Keeper) Suspect(names []string) {
+func (k *Reconciler) Suspect(names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 )
 
 // Run keeps the roster until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Reconciler) Run(ctx context.Context) {
 	var swept time.Time
 	for ctx.Err() == nil {
 		err := k.Step(ctx)
@@ -134,7 +134,7 @@
 
 // pause returns the time until the next round: at once after a change, so that
 // a shunning begins to settle, and in time for the next shunning or drop.
-func (k *Keeper) pause(now time.Time) time.Duration {
+func (k *Reconciler) pause(now time.Time) time.Duration {
 	if k.wrote {
 		return 0
 	}
@@ -143,10 +143,10 @@
 		pause = minRound
 	}
 	for _, since := range k.silentSince {
-		pause = sooner(pause, since.Add(SilentAfter).Sub(now))
+		pause = sooner(pause, since.Add(ExcludeAfter).Sub(now))
 	}
 	for _, s := range k.settles {
-		due := s.since.Add(SettleTime)
+		due := s.since.Add(RemovalDelay)
 		if due.After(k.looked) && !due.After(now) {
 			return 0 // it passed while the round waited for answers
 		}
@@ -170,7 +170,7 @@
 // The order matters: the membership list is read after the roster, so that a
 // VM that the roster shows as listed and the list lacks has been dropped since.
 // What settles comes before the probes, which wait for VMs that hang.
-func (k *Keeper) Step(ctx context.Context) error {
+func (k *Reconciler) Step(ctx context.Context) error {
 	k.wrote, k.looked = false, clock.Now()
 	checks, err := k.auth.Checks()
 	if err != nil {
@@ -211,7 +211,7 @@
 
 // Sweep drops VMs that are gone for good from the rosters of all other zones,
 // which may have nobody left to keep them.
-func (k *Keeper) Sweep(ctx context.Context) error {
+func (k *Reconciler) Sweep(ctx context.Context) error {
 	rows, err := k.rows.Scan(ctx, Table, "", "", maxZones)
 	if err != nil {
 		return eris.Wrap(err, "read rosters")
@@ -239,7 +239,7 @@
 }
 
 // list returns the names on the membership list, or nil when it is out of reach.
-func (k *Keeper) list(ctx context.Context) map[string]bool {
+func (k *Reconciler) list(ctx context.Context) map[string]bool {
 	vms, err := k.members.VMs(ctx)
 	if err != nil {
 		return nil
--- a/contact/keeper_test.go
+++ b/contact/keeper_test.go
@@ -65,7 +65,7 @@
 					t.Fatal(err)
 				}
 				ids := 0
-				k := contact.NewKeeper("z", rows, z, list, fakepeer.Held{}, func() string { ids++; return fmt.Sprint(ids) })
+				k := contact.NewReconciler("z", rows, z, list, fakepeer.Held{}, func() string { ids++; return fmt.Sprint(ids) })
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go k.Run(ctx)
@@ -84,7 +84,7 @@
 					time.Sleep(100 * time.Millisecond)
 				}
 				took := time.Since(began)
-				if early := contact.SilentAfter + contact.SettleTime; took < early {
+				if early := contact.ExcludeAfter + contact.RemovalDelay; took < early {
 					t.Errorf("dropped after %v, before %v", took, early)
 				}
 				if hindered := i > 0; hindered != (len(names()) == 3) {
--- a/contact/member.go
+++ b/contact/member.go
@@ -27,7 +27,7 @@
 // Invariants:
 //   - roster never goes to a lower revision;
 //   - until is in the future only if this VM was trusted by the newest roster
-//     held, and had contact that it began to ask for less than Lapse before
+//     held, and had contact that it began to ask for less than Timeout before
 //     until, or the lapse rule does not apply and no pause was seen since;
 //   - once departed, it neither serves nor vouches.
 type Member struct {
@@ -52,7 +52,7 @@
 	// paused is set by a gap in ticks, until the next contact.
 	paused bool
 	// pausedAt is when the process was last seen running before the gap. No
-	// code ran in the gap, so a contact that began Lapse later began after it.
+	// code ran in the gap, so a contact that began Timeout later began after it.
 	pausedAt time.Time
 	// seen is when this member last noted that the process runs.
 	seen time.Time
@@ -78,20 +78,20 @@
 	if int64(clock.Since(m.base)) < m.until.Load() {
 		return nil
 	}
-	return &UnconfirmedError{Standing: m.Standing()}
+	return &UnconfirmedError{Status: m.Status()}
 }
 
-// Standing tells whether this VM may serve, and if not, why.
-func (m *Member) Standing() Standing {
+// Status tells whether this VM may serve, and if not, why.
+func (m *Member) Status() Status {
 	if int64(clock.Since(m.base)) < m.until.Load() {
-		return InForce
+		return Active
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.departed:
-		return Departed
-	case !m.roster.Trusts(m.name):
+		return Stopping
+	case !m.roster.IsActive(m.name):
 		return NotJoined
 	default:
 		return NoContact
@@ -105,10 +105,10 @@
 	return m.roster
 }
 
-// Adopt takes in a roster if it is newer than the one held. When it returns,
+// ApplyRoster takes in a roster if it is newer than the one held. When it returns,
 // this VM vouches for nobody whom the roster shuns, and serves no more if it
 // is not trusted itself.
-func (m *Member) Adopt(r Roster) {
+func (m *Member) ApplyRoster(r Roster) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r.Revision <= m.roster.Revision || r.Zone != m.zone {
@@ -119,20 +119,20 @@
 	m.update(clock.Now())
 }
 
-// Joined records that this process put itself on the roster, by a write that
+// RecordJoin records that this process put itself on the roster, by a write that
 // it began at began.
-func (m *Member) Joined(r Roster, began time.Time) {
-	m.Adopt(r)
+func (m *Member) RecordJoin(r Roster, began time.Time) {
+	m.ApplyRoster(r)
 	m.mu.Lock()
 	m.joined = true
 	m.mu.Unlock()
-	m.Renew(began)
+	m.RecordContact(began)
 }
 
-// MustJoin tells whether this process has yet to put itself on the roster, or
+// NeedsJoin tells whether this process has yet to put itself on the roster, or
 // was dropped from it. A VM that is shunned waits for the keeper to take it
 // back or to drop it.
-func (m *Member) MustJoin() bool {
+func (m *Member) NeedsJoin() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, listed := m.roster.Find(m.name)
@@ -146,23 +146,23 @@
 	return m.contact
 }
 
-// Vouch tells whether this VM holds that name in good standing. A VM that has
+// ConfirmMember tells whether this VM holds that name in good standing. A VM that has
 // itself lapsed may vouch: it was asked to acknowledge the shunning of every
 // VM dropped while it was on the roster, and the asker trusts it only if the
 // asker's own roster does (see docs/design/config.md).
-func (m *Member) Vouch(name string) bool {
+func (m *Member) ConfirmMember(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.departed && !m.contact.IsZero() && m.roster.Trusts(name)
+	return !m.departed && !m.contact.IsZero() && m.roster.IsActive(name)
 }
 
-// Renew records a contact that this VM began to ask for at began. The caller
+// RecordContact records a contact that this VM began to ask for at began. The caller
 // has adopted the roster and put the configuration in force that the contact
 // told of: this order matters, as the permission covers both.
-func (m *Member) Renew(began time.Time) {
+func (m *Member) RecordContact(began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.roster.Trusts(m.name) {
+	if !m.roster.IsActive(m.name) {
 		return
 	}
 	if began.After(m.contact) {
@@ -171,8 +171,8 @@
 	m.update(clock.Now())
 }
 
-// Depart ends the permission for good: this VM stops by plan.
-func (m *Member) Depart() {
+// StopServing ends the permission for good: this VM stops by plan.
+func (m *Member) StopServing() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.departed = true
@@ -202,28 +202,28 @@
 // update sets until from the state. The caller holds mu.
 func (m *Member) update(now time.Time) {
 	m.notePause(now)
-	if m.departed || m.contact.IsZero() || m.paused || !m.roster.Trusts(m.name) {
+	if m.departed || m.contact.IsZero() || m.paused || !m.roster.IsActive(m.name) {
 		m.until.Store(0)
 		return
 	}
 	from := m.contact
-	if m.joined && !m.roster.LapseRuleFor(m.name) {
+	if m.joined && !m.roster.TimeoutAppliesTo(m.name) {
 		from = now // without the rule only a pause ends the permission
 	}
-	m.until.Store(int64(from.Add(Lapse).Sub(m.base)))
+	m.until.Store(int64(from.Add(Timeout).Sub(m.base)))
 }
 
-// notePause finds a gap of Lapse or more, in which the process was paused: it
+// notePause finds a gap of Timeout or more, in which the process was paused: it
 // has to learn the newest version before it serves again, by a contact that
 // began after the gap. It runs first in update, so that no other event can
 // bridge the gap. The caller holds mu.
 func (m *Member) notePause(now time.Time) {
-	woken := m.seen.Add(Lapse)
+	woken := m.seen.Add(Timeout)
 	if !now.Before(woken) {
 		m.paused = true
 		m.pausedAt = m.seen
 	}
-	if m.paused && !m.contact.Before(m.pausedAt.Add(Lapse)) {
+	if m.paused && !m.contact.Before(m.pausedAt.Add(Timeout)) {
 		m.paused = false
 	}
 	m.seen = now
--- a/contact/member_test.go
+++ b/contact/member_test.go
@@ -23,13 +23,13 @@
 	synctest.Wait()
 }
 
-func standing(t *testing.T, m *Member, want Standing) {
+func standing(t *testing.T, m *Member, want Status) {
 	t.Helper()
-	if got := m.Standing(); got != want {
+	if got := m.Status(); got != want {
 		t.Errorf("standing %s, want %s", got, want)
 	}
 	var refused *UnconfirmedError
-	if err := m.Allow(); (err == nil) != (want == InForce) || err != nil && !errors.As(err, &refused) {
+	if err := m.Allow(); (err == nil) != (want == Active) || err != nil && !errors.As(err, &refused) {
 		t.Errorf("Allow() = %v at standing %s", err, want)
 	}
 }
@@ -40,27 +40,27 @@
 		standing(t, m, NotJoined)
 		began := time.Now()
 		time.Sleep(time.Second) // the answer takes a while
-		m.Joined(roster(1, vm("a"), vm("b"), vm("c")), began)
-		standing(t, m, InForce)
-		tickFor(m, Lapse-time.Second-time.Millisecond)
-		standing(t, m, InForce)
+		m.RecordJoin(roster(1, vm("a"), vm("b"), vm("c")), began)
+		standing(t, m, Active)
+		tickFor(m, Timeout-time.Second-time.Millisecond)
+		standing(t, m, Active)
 		tickFor(m, time.Millisecond)
 		standing(t, m, NoContact)
-		m.Renew(began) // an answer to a question asked long ago
+		m.RecordContact(began) // an answer to a question asked long ago
 		standing(t, m, NoContact)
-		m.Renew(time.Now())
-		standing(t, m, InForce)
-		m.Adopt(roster(2, vm("a", shunnedAt(2)), vm("b"), vm("c")))
+		m.RecordContact(time.Now())
+		standing(t, m, Active)
+		m.ApplyRoster(roster(2, vm("a", shunnedAt(2)), vm("b"), vm("c")))
 		standing(t, m, NotJoined)
-		m.Adopt(roster(1, vm("a"), vm("b"), vm("c")))
-		m.Renew(time.Now())
+		m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
+		m.RecordContact(time.Now())
 		standing(t, m, NotJoined)
-		m.Adopt(roster(3, vm("a"), vm("b"), vm("c")))
-		m.Renew(time.Now())
-		m.Depart()
-		m.Renew(time.Now())
-		standing(t, m, Departed)
-		if m.Vouch("b") {
+		m.ApplyRoster(roster(3, vm("a"), vm("b"), vm("c")))
+		m.RecordContact(time.Now())
+		m.StopServing()
+		m.RecordContact(time.Now())
+		standing(t, m, Stopping)
+		if m.ConfirmMember("b") {
 			t.Error("a departed VM vouches")
 		}
 	})
@@ -69,22 +69,22 @@
 func TestMemberOfSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		m.Joined(roster(1, vm("a", noLapse), vm("b", noLapse)), time.Now())
+		m.RecordJoin(roster(1, vm("a", noLapse), vm("b", noLapse)), time.Now())
 		tickFor(m, time.Hour)
-		standing(t, m, InForce)
-		time.Sleep(Lapse) // paused: nothing ticks
+		standing(t, m, Active)
+		time.Sleep(Timeout) // paused: nothing ticks
 		tickFor(m, time.Second)
 		standing(t, m, NoContact)
-		m.Renew(time.Now().Add(-Lapse)) // a contact from before the pause
+		m.RecordContact(time.Now().Add(-Timeout)) // a contact from before the pause
 		standing(t, m, NoContact)
-		m.Renew(time.Now())
+		m.RecordContact(time.Now())
 		tickFor(m, time.Hour)
-		standing(t, m, InForce)
+		standing(t, m, Active)
 		// A roster that still marks it as following the rule binds it.
-		m.Adopt(roster(2, vm("a"), vm("b")))
+		m.ApplyRoster(roster(2, vm("a"), vm("b")))
 		standing(t, m, NoContact)
-		m.Renew(time.Now())
-		tickFor(m, Lapse)
+		m.RecordContact(time.Now())
+		tickFor(m, Timeout)
 		standing(t, m, NoContact)
 	})
 }
@@ -94,26 +94,26 @@
 func TestUnjoinedMemberLapsesInSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		m.Adopt(roster(1, vm("a", noLapse), vm("b", noLapse)))
-		m.Renew(time.Now())
-		standing(t, m, InForce)
-		tickFor(m, Lapse)
+		m.ApplyRoster(roster(1, vm("a", noLapse), vm("b", noLapse)))
+		m.RecordContact(time.Now())
+		standing(t, m, Active)
+		tickFor(m, Timeout)
 		standing(t, m, NoContact)
 	})
 }
 
 func TestMemberVouches(t *testing.T) {
 	m := newTestMember("a")
-	m.Adopt(roster(1, vm("a"), vm("b"), vm("c")))
-	if m.Vouch("b") {
+	m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
+	if m.ConfirmMember("b") {
 		t.Error("a VM that never had contact vouches")
 	}
-	m.Renew(time.Now())
-	if !m.Vouch("b") || m.Vouch("x") {
+	m.RecordContact(time.Now())
+	if !m.ConfirmMember("b") || m.ConfirmMember("x") {
 		t.Error("vouches wrongly")
 	}
-	m.Adopt(roster(2, vm("a"), vm("b", shunnedAt(2)), vm("c")))
-	if m.Vouch("b") {
+	m.ApplyRoster(roster(2, vm("a"), vm("b", shunnedAt(2)), vm("c")))
+	if m.ConfirmMember("b") {
 		t.Error("vouches for a shunned VM")
 	}
 }
@@ -148,7 +148,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := script{"b": tt.b}
 			var missing []string
-			err := Stable(t.Context(), []VM{{Name: "b"}}, s.ask, s.ask, func(a Ack) bool { return a.Config >= 2 })
+			err := ConfirmStable(t.Context(), []VM{{Name: "b"}}, s.ask, s.ask, func(a Ack) bool { return a.Config >= 2 })
 			var unstable *UnstableError
 			if errors.As(err, &unstable) {
 				missing = unstable.Missing
--- a/contact/metrics.go
+++ b/contact/metrics.go
@@ -23,7 +23,7 @@
 		if !listed {
 			metrics.GetOrCreateCounter(`springweir_roster_dropped_total`).Inc()
 		}
-		if now.Shunned() && !vm.Shunned() {
+		if now.Excluded() && !vm.Excluded() {
 			metrics.GetOrCreateCounter(`springweir_roster_shunned_total`).Inc()
 		}
 	}
--- a/contact/probe.go
+++ b/contact/probe.go
@@ -14,7 +14,7 @@
 // guard against shunning by a keeper that is itself cut off, and no safety
 // rests on their age. A VM that is about to be dropped is not asked: it is
 // dropped whether it answers or not, and waiting for it would hold that up.
-func (k *Keeper) probe(ctx context.Context, r Roster) {
+func (k *Reconciler) probe(ctx context.Context, r Roster) {
 	ask := k.inDoubt(r)
 	turn := time.Duration(len(r.VMs)) * probeSpacing
 	if clock.Since(k.probed) >= turn || k.oneSilent(r) {
@@ -32,12 +32,12 @@
 
 // oneSilent tells that a single VM was silent in an earlier round, and can be
 // shunned if it still is. With two, no shunning can follow (see shunSilent).
-func (k *Keeper) oneSilent(r Roster) bool {
+func (k *Reconciler) oneSilent(r Roster) bool {
 	silent, can := 0, false
 	for _, vm := range r.VMs {
 		if _, is := k.silentSince[vm.Name]; is {
 			silent++
-			can = vm.Lapse && !vm.Shunned()
+			can = vm.HasTimeout && !vm.Excluded()
 		}
 	}
 	return silent == 1 && can
@@ -45,14 +45,14 @@
 
 // inDoubt returns the VMs that did not answer, are shunned, are suspected, or
 // have yet to follow the lapse rule.
-func (k *Keeper) inDoubt(r Roster) []VM {
+func (k *Reconciler) inDoubt(r Roster) []VM {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var vms []VM
 	for _, vm := range r.VMs {
 		_, answered := k.acks[vm.Name]
-		unruled := !vm.Lapse && r.RuledSince != 0
-		if !answered || vm.Shunned() || unruled || k.suspects[vm.Name] {
+		unruled := !vm.HasTimeout && r.TimeoutSince != 0
+		if !answered || vm.Excluded() || unruled || k.suspects[vm.Name] {
 			vms = append(vms, vm)
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // noteSilent notes which VMs did not answer probes that began at asked.
-func (k *Keeper) noteSilent(r Roster, asked time.Time) {
+func (k *Reconciler) noteSilent(r Roster, asked time.Time) {
 	since := map[string]time.Time{}
 	for _, vm := range r.VMs {
 		if _, answered := k.acks[vm.Name]; answered {
@@ -76,7 +76,7 @@
 }
 
 // silent returns how long each silent VM has not answered.
-func (k *Keeper) silent(now time.Time) map[string]time.Duration {
+func (k *Reconciler) silent(now time.Time) map[string]time.Duration {
 	silent := map[string]time.Duration{}
 	for name, since := range k.silentSince {
 		silent[name] = now.Sub(since)
--- a/contact/roster.go
+++ b/contact/roster.go
@@ -6,13 +6,13 @@
 // certainly serves no more:
 //
 //   - A VM under the lapse rule serves new requests only while it has, within
-//     Lapse, reached the table or a VM of its zone that has not shunned it.
+//     Timeout, reached the table or a VM of its zone that has not shunned it.
 //   - Before such a VM is dropped it is marked shunned in the roster, every
 //     other VM on the roster acknowledges the mark in two stable rounds (see
-//     Stable), and SettleTime passes.
+//     ConfirmStable), and RemovalDelay passes.
 //
 // A VM counts the lapse from before it sent the question, on its monotonic
-// clock. SettleTime is twice the lapse, so clocks may differ in rate by half.
+// clock. RemovalDelay is twice the lapse, so clocks may differ in rate by half.
 package contact
 
 import (
@@ -25,14 +25,14 @@
 
 // Timing of the contact rule.
 const (
-	// Lapse is how long a VM serves new requests without contact. A shorter one
+	// Timeout is how long a VM serves new requests without contact. A shorter one
 	// lets changes get past a dead VM sooner, and has a VM that was paused or
 	// cut off for less time refuse requests (docs/design/config.md).
-	Lapse = 2 * time.Second
-	// SettleTime passes between the last acknowledgement of a shunning and the drop.
-	SettleTime = 2 * Lapse
-	// MinLapseVMs is the smallest roster under which the lapse rule applies.
-	MinLapseVMs = 3
+	Timeout = 2 * time.Second
+	// RemovalDelay passes between the last acknowledgement of a shunning and the drop.
+	RemovalDelay = 2 * Timeout
+	// MinTimeoutVMs is the smallest roster under which the lapse rule applies.
+	MinTimeoutVMs = 3
 )
 
 // Table is the name of the table of rosters, with a row for each zone.
@@ -44,15 +44,15 @@
 	Name string `json:"name"`
 	// Address is the host:port at which its entry answers peers.
 	Address string `json:"address"`
-	// Lapse is set once the VM is known to follow the lapse rule. Only such a
-	// VM may be dropped for silence. In a zone of fewer than MinLapseVMs the
+	// HasTimeout is set once the VM is known to follow the lapse rule. Only such a
+	// VM may be dropped for silence. In a zone of fewer than MinTimeoutVMs the
 	// mark goes off once the VM is listed: from then on the membership list
 	// tells when it is gone.
-	Lapse bool `json:"lapse,omitempty"`
-	// ShunnedAt is the revision at which the VM was shunned; zero is not at
+	HasTimeout bool `json:"lapse,omitempty"`
+	// ExcludedAt is the revision at which the VM was shunned; zero is not at
 	// all. A shunned VM is vouched for by no one.
-	ShunnedAt uint64 `json:"shunned_at,omitempty"`
-	// Left is set by a VM that stops by plan, together with ShunnedAt.
+	ExcludedAt uint64 `json:"shunned_at,omitempty"`
+	// Left is set by a VM that stops by plan, together with ExcludedAt.
 	Left bool `json:"left,omitempty"`
 	// Listed is set once the VM was seen on the membership list. When it is
 	// then missing from the list, it is gone for good.
@@ -67,8 +67,8 @@
 	Epoch uint64 `json:"epoch"`
 }
 
-// Shunned tells whether the VM is shunned.
-func (vm VM) Shunned() bool { return vm.ShunnedAt != 0 }
+// Excluded tells whether the VM is shunned.
+func (vm VM) Excluded() bool { return vm.ExcludedAt != 0 }
 
 // Roster lists the VMs of a zone that may serve. A Roster is never changed in
 // place: each change makes a new one with a higher revision.
@@ -78,9 +78,9 @@
 	Revision uint64 `json:"revision"`
 	// WriteID is the id of the write that made this revision.
 	WriteID string `json:"write_id"`
-	// RuledSince is the revision since which the roster has had MinLapseVMs VMs
+	// TimeoutSince is the revision since which the roster has had MinTimeoutVMs VMs
 	// or more without a break; zero when it has fewer.
-	RuledSince uint64 `json:"ruled_since,omitempty"`
+	TimeoutSince uint64 `json:"ruled_since,omitempty"`
 	// VMs are sorted by name.
 	VMs []VM `json:"vms"`
 	// Withheld lists endpoints, sorted by name. It stands in the roster so that
@@ -97,10 +97,10 @@
 	return r.VMs[i], true
 }
 
-// Trusts tells whether name is on the roster and not shunned.
-func (r Roster) Trusts(name string) bool {
+// IsActive tells whether name is on the roster and not shunned.
+func (r Roster) IsActive(name string) bool {
 	vm, ok := r.Find(name)
-	return ok && !vm.Shunned()
+	return ok && !vm.Excluded()
 }
 
 // Names returns the VMs' names in order.
@@ -112,20 +112,20 @@
 	return names
 }
 
-// Others returns the VMs but for name.
-func (r Roster) Others(name string) []VM {
+// Except returns the VMs but for name.
+func (r Roster) Except(name string) []VM {
 	return slices.DeleteFunc(slices.Clone(r.VMs), func(vm VM) bool { return vm.Name == name })
 }
 
-// LapseRuleFor tells whether the VM of that name must follow the lapse rule
+// TimeoutAppliesTo tells whether the VM of that name must follow the lapse rule
 // under this roster. A VM that the roster says follows it keeps doing so, also
 // when the roster has become small: it may be dropped until the mark is off.
-func (r Roster) LapseRuleFor(name string) bool {
-	if len(r.VMs) >= MinLapseVMs {
+func (r Roster) TimeoutAppliesTo(name string) bool {
+	if len(r.VMs) >= MinTimeoutVMs {
 		return true
 	}
 	vm, ok := r.Find(name)
-	return ok && vm.Lapse
+	return ok && vm.HasTimeout
 }
 
 // Join returns the roster with the VM on it, in good standing.
@@ -134,20 +134,20 @@
 	next.Zone = zone
 	old, _ := r.Find(name)
 	// The joining VM holds this very revision, so it follows the rule from the start.
-	vm := VM{Name: name, Address: address, Listed: old.Listed, Lapse: true}
-	next.VMs = append(r.Others(name), vm)
+	vm := VM{Name: name, Address: address, Listed: old.Listed, HasTimeout: true}
+	next.VMs = append(r.Except(name), vm)
 	slices.SortFunc(next.VMs, func(a, b VM) int { return strings.Compare(a.Name, b.Name) })
 	next.rule()
 	return next
 }
 
-// rule sets RuledSince after a change of the VMs.
+// rule sets TimeoutSince after a change of the VMs.
 func (r *Roster) rule() {
 	switch {
-	case len(r.VMs) < MinLapseVMs:
-		r.RuledSince = 0
-	case r.RuledSince == 0:
-		r.RuledSince = r.Revision
+	case len(r.VMs) < MinTimeoutVMs:
+		r.TimeoutSince = 0
+	case r.TimeoutSince == 0:
+		r.TimeoutSince = r.Revision
 	}
 }
 
@@ -157,7 +157,7 @@
 	next.VMs = slices.Clone(r.VMs)
 	if i := next.index(name); i >= 0 {
 		next.VMs[i].Left = true
-		next.VMs[i].ShunnedAt = next.Revision
+		next.VMs[i].ExcludedAt = next.Revision
 	}
 	return next
 }
--- a/contact/settle.go
+++ b/contact/settle.go
@@ -28,21 +28,21 @@
 // one from which a process that restarts learns its state. The two would vouch
 // for each other. If the processes that acknowledged are still the same, there
 // was none, and from now on the shunned VM, which may not serve, misleads nobody.
-func (k *Keeper) settle(ctx context.Context, r Roster) {
+func (k *Reconciler) settle(ctx context.Context, r Roster) {
 	for _, vm := range r.VMs {
 		s := k.settles[vm.Name]
 		switch {
-		case !vm.Shunned():
-		case s.shunnedAt != vm.ShunnedAt:
+		case !vm.Excluded():
+		case s.shunnedAt != vm.ExcludedAt:
 			k.beginSettle(ctx, r, vm)
-		case !s.over && k.looked.Sub(s.since) >= SettleTime:
+		case !s.over && k.looked.Sub(s.since) >= RemovalDelay:
 			k.endSettle(ctx, r, vm)
 		}
 	}
 }
 
 // beginSettle has the others acknowledge that vm is shunned.
-func (k *Keeper) beginSettle(ctx context.Context, r Roster, vm VM) {
+func (k *Reconciler) beginSettle(ctx context.Context, r Roster, vm VM) {
 	instances := map[string]uint64{}
 	var mu sync.Mutex
 	shun := func(ctx context.Context, other VM) (Ack, error) {
@@ -53,20 +53,20 @@
 		return ack, err
 	}
 	enough := func(a Ack) bool { return a.Roster >= r.Revision }
-	if err := Stable(ctx, r.Others(vm.Name), shun, shun, enough); err != nil {
+	if err := ConfirmStable(ctx, r.Except(vm.Name), shun, shun, enough); err != nil {
 		klog.Infof("contact: shunning of %s waits: %v", vm.Name, err)
 		return
 	}
 	// Counted from after the last answer, on the monotonic clock.
-	k.settles[vm.Name] = settle{shunnedAt: vm.ShunnedAt, since: clock.Now(), instances: instances}
+	k.settles[vm.Name] = settle{shunnedAt: vm.ExcludedAt, since: clock.Now(), instances: instances}
 }
 
 // endSettle looks whether those who acknowledged it still run. If one has
 // restarted, the shunning settles anew; one that does not answer is asked again.
-func (k *Keeper) endSettle(ctx context.Context, r Roster, vm VM) {
+func (k *Reconciler) endSettle(ctx context.Context, r Roster, vm VM) {
 	s := k.settles[vm.Name]
-	acks := Collect(ctx, r.Others(vm.Name), k.peers.Probe)
-	for _, other := range r.Others(vm.Name) {
+	acks := Collect(ctx, r.Except(vm.Name), k.peers.Probe)
+	for _, other := range r.Except(vm.Name) {
 		before, acknowledged := s.instances[other.Name]
 		if !acknowledged {
 			continue // it has joined since
@@ -87,11 +87,11 @@
 }
 
 // settled names the VMs whose shunning has settled.
-func (k *Keeper) settled(r Roster) map[string]bool {
+func (k *Reconciler) settled(r Roster) map[string]bool {
 	done := map[string]bool{}
 	for _, vm := range r.VMs {
 		s := k.settles[vm.Name]
-		if vm.Shunned() && s.shunnedAt == vm.ShunnedAt && s.over {
+		if vm.Excluded() && s.shunnedAt == vm.ExcludedAt && s.over {
 			done[vm.Name] = true
 		}
 	}
@@ -99,10 +99,10 @@
 }
 
 // shun makes sure that the VM holds the roster. Most have it from their peers.
-func (k *Keeper) shun(ctx context.Context, vm VM, r Roster) (Ack, error) {
+func (k *Reconciler) shun(ctx context.Context, vm VM, r Roster) (Ack, error) {
 	ack, err := k.peers.Probe(ctx, vm)
 	if err != nil || ack.Roster >= r.Revision {
 		return ack, err
 	}
-	return k.peers.Shun(ctx, vm, r)
+	return k.peers.PushRoster(ctx, vm, r)
 }
--- a/contact/stable.go
+++ b/contact/stable.go
@@ -11,12 +11,12 @@
 // askWorkers bounds how many VMs are asked at the same time.
 const askWorkers = 16
 
-// Ask asks one VM and returns what it then holds.
-type Ask func(ctx context.Context, vm VM) (Ack, error)
+// Query asks one VM and returns what it then holds.
+type Query func(ctx context.Context, vm VM) (Ack, error)
 
 // Collect asks the VMs side by side and returns the answers by name. A VM that
 // fails to answer is missing from them.
-func Collect(ctx context.Context, vms []VM, ask Ask) map[string]Ack {
+func Collect(ctx context.Context, vms []VM, ask Query) map[string]Ack {
 	var mu sync.Mutex
 	acks := make(map[string]Ack, len(vms))
 	var g errgroup.Group
@@ -37,16 +37,16 @@
 	return acks
 }
 
-// Stable asks every VM in two rounds, by first and then by second, and succeeds only if each answer of both
+// ConfirmStable asks every VM in two rounds, by first and then by second, and succeeds only if each answer of both
 // is enough and no VM's process changed between them. The error is
 // *UnstableError.
 //
 // Why two: a process that restarts learns its state from a peer. One that
 // starts after the first round learns from a peer that already holds enough.
 // One that started earlier is met by the second round, under a new instance.
-// So when Stable succeeds, every process that is or comes to be on these VMs
+// So when ConfirmStable succeeds, every process that is or comes to be on these VMs
 // holds enough, even if it never reaches the table.
-func Stable(ctx context.Context, vms []VM, first, second Ask, enough func(Ack) bool) error {
+func ConfirmStable(ctx context.Context, vms []VM, first, second Query, enough func(Ack) bool) error {
 	before, err := round(ctx, vms, first, enough)
 	if err != nil {
 		return err
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// Round asks every VM once and succeeds if each answer is enough. That says
+// ConfirmOnce asks every VM once and succeeds if each answer is enough. That says
 // nothing about processes that start later. The error is *UnstableError.
-func Round(ctx context.Context, vms []VM, ask Ask, enough func(Ack) bool) error {
+func ConfirmOnce(ctx context.Context, vms []VM, ask Query, enough func(Ack) bool) error {
 	_, err := round(ctx, vms, ask, enough)
 	return err
 }
 
-func round(ctx context.Context, vms []VM, ask Ask, enough func(Ack) bool) (map[string]Ack, error) {
+func round(ctx context.Context, vms []VM, ask Query, enough func(Ack) bool) (map[string]Ack, error) {
 	acks := Collect(ctx, vms, ask)
 	missing := lacking(vms, acks, func(_ string, ack Ack) bool { return enough(ack) })
 	if len(missing) > 0 {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -59,7 +59,7 @@
 	start time.Time
 
 	members   *membership.Watcher
-	departed  *order.Departed
+	departed  *order.MembershipRemovals
 	store     *rollout.Store
 	trees     *trees
 	transport http.RoundTripper
@@ -95,7 +95,7 @@
 	}
 	c.self = lease.Identity{VM: p.VM, Process: rand.Text(), Address: c.advertise()}
 	c.members = membership.NewWatcher(platform.Members, membership.WatcherConfig{})
-	c.departed = &order.Departed{Watcher: c.members}
+	c.departed = &order.MembershipRemovals{Watcher: c.members}
 	c.store = rollout.NewStore(platform.Rows, platform.Objects)
 	c.transport = n.Over(peer.NewTransport())
 	c.peers = peer.NewControllerClient(c.transport)
--- a/controller/duties.go
+++ b/controller/duties.go
@@ -108,7 +108,7 @@
 // leadZone keeps the zone's roster and confirms configurations, for one tenure.
 func (c *Controller) leadZone(ctx context.Context, _ *lease.Holder, l *lease.Lease) {
 	klog.Infof("controller: keeps zone %s", c.process.Zone)
-	keeper := contact.NewKeeper(c.process.Zone, c.platform.Rows, c.peers, c.platform.Members, l, writeID)
+	keeper := contact.NewReconciler(c.process.Zone, c.platform.Rows, c.peers, c.platform.Members, l, writeID)
 	confirmer := rollout.NewConfirmer(c.process.Zone, c.platform.Rows, c.store, c.peers, l, keeper.Suspect, writeID)
 	pruner := rollout.NewPruner(c.process.Zone, c.store, l)
 	var wg sync.WaitGroup
--- a/controller/loads.go
+++ b/controller/loads.go
@@ -76,7 +76,7 @@
 func (l *loadPlanner) runningNow() []loads.Running {
 	failed := map[string]bool{}
 	for _, st := range l.p.executor.Status() {
-		failed[st.Engine] = st.Change == nil && !st.Resolving && st.Last == order.Failed
+		failed[st.Engine] = st.Change == nil && !st.Resolving && st.LastOutcome == order.Failed
 	}
 	list := make([]loads.Running, 0, len(l.running))
 	for _, r := range l.running {
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -61,14 +61,14 @@
 	klog.Infof("controller: acts for pool %s in zone %s", l.Pool(), l.Zone())
 	w := withhold.NewController(l.Zone(), c.platform.Rows, c.peers, c.targets, l, writeID)
 	executor := order.NewExecutor(order.Config{
-		Journal:      c.journal,
-		Gate:         c.gate,
-		Targets:      c.targets,
-		Withholder:   withholder{w},
-		Confirmer:    confirmer{c},
-		Departures:   c.departed,
-		EngineGone:   c.members.Removed,
-		OnStaleFence: holder.RaiseFloor,
+		Journal:       c.journal,
+		Gate:          c.gate,
+		Targets:       c.targets,
+		Withholder:    withholder{w},
+		Confirmer:     confirmer{c},
+		Removals:      c.departed,
+		EngineRemoved: c.members.Removed,
+		OnStaleFence:  holder.RaiseFloor,
 	}, 0)
 	p := &poolPlanner{
 		c: c, pool: l.Pool(), lease: l, executor: executor, withhold: w,
--- a/controller/status.go
+++ b/controller/status.go
@@ -170,7 +170,7 @@
 		return out
 	}
 	out.Config = resp.Config
-	out.Serving = resp.Standing == string(contact.InForce)
+	out.Serving = resp.Standing == string(contact.Active)
 	if !out.Serving {
 		out.Reason = resp.Standing
 	}
--- a/controller/takeover_test.go
+++ b/controller/takeover_test.go
@@ -111,7 +111,7 @@
 		}
 		z.list.Remove("engine-2")
 		z.await("the order is closed", func() bool { return !z.journal("engine-2").IsOpen() })
-		if got := z.journal("engine-2").Outcome; got != order.EngineGone {
+		if got := z.journal("engine-2").Outcome; got != order.EngineRemoved {
 			t.Errorf("closed as %q", got)
 		}
 	})
--- a/controller/trees.go
+++ b/controller/trees.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	return t.applier.OfferUpdate(u)
+	return t.applier.ApplyUpdate(u)
 }
 
 func (t *trees) fromTable(ctx context.Context) error {
@@ -92,5 +92,5 @@
 	if err != nil {
 		return err
 	}
-	return t.applier.Offer(doc)
+	return t.applier.Apply(doc)
 }
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -17,7 +17,7 @@
 	await(t, "every VM follows the lapse rule", func() bool {
 		vms := s.roster(zone).VMs
 		for _, v := range vms {
-			if !v.Lapse {
+			if !v.HasTimeout {
 				return false
 			}
 		}
--- a/e2e/zone_test.go
+++ b/e2e/zone_test.go
@@ -40,7 +40,7 @@
 	for _, l := range links {
 		l.setCut(true)
 	}
-	time.Sleep(contact.SettleTime)
+	time.Sleep(contact.RemovalDelay)
 	near.awaitMore(10)
 	far.awaitMore(10)
 	out, code := s.ctlAt(a, "config", "set", "pool language", "max-away", "5", "--author", "e2e", "--wait", "2s")
--- a/entry/change_test.go
+++ b/entry/change_test.go
@@ -52,7 +52,7 @@
 				if s.entry.upstreams.waiting() == 0 || s.entry.gate.Streams("engine-0") == 0 {
 					t.Fatal("nothing waits, or engine-0 has no stream, so the test shows nothing")
 				}
-				if err := s.entry.applier.Offer(rollout.NewDocument(2, []byte(next))); err != nil {
+				if err := s.entry.applier.Apply(rollout.NewDocument(2, []byte(next))); err != nil {
 					t.Fatal(err)
 				}
 				for range waitingLetters {
--- a/entry/missed_test.go
+++ b/entry/missed_test.go
@@ -78,7 +78,7 @@
 		entries = append(entries, e)
 	}
 	for _, e := range entries {
-		e.member.Joined(roster, time.Now())
+		e.member.RecordJoin(roster, time.Now())
 		loops.Go(func() { e.exchanger.Run(ctx) })
 		loops.Go(func() { e.reports.share(ctx) })
 	}
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -54,7 +54,7 @@
 		s := newSite(t, inMemory())
 		defer s.shutDown()
 		s.joinByHand("vm2", "vm3")
-		time.Sleep(2 * contact.Lapse)
+		time.Sleep(2 * contact.Timeout)
 		hop := map[string]string{wire.HeaderHop: "b", wire.HeaderAttempt: "hop.1"}
 		requests := map[string]request{
 			"call":        {method: http.MethodPost, path: "/s/slots/confirm"},
@@ -77,14 +77,14 @@
 		}
 		check("in contact", http.StatusOK, "")
 		s.rows.SetDown(true)
-		time.Sleep(contact.Lapse + time.Second)
+		time.Sleep(contact.Timeout + time.Second)
 		ran := len(s.services.Runs())
 		check("cut off", http.StatusServiceUnavailable, failure.ConfigUnconfirmed)
 		if got := len(s.services.Runs()); got != ran {
 			t.Errorf("%d calls ran, %d before", got, ran)
 		}
 		s.rows.SetDown(false)
-		time.Sleep(contact.Lapse)
+		time.Sleep(contact.Timeout)
 		check("back", http.StatusOK, "")
 	})
 }
@@ -101,9 +101,9 @@
 		s.tb.Fatal(err)
 	}
 	roster.Revision++
-	roster.RuledSince = roster.Revision
+	roster.TimeoutSince = roster.Revision
 	for i, name := range names {
-		roster.VMs = append(roster.VMs, contact.VM{Name: name, Address: s.opts.listenAt(200+i, 7100), Lapse: true})
+		roster.VMs = append(roster.VMs, contact.VM{Name: name, Address: s.opts.listenAt(200+i, 7100), HasTimeout: true})
 	}
 	_, err = s.rows.Commit(s.tb.Context(), table.Txn{
 		Checks: []table.Check{{Key: rows[0].Key, Version: rows[0].Version}},
--- a/entry/reports_test.go
+++ b/entry/reports_test.go
@@ -29,7 +29,7 @@
 	store.SetSpecs(specs)
 	member := contact.NewMember("a", "vm1", func(contact.Roster) {})
 	roster = roster.Join("a", "vm2", "10.0.0.2:7100")
-	member.Adopt(roster)
+	member.ApplyRoster(roster)
 	d := &common{start: time.Now(), store: store, member: member, leave: leaving.NewSet()}
 	d.announce = func(context.Context, string, string) {}
 	r = newReports(d, newUpstreams(d, nil, nil), share.NewBook("vm1"))
--- a/entry/upkeep_test.go
+++ b/entry/upkeep_test.go
@@ -36,7 +36,7 @@
 	for i := range engines {
 		fmt.Fprintf(&tree, "[endpoint \"engine-%d\"]\nzone = a\npool = language\naddress = 10.0.%d.%d:9000\n", i, i/250, 1+i%250)
 	}
-	if err := e.applier.Offer(rollout.NewDocument(1, []byte(tree.String()))); err != nil {
+	if err := e.applier.Apply(rollout.NewDocument(1, []byte(tree.String()))); err != nil {
 		tb.Fatal(err)
 	}
 	for i := range engines {
--- a/entry/upstreams_test.go
+++ b/entry/upstreams_test.go
@@ -21,7 +21,7 @@
 // setLine puts another version in force whose pool has one more line.
 func (e *Entry) setLine(tb testing.TB, version rollout.Version, line string) {
 	text := strings.Replace(string(e.applier.Current().Text), "models = chat\n", "models = chat\n"+line+"\n", 1)
-	if err := e.applier.Offer(rollout.NewDocument(version, []byte(text))); err != nil {
+	if err := e.applier.Apply(rollout.NewDocument(version, []byte(text))); err != nil {
 		tb.Fatal(err)
 	}
 }
@@ -64,7 +64,7 @@
 		{"the healthy one goes", func() {
 			text := string(e.applier.Current().Text)
 			from := strings.Index(text, "[endpoint \"engine-2\"]")
-			if err := e.applier.Offer(rollout.NewDocument(4, []byte(text[:from]))); err != nil {
+			if err := e.applier.Apply(rollout.NewDocument(4, []byte(text[:from]))); err != nil {
 				t.Fatal(err)
 			}
 		}, []health.Phase{health.Healthy, health.Ejected}},
--- a/entry/viewserver.go
+++ b/entry/viewserver.go
@@ -44,7 +44,7 @@
 		Vm:       s.e.process.VM,
 		Zone:     s.e.process.Zone,
 		Config:   uint64(s.e.applier.Current().Version),
-		Standing: string(s.e.member.Standing()),
+		Standing: string(s.e.member.Status()),
 	}
 	if req.Brief {
 		return resp, nil
--- a/order/account.go
+++ b/order/account.go
@@ -25,7 +25,7 @@
 // looks at its state a settling time apart, so that an engine that was frozen
 // with a copy in its receive buffer has had that time to read it.
 func (s *Sender) account(ctx context.Context, target Target, entry Entry, refusesOlder bool) error {
-	var others []Copies
+	var others []SenderRecord
 	if !refusesOlder && !s.faults.broken(guardConfirm) {
 		others = s.others(entry)
 	}
@@ -74,8 +74,8 @@
 }
 
 // others returns the other processes whose copies may still arrive.
-func (s *Sender) others(entry Entry) []Copies {
-	var others []Copies
+func (s *Sender) others(entry Entry) []SenderRecord {
+	var others []SenderRecord
 	for _, c := range entry.Senders {
 		if c.Process != s.lease.Holder().Process && !c.Dropped {
 			others = append(others, c)
@@ -86,10 +86,10 @@
 
 // confirm waits until c's process has nothing of the order in flight and never
 // sends it again. There is no time after which it gives up waiting.
-func (s *Sender) confirm(ctx context.Context, entry Entry, c Copies) error {
+func (s *Sender) confirm(ctx context.Context, entry Entry, c SenderRecord) error {
 	var goneSince time.Time
 	for tries := 0; ; tries++ {
-		if s.cfg.Departures.Gone(c.VM) && goneSince.IsZero() {
+		if s.cfg.Removals.Removed(c.VM) && goneSince.IsZero() {
 			goneSince = clock.Now()
 		}
 		if !goneSince.IsZero() && clock.Since(goneSince) >= s.timing.Window {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (s *Sender) askDropped(ctx context.Context, entry Entry, c Copies) bool {
+func (s *Sender) askDropped(ctx context.Context, entry Entry, c SenderRecord) bool {
 	call, cancel := context.WithTimeout(ctx, s.timing.Call)
 	defer cancel()
 	answer, err := s.cfg.Confirmer.ConfirmDropped(call, c.Address, &controllerpb.ConfirmDroppedRequest{
--- a/order/confirm.go
+++ b/order/confirm.go
@@ -16,11 +16,11 @@
 	ConfirmDropped(ctx context.Context, address string, req *controllerpb.ConfirmDroppedRequest) (*controllerpb.ConfirmDroppedResponse, error)
 }
 
-// Departures tells which VMs have left for good.
-type Departures interface {
-	// Gone tells whether the VM was on the membership list and has been dropped
+// Removals tells which VMs have left for good.
+type Removals interface {
+	// Removed tells whether the VM was on the membership list and has been dropped
 	// from it. A VM that was never seen on the list is not gone.
-	Gone(vm string) bool
+	Removed(vm string) bool
 }
 
 // Responder answers ConfirmDropped for this process, and for one that ran on
--- a/order/departed.go
+++ b/order/departed.go
@@ -16,13 +16,13 @@
 // maxAbsent bounds the VMs that are remembered as missing.
 const maxAbsent = 1024
 
-// Departed tells which VMs have left for good, from the membership list. A
+// MembershipRemovals tells which VMs have left for good, from the membership list. A
 // process that started after a VM had left never sees it listed; it takes the
 // VM for gone once it has been missing for Absence. This is sound because a VM
 // contends for a lease only once it sees itself listed (Listed), so a name that
 // stands among an order's senders was on the list before. It is not for the VMs
-// of engines (Config.EngineGone).
-type Departed struct {
+// of engines (Config.EngineRemoved).
+type MembershipRemovals struct {
 	Watcher *membership.Watcher
 	// Absence is DefaultAbsence if zero.
 	Absence time.Duration
@@ -32,16 +32,16 @@
 	missing map[string]time.Time
 }
 
-var _ Departures = (*Departed)(nil)
+var _ Removals = (*MembershipRemovals)(nil)
 
 // Listed tells whether the VM is on the list as last read. It is meant for
 // lease.Config.Eligible.
-func (d *Departed) Listed(vm string) bool {
+func (d *MembershipRemovals) Listed(vm string) bool {
 	return listed(d.Watcher.Snapshot(), vm)
 }
 
-// Gone implements Departures.
-func (d *Departed) Gone(vm string) bool {
+// Removed implements Removals.
+func (d *MembershipRemovals) Removed(vm string) bool {
 	snapshot := d.Watcher.Snapshot()
 	if d.Watcher.Removed(vm) {
 		return true
@@ -67,7 +67,7 @@
 
 // note notes that vm is missing, with d.mu held. Forgetting one only makes the
 // wait longer.
-func (d *Departed) note(vm string, at time.Time) {
+func (d *MembershipRemovals) note(vm string, at time.Time) {
 	if d.missing == nil || len(d.missing) >= maxAbsent {
 		d.missing = make(map[string]time.Time)
 	}
--- a/order/entry.go
+++ b/order/entry.go
@@ -26,12 +26,12 @@
 	SupersededByCrash Outcome = "superseded-by-crash"
 	// NotRun is an order that never reached the engine and no longer can.
 	NotRun Outcome = "not-run"
-	// EngineGone is an order whose engine's VM is gone for good.
-	EngineGone Outcome = "engine-gone"
+	// EngineRemoved is an order whose engine's VM is gone for good.
+	EngineRemoved Outcome = "engine-gone"
 )
 
-// Copies is a process that may have sent copies of an order.
-type Copies struct {
+// SenderRecord is a process that may have sent copies of an order.
+type SenderRecord struct {
 	lease.Identity
 	// Fence is the highest fencing number that the process sent it under.
 	Fence uint64 `json:"fence"`
@@ -52,7 +52,7 @@
 	// Order is the order as first journaled.
 	Order engine.Order `json:"order"`
 	// Senders are all processes that may have sent a copy of it.
-	Senders []Copies `json:"senders"`
+	Senders []SenderRecord `json:"senders"`
 	// Outcome is empty while the order is open.
 	Outcome Outcome `json:"outcome,omitempty"`
 	// Withheld is set in a closed row while entry VMs may still withhold the engine.
@@ -67,10 +67,10 @@
 
 // sentBy returns the entry with id among its senders, at fence.
 func (e Entry) sentBy(id lease.Identity, fence uint64) Entry {
-	e.Senders = slices.DeleteFunc(slices.Clone(e.Senders), func(c Copies) bool {
+	e.Senders = slices.DeleteFunc(slices.Clone(e.Senders), func(c SenderRecord) bool {
 		return c.Process == id.Process
 	})
-	e.Senders = append(e.Senders, Copies{Identity: id, Fence: fence})
+	e.Senders = append(e.Senders, SenderRecord{Identity: id, Fence: fence})
 	return e
 }
 
--- a/order/executor.go
+++ b/order/executor.go
@@ -43,9 +43,9 @@
 	Change *Change
 	// Resolving is set while an open order of the journal comes first.
 	Resolving bool
-	// Last is how the last change ended; empty while it hasn't, and for one that
+	// LastOutcome is how the last change ended; empty while it hasn't, and for one that
 	// was never journaled.
-	Last Outcome
+	LastOutcome Outcome
 	// Err is why the last step failed, or nil.
 	Err error
 }
@@ -117,7 +117,7 @@
 	defer x.mu.Unlock()
 	all := make([]EngineStatus, 0, len(x.slots))
 	for name, s := range x.slots {
-		all = append(all, EngineStatus{Engine: name, Change: s.change, Resolving: s.resolve, Last: s.last, Err: s.err})
+		all = append(all, EngineStatus{Engine: name, Change: s.change, Resolving: s.resolve, LastOutcome: s.last, Err: s.err})
 	}
 	slices.SortFunc(all, func(a, b EngineStatus) int { return strings.Compare(a.Engine, b.Engine) })
 	return all
--- a/order/fakeorder/fakeorder.go
+++ b/order/fakeorder/fakeorder.go
@@ -135,8 +135,8 @@
 	n.silent[address] = false
 }
 
-// SetSilent makes the process at an address answer nothing, or ends that.
-func (n *Network) SetSilent(address string, on bool) {
+// SetUnresponsive makes the process at an address answer nothing, or ends that.
+func (n *Network) SetUnresponsive(address string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent[address] = on
@@ -166,14 +166,14 @@
 // Reason implements failure.Coded.
 func (e *UnboundError) Reason() failure.Reason { return failure.PeerUnreachable }
 
-// Departures is the fake of order.Departures. It is safe for concurrent use.
-type Departures struct {
+// Removals is the fake of order.Removals. It is safe for concurrent use.
+type Removals struct {
 	mu   sync.Mutex
 	gone map[string]bool
 }
 
-// Leave makes a VM gone for good.
-func (d *Departures) Leave(vm string) {
+// Remove makes a VM gone for good.
+func (d *Removals) Remove(vm string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.gone == nil {
@@ -182,8 +182,8 @@
 	d.gone[vm] = true
 }
 
-// Gone implements order.Departures.
-func (d *Departures) Gone(vm string) bool {
+// Removed implements order.Removals.
+func (d *Removals) Removed(vm string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gone[vm]
--- a/order/fakeorder/line.go
+++ b/order/fakeorder/line.go
@@ -12,9 +12,9 @@
 // streamTime bounds one stream of Withholder.Stream.
 const streamTime = 20 * time.Second
 
-// Line is one controller process's way to the entry VM and to other controllers.
+// Client is one controller process's way to the entry VM and to other controllers.
 // It implements order.Withholder and order.Confirmer.
-type Line struct {
+type Client struct {
 	Process    *fakeprocess.Process
 	Withholder *Withholder
 	Network    *Network
@@ -23,7 +23,7 @@
 }
 
 // ConfirmDropped implements order.Confirmer.
-func (l *Line) ConfirmDropped(ctx context.Context, address string, req *controllerpb.ConfirmDroppedRequest) (*controllerpb.ConfirmDroppedResponse, error) {
+func (l *Client) ConfirmDropped(ctx context.Context, address string, req *controllerpb.ConfirmDroppedRequest) (*controllerpb.ConfirmDroppedResponse, error) {
 	if err := l.Process.Wait(); err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 }
 
 // Withhold implements order.Withholder.
-func (l *Line) Withhold(ctx context.Context, name string, epoch uint64) error {
+func (l *Client) Withhold(ctx context.Context, name string, epoch uint64) error {
 	if err := l.Process.Wait(); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 }
 
 // Restore implements order.Withholder.
-func (l *Line) Restore(ctx context.Context, name string, epoch uint64) error {
+func (l *Client) Restore(ctx context.Context, name string, epoch uint64) error {
 	if err := l.Process.Wait(); err != nil {
 		return err
 	}
--- a/order/journal.go
+++ b/order/journal.go
@@ -82,7 +82,7 @@
 	if e.Pool != l.Pool() || e.Zone != l.Zone() {
 		return Entry{}, &OpenError{Engine: e.Engine, OrderID: e.Order.ID, Pool: e.Pool, Zone: e.Zone}
 	}
-	if slices.Contains(e.Senders, Copies{Identity: l.Holder(), Fence: l.Fence()}) {
+	if slices.Contains(e.Senders, SenderRecord{Identity: l.Holder(), Fence: l.Fence()}) {
 		return e, nil
 	}
 	return j.put(ctx, l, e.sentBy(l.Holder(), l.Fence()))
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -155,7 +155,7 @@
 		w.start(failed.Load().self.VM, "restarted")
 	}
 	if how == "vanished" {
-		time.AfterFunc(30*time.Second, func() { w.Leave(failed.Load().self.VM) })
+		time.AfterFunc(30*time.Second, func() { w.Remove(failed.Load().self.VM) })
 	}
 	if at == beforeOpen {
 		// Nothing stands in the journal: the planner has to ask again.
@@ -246,8 +246,8 @@
 				w.engines[name].Crash()
 				w.until("a change that can't be", time.Minute, func() bool { return w.submit(name, engine.Decode) })
 				time.Sleep(time.Minute)
-				if got := p.executor.Status()[0]; got.Last != "" || got.Err != nil {
-					t.Errorf("a change that was never journaled ended %q, %v", got.Last, got.Err)
+				if got := p.executor.Status()[0]; got.LastOutcome != "" || got.Err != nil {
+					t.Errorf("a change that was never journaled ended %q, %v", got.LastOutcome, got.Err)
 				}
 				w.engines[name].Restart()
 				w.until("a new change", time.Minute, func() bool { return w.submit(name, engine.Decode) })
@@ -255,8 +255,8 @@
 				w.until("another change", time.Minute, func() bool { return w.submit(name, engine.Prefill) })
 				time.Sleep(time.Second)
 				w.engines[name].Crash()
-				w.Leave("vm-" + name)
-				w.until("closed as gone", time.Minute, func() bool { return w.entryOf(name).Outcome == EngineGone })
+				w.Remove("vm-" + name)
+				w.until("closed as gone", time.Minute, func() bool { return w.entryOf(name).Outcome == EngineRemoved })
 				w.check()
 			})
 		})
@@ -363,11 +363,11 @@
 		list := fakelist.New()
 		list.Put(membership.VM{Name: "here", Kind: membership.Entry})
 		watcher := membership.NewWatcher(list, membership.WatcherConfig{})
-		d := &Departed{Watcher: watcher}
+		d := &MembershipRemovals{Watcher: watcher}
 		var got [][]bool
 		look := func() {
 			_ = watcher.Poll(t.Context())
-			got = append(got, []bool{d.Listed("here"), d.Gone("here"), d.Gone("never-seen")})
+			got = append(got, []bool{d.Listed("here"), d.Removed("here"), d.Removed("never-seen")})
 			time.Sleep(DefaultAbsence / 2)
 		}
 		look()
--- a/order/random_test.go
+++ b/order/random_test.go
@@ -145,7 +145,7 @@
 		r.restart(i)
 	case doVanish:
 		r.now[i].kill()
-		r.w.Leave(r.vms[i])
+		r.w.Remove(r.vms[i])
 		r.ids++
 		r.vms[i] = fmt.Sprintf("vm%d", 10+r.ids)
 		r.restart(i)
--- a/order/sender.go
+++ b/order/sender.go
@@ -12,7 +12,7 @@
 	"github.com/springweir/springweir/lease"
 )
 
-// Config holds what a Sender works with. All fields but Timing, EngineGone and
+// Config holds what a Sender works with. All fields but Timing, EngineRemoved and
 // OnStaleFence are needed.
 type Config struct {
 	Journal    *Journal
@@ -20,13 +20,13 @@
 	Targets    Targets
 	Withholder Withholder
 	Confirmer  Confirmer
-	Departures Departures
+	Removals   Removals
 	Timing     Timing
-	// EngineGone tells whether an engine's VM was on the membership list and has
-	// been dropped (membership.Watcher.Gone). Nil means never. It is apart from
-	// Departures, since Departed takes VMs that it never saw for gone, which is
+	// EngineRemoved tells whether an engine's VM was on the membership list and has
+	// been dropped (membership.Watcher.Removed). Nil means never. It is apart from
+	// Removals, since MembershipRemovals takes VMs that it never saw for gone, which is
 	// sound for VMs that held a lease and for no others.
-	EngineGone func(vm string) bool
+	EngineRemoved func(vm string) bool
 	// OnStaleFence hears the highest fence of an engine that refused this
 	// tenure's; lease.Holder.RaiseFloor is meant for it.
 	OnStaleFence func(highest uint64)
@@ -126,8 +126,8 @@
 // outcome is known, and closes it. On an error the order stays open.
 func (s *Sender) complete(ctx context.Context, entry Entry) (Outcome, error) {
 	epoch := s.epochs.Add(1)
-	if s.cfg.EngineGone != nil && entry.VM != "" && s.cfg.EngineGone(entry.VM) {
-		return EngineGone, s.finish(ctx, entry, EngineGone, epoch)
+	if s.cfg.EngineRemoved != nil && entry.VM != "" && s.cfg.EngineRemoved(entry.VM) {
+		return EngineRemoved, s.finish(ctx, entry, EngineRemoved, epoch)
 	}
 	target, ok := s.cfg.Targets.Target(entry.Engine)
 	if !ok {
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -26,7 +26,7 @@
 	fencing map[string]Fencing
 	entry   *fakeorder.Withholder
 	network *fakeorder.Network
-	fakeorder.Departures
+	fakeorder.Removals
 	off   guard
 	pause func(p *process, at place)
 	// restoreFails tells whether a restore does not reach the entry VM.
@@ -113,18 +113,18 @@
 		done: make(chan struct{}),
 	}
 	p.answers = NewResponder(p.gate, p.self, Timing{})
-	line := &fakeorder.Line{Process: &p.Process, Withholder: w.entry, Network: w.network, RestoreFails: w.restoreFails}
+	line := &fakeorder.Client{Process: &p.Process, Withholder: w.entry, Network: w.network, RestoreFails: w.restoreFails}
 	svc := p.Table(w.table)
 	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Identity: p.self})
 	p.executor = NewExecutor(Config{
-		Journal:      NewJournal(svc),
-		Gate:         p.gate,
-		Targets:      p,
-		Withholder:   line,
-		Confirmer:    line,
-		Departures:   w,
-		EngineGone:   w.Gone,
-		OnStaleFence: holder.RaiseFloor,
+		Journal:       NewJournal(svc),
+		Gate:          p.gate,
+		Targets:       p,
+		Withholder:    line,
+		Confirmer:     line,
+		Removals:      w,
+		EngineRemoved: w.Removed,
+		OnStaleFence:  holder.RaiseFloor,
 	}, 4)
 	p.executor.faults = faults{off: w.off, pause: func(at place) {
 		if w.pause != nil {
@@ -145,11 +145,11 @@
 
 func (p *process) freeze() {
 	p.Pause()
-	p.w.network.SetSilent(p.self.Address, p.Paused())
+	p.w.network.SetUnresponsive(p.self.Address, p.Paused())
 }
 
 func (p *process) wake() {
-	p.w.network.SetSilent(p.self.Address, false)
+	p.w.network.SetUnresponsive(p.self.Address, false)
 	p.Wake()
 }
 
--- a/peer/client.go
+++ b/peer/client.go
@@ -134,7 +134,7 @@
 }
 
 // Shun implements contact.Peers.
-func (c *Client) Shun(ctx context.Context, vm contact.VM, r contact.Roster) (contact.Ack, error) {
+func (c *Client) PushRoster(ctx context.Context, vm contact.VM, r contact.Roster) (contact.Ack, error) {
 	a, err := call(ctx, vm, callTimeout, c.stub(vm.Address).Shun, &entrypb.ShunRequest{Roster: r.Encode()})
 	return ackFrom(a), err
 }
@@ -161,17 +161,17 @@
 
 // Exchange implements rollout.Peers. It also takes in the load reports that
 // the peer holds and this entry lacks.
-func (c *Client) Exchange(ctx context.Context, vm contact.VM) (rollout.Exchanged, error) {
+func (c *Client) Exchange(ctx context.Context, vm contact.VM) (rollout.ExchangeResponse, error) {
 	mine := c.member.Roster()
 	req := &entrypb.ExchangeRequest{From: c.member.Name(), Holds: c.ack(), Seen: c.book.Seen(mine)}
 	req.Holds.Roster = mine.Revision // Seen goes by it
 	resp, err := call(ctx, vm, askTimeout, c.stub(vm.Address).Exchange, req)
 	if err != nil {
-		return rollout.Exchanged{}, err
+		return rollout.ExchangeResponse{}, err
 	}
 	roster, err := contact.Decode(resp.Roster)
 	if err != nil {
-		return rollout.Exchanged{}, err
+		return rollout.ExchangeResponse{}, err
 	}
 	labels := mine
 	if roster.Revision > mine.Revision {
@@ -180,8 +180,8 @@
 	if labels.Revision == resp.Holds.GetRoster() {
 		c.book.Merge(labels, resp.Batches)
 	}
-	return rollout.Exchanged{
-		Holds: ackFrom(resp.Holds), Vouched: resp.Vouched, Serving: resp.Serving, Roster: roster,
+	return rollout.ExchangeResponse{
+		Ack: ackFrom(resp.Holds), Confirmed: resp.Vouched, Serving: resp.Serving, Roster: roster,
 	}, nil
 }
 
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -79,7 +79,7 @@
 func (x *Exchanger) Announce(ctx context.Context, endpoint, incarnation string) {
 	ctx, cancel := context.WithTimeout(ctx, leaving.MaxStopDelay)
 	defer cancel()
-	others := x.member.Roster().Others(x.member.Name())
+	others := x.member.Roster().Except(x.member.Name())
 	contact.Collect(ctx, others, func(ctx context.Context, vm contact.VM) (contact.Ack, error) {
 		return contact.Ack{}, x.client.NoteLeaving(ctx, vm, endpoint, incarnation)
 	})
--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -91,7 +91,7 @@
 }
 
 // Shun implements contact.Peers.
-func (z *Zone) Shun(_ context.Context, vm contact.VM, r contact.Roster) (a contact.Ack, err error) {
+func (z *Zone) PushRoster(_ context.Context, vm contact.VM, r contact.Roster) (a contact.Ack, err error) {
 	err = z.call(vm.Name, func() {
 		if !z.Deaf[vm.Name] {
 			z.Holds[vm.Name] = r.Revision
@@ -129,7 +129,7 @@
 
 // Scripted is a peer that always answers the same.
 type Scripted struct {
-	Answer rollout.Exchanged
+	Answer rollout.ExchangeResponse
 	// Delay is how long an exchange takes.
 	Delay time.Duration
 	// Update is what it has in force; nil makes fetching fail.
@@ -137,7 +137,7 @@
 }
 
 // Exchange implements rollout.Peers.
-func (s Scripted) Exchange(context.Context, contact.VM) (rollout.Exchanged, error) {
+func (s Scripted) Exchange(context.Context, contact.VM) (rollout.ExchangeResponse, error) {
 	time.Sleep(s.Delay)
 	return s.Answer, nil
 }
@@ -151,6 +151,6 @@
 }
 
 // Shun implements rollout.Peers.
-func (s Scripted) Shun(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
+func (s Scripted) PushRoster(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
 	return contact.Ack{}, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -48,7 +48,7 @@
 		parts[i] = p
 	}
 	for _, p := range parts {
-		p.member.Joined(roster, time.Now())
+		p.member.RecordJoin(roster, time.Now())
 	}
 	return roster, parts
 }
@@ -82,7 +82,7 @@
 			said.Store(true)
 			time.Sleep(leaving.MaxStopDelay)
 			for i, p := range parts {
-				p.member.Renew(time.Now())
+				p.member.RecordContact(time.Now())
 				var refused *withhold.LeavingError
 				if _, err := p.gate.TryAcquire("e"); !errors.As(err, &refused) {
 					t.Errorf("entry %d, said at %v: %v", i, at, err)
--- a/peer/server.go
+++ b/peer/server.go
@@ -75,7 +75,7 @@
 	theirs := req.GetHolds().GetRoster()
 	resp := &entrypb.ExchangeResponse{
 		Holds:   s.ack(),
-		Vouched: s.member.Vouch(req.GetFrom()),
+		Vouched: s.member.ConfirmMember(req.GetFrom()),
 		Serving: s.member.Allow() == nil,
 	}
 	// Batches go by the roster that the caller will hold.
@@ -103,7 +103,7 @@
 // ApplyConfig implements entrypb.Entry. A document that cannot be put in force
 // is no failure of the call: the answer tells what is in force.
 func (s *Server) ApplyConfig(_ context.Context, req *entrypb.ConfigUpdate) (*entrypb.Ack, error) {
-	if err := s.applier.OfferUpdate(updateFrom(req)); err != nil {
+	if err := s.applier.ApplyUpdate(updateFrom(req)); err != nil {
 		klog.Warningf("peer: configuration %d not applied: %v", req.Version, err)
 	}
 	return s.ack(), nil
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, twirp.NewError(twirp.Malformed, err.Error()).WithMeta("reason", string(failure.ReasonOf(err)))
 	}
-	s.member.Adopt(r)
+	s.member.ApplyRoster(r)
 	return s.ack(), nil
 }
 
--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -36,13 +36,13 @@
 // from zero, or -1 if it is not one of them. VMs that hold different rosters
 // agree but for the VMs in which the rosters differ.
 func Rank(r contact.Roster, vm, endpoint string) int {
-	if !r.Trusts(vm) {
+	if !r.IsActive(vm) {
 		return -1
 	}
 	mine := weight(vm, endpoint)
 	rank := 0
 	for _, other := range r.VMs {
-		if other.Name == vm || other.Shunned() {
+		if other.Name == vm || other.Excluded() {
 			continue
 		}
 		w := weight(other.Name, endpoint)
@@ -103,7 +103,7 @@
 	step := 1 << (turn % Rounds(n))
 	for k := range n {
 		next := r.VMs[(i+step+k)%n]
-		if next.Name != vm && !next.Shunned() {
+		if next.Name != vm && !next.Excluded() {
 			return next, true
 		}
 	}
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -58,7 +58,7 @@
 	old := zoneOf(8)
 	gone := old.Names()[3]
 	now := old
-	now.VMs = old.Others(gone)
+	now.VMs = old.Except(gone)
 	for _, e := range engines(100) {
 		for _, vm := range now.Names() {
 			if Polls(old, vm, e, 0) && !Polls(now, vm, e, 0) {
@@ -82,10 +82,10 @@
 
 func TestPartnerSkipsShunned(t *testing.T) {
 	r := zoneOf(5)
-	r.VMs[1].ShunnedAt = 1
+	r.VMs[1].ExcludedAt = 1
 	for turn := range 10 {
 		vm, ok := Partner(r, "vm-000", turn)
-		if !ok || vm.Name == "vm-000" || vm.Shunned() {
+		if !ok || vm.Name == "vm-000" || vm.Excluded() {
 			t.Errorf("turn %d: partner %q", turn, vm.Name)
 		}
 	}
--- a/rollout/applier.go
+++ b/rollout/applier.go
@@ -43,8 +43,8 @@
 	return a.kept[len(a.kept)-1]
 }
 
-// Offer puts doc in force unless an equal or newer version is.
-func (a *Applier) Offer(doc Document) error {
+// Apply puts doc in force unless an equal or newer version is.
+func (a *Applier) Apply(doc Document) error {
 	a.applying.Lock()
 	defer a.applying.Unlock()
 	if doc.Version <= a.Current().Version {
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// OfferUpdate puts the update's document in force unless an equal or newer
+// ApplyUpdate puts the update's document in force unless an equal or newer
 // version is. The error is *BaseMissingError when the whole text is needed.
-func (a *Applier) OfferUpdate(u Update) error {
+func (a *Applier) ApplyUpdate(u Update) error {
 	if u.Version <= a.Current().Version {
 		return nil
 	}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "read update to configuration %d", u.Version)
 	}
-	return a.Offer(doc)
+	return a.Apply(doc)
 }
 
 // UpdateFor returns the update to the version in force for one who holds have.
--- a/rollout/confirmer.go
+++ b/rollout/confirmer.go
@@ -57,7 +57,7 @@
 }
 
 // NewConfirmer returns the confirmer of a zone. suspect is told which VMs could
-// not be reached (contact.Keeper.Suspect); writeID gives a new id for each call.
+// not be reached (contact.Reconciler.Suspect); writeID gives a new id for each call.
 func NewConfirmer(zone string, rows table.Service, store *Store, peers Pusher, auth contact.Authority, suspect func([]string), writeID func() string) *Confirmer {
 	return &Confirmer{zone: zone, rows: rows, store: store, peers: peers, auth: auth, suspect: suspect, writeID: writeID}
 }
@@ -103,7 +103,7 @@
 		return c.confirm(ctx, checks, at.newest)
 	case errors.As(err, &unstable):
 		c.lacked, c.lacking = at.newest, unstable.Missing
-		c.suspect(slices.DeleteFunc(slices.Clone(unstable.Missing), func(name string) bool { return !at.roster.Trusts(name) }))
+		c.suspect(slices.DeleteFunc(slices.Clone(unstable.Missing), func(name string) bool { return !at.roster.IsActive(name) }))
 		now := ack{Version: at.done.Version, Pending: at.newest, Missing: unstable.Missing}
 		return c.report(ctx, checks, at.done, now, err)
 	default:
@@ -186,10 +186,10 @@
 		return a, err
 	}
 	enough := func(a contact.Ack) bool { return a.Config >= uint64(v) }
-	if err := contact.Round(ctx, late, apply, enough); err != nil {
+	if err := contact.ConfirmOnce(ctx, late, apply, enough); err != nil {
 		return err
 	}
-	return contact.Stable(ctx, r.VMs, apply, c.peers.Probe, enough)
+	return contact.ConfirmStable(ctx, r.VMs, apply, c.peers.Probe, enough)
 }
 
 // late returns the VMs of the roster that lacked version v when last asked.
@@ -206,7 +206,7 @@
 // shunned returns those that are shunned but do not leave by plan. A leaving VM
 // answers until it is off the roster.
 func shunned(vms []contact.VM) []contact.VM {
-	return slices.DeleteFunc(slices.Clone(vms), func(vm contact.VM) bool { return !vm.Shunned() || vm.Left })
+	return slices.DeleteFunc(slices.Clone(vms), func(vm contact.VM) bool { return !vm.Excluded() || vm.Left })
 }
 
 func names(vms []contact.VM) []string { return contact.Roster{VMs: vms}.Names() }
--- a/rollout/fakefleet/checker.go
+++ b/rollout/fakefleet/checker.go
@@ -19,8 +19,8 @@
 // NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker { return &Checker{inForce: map[string]rollout.Version{}} }
 
-// Accepted notes that somebody was told that v is accepted.
-func (c *Checker) Accepted(v rollout.Version) {
+// RecordAccepted notes that somebody was told that v is accepted.
+func (c *Checker) RecordAccepted(v rollout.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.highest = max(c.highest, v)
@@ -33,8 +33,8 @@
 	return c.highest
 }
 
-// Problems returns what was not as it must be.
-func (c *Checker) Problems() []string {
+// Violations returns what was not as it must be.
+func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.problems
--- a/rollout/fakefleet/fakefleet.go
+++ b/rollout/fakefleet/fakefleet.go
@@ -83,12 +83,12 @@
 	return f.Start(name, zone)
 }
 
-// Control runs each zone's keeper and confirmer, from a host of its own.
-func (f *Fleet) Control() {
+// StartControllers runs each zone's keeper and confirmer, from a host of its own.
+func (f *Fleet) StartControllers() {
 	for _, z := range f.Zones {
 		client := peer.NewControllerClient(f.Net.Transport(controlHost(z)))
-		keeper := contact.NewKeeper(z, f.Rows, client, f.List, fakepeer.Held{}, f.ID)
-		confirmer := rollout.NewConfirmer(z, f.Rows, f.Store, f.Pusher(client), fakepeer.Held{}, keeper.Suspect, f.ID)
+		keeper := contact.NewReconciler(z, f.Rows, client, f.List, fakepeer.Held{}, f.NewID)
+		confirmer := rollout.NewConfirmer(z, f.Rows, f.Store, f.Pusher(client), fakepeer.Held{}, keeper.Suspect, f.NewID)
 		go keeper.Run(f.ctx)
 		go confirmer.Run(f.ctx)
 	}
@@ -96,8 +96,8 @@
 
 func controlHost(zone string) string { return "control-" + zone }
 
-// ID returns a new id.
-func (f *Fleet) ID() string { return fmt.Sprint(f.ids.Add(1)) }
+// NewID returns a new id.
+func (f *Fleet) NewID() string { return fmt.Sprint(f.ids.Add(1)) }
 
 // Start starts a new process on a VM.
 func (f *Fleet) Start(name, zone string) *Node {
@@ -120,7 +120,7 @@
 	_, n.handler = server.Handler()
 	client := peer.NewClient(server, f.Net.Transport(name))
 	store := rollout.NewStore(n.Table, memobject.New())
-	n.Syncer = rollout.NewSyncer(n.Member, n.Applier, store, n.Table, client, name, f.ID)
+	n.Syncer = rollout.NewSyncer(n.Member, n.Applier, store, n.Table, client, name, f.NewID)
 	n.exchanger = peer.NewExchanger(n.Member, n.Syncer, client, seeds(name, zone))
 	f.Nodes[name] = n
 	f.Resume(name)
@@ -173,17 +173,17 @@
 // Isolate cuts a VM from the table, from all other VMs and from its zone's
 // controllers, or ends that.
 func (f *Fleet) Isolate(name string, cut bool) {
-	f.Nodes[name].Table.SetCut(cut)
+	f.Nodes[name].Table.SetPartitioned(cut)
 	for _, other := range f.Names() {
 		if other != name {
 			f.Net.Cut(name, other, cut)
 		}
 	}
-	f.CutControl(name, cut)
+	f.PartitionControllers(name, cut)
 }
 
-// CutControl cuts a VM from the controllers of all zones, or ends that.
-func (f *Fleet) CutControl(name string, cut bool) {
+// PartitionControllers cuts a VM from the controllers of all zones, or ends that.
+func (f *Fleet) PartitionControllers(name string, cut bool) {
 	for _, z := range f.Zones {
 		f.Net.Cut(name, controlHost(z), cut)
 	}
@@ -205,14 +205,14 @@
 	if err != nil {
 		return rollout.None, err
 	}
-	return f.Store.Put(f.ctx, rollout.Edit{Base: head, WriteID: f.ID(), Author: "op", Text: []byte(text)})
+	return f.Store.Put(f.ctx, rollout.Edit{Base: head, WriteID: f.NewID(), Author: "op", Text: []byte(text)})
 }
 
-// Accepted tells whether v is accepted, notes it, and checks the fleet.
-func (f *Fleet) Accepted(v rollout.Version) (bool, error) {
+// CheckAccepted tells whether v is accepted, notes it, and checks the fleet.
+func (f *Fleet) CheckAccepted(v rollout.Version) (bool, error) {
 	s, err := f.Store.Status(f.ctx, v)
 	if err == nil && s.Accepted {
-		f.Checker.Accepted(v)
+		f.Checker.RecordAccepted(v)
 	}
 	f.Check()
 	return s.Accepted, err
--- a/rollout/fakefleet/table.go
+++ b/rollout/fakefleet/table.go
@@ -14,8 +14,8 @@
 	cut atomic.Bool
 }
 
-// SetCut cuts the way, or ends that.
-func (v *TableView) SetCut(cut bool) { v.cut.Store(cut) }
+// SetPartitioned cuts the way, or ends that.
+func (v *TableView) SetPartitioned(cut bool) { v.cut.Store(cut) }
 
 func (v *TableView) err() error {
 	if !v.cut.Load() {
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -74,7 +74,7 @@
 // accepted tells whether v is accepted.
 func (f *fleet) accepted(v rollout.Version) bool {
 	f.t.Helper()
-	is, err := f.Accepted(v)
+	is, err := f.CheckAccepted(v)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 // verify fails the test if a promise was broken.
 func (f *fleet) verify() {
 	f.t.Helper()
-	problems := f.Checker.Problems()
+	problems := f.Checker.Violations()
 	for _, p := range problems[:min(3, len(problems))] {
 		f.t.Error(p)
 	}
--- a/rollout/idle_test.go
+++ b/rollout/idle_test.go
@@ -41,14 +41,14 @@
 func TestUpdateForOneWhoHoldsIt(t *testing.T) {
 	doc := rollout.NewDocument(3, []byte("text"))
 	a := rollout.NewApplier(func(rollout.Document) error { return nil })
-	if err := a.Offer(doc); err != nil {
+	if err := a.Apply(doc); err != nil {
 		t.Fatal(err)
 	}
 	u := a.UpdateFor(3)
 	if len(u.Body) != 0 || u.Version != 3 {
 		t.Errorf("got %+v, want an empty update to version 3", u)
 	}
-	if err := a.OfferUpdate(u); err != nil || a.Current().Version != 3 {
+	if err := a.ApplyUpdate(u); err != nil || a.Current().Version != 3 {
 		t.Errorf("after it: version %d, error %v", a.Current().Version, err)
 	}
 	for _, have := range []rollout.Version{rollout.None, 2} {
--- a/rollout/membership_test.go
+++ b/rollout/membership_test.go
@@ -67,7 +67,7 @@
 		f.Zones = []string{"a"}
 		f.Add("a0", "a")
 		f.await(v, target)
-		f.Control()
+		f.StartControllers()
 		time.Sleep(time.Minute)
 		f.Kill("a0")
 		f.List.Remove("a0")
@@ -88,14 +88,14 @@
 		settleDown(f)
 		time.Sleep(time.Minute)
 		f.Kill("b0")
-		f.CutControl("b0", true)
+		f.PartitionControllers("b0", true)
 		f.List.Remove("b0")
 		f.await(f.put("without b"), time.Minute)
 	})
 }
 
 // Two VMs that come and go while the membership list is out of reach hold up
-// changes until they have been silent for contact.AbsentAfter, not for ever.
+// changes until they have been silent for contact.UnlistedTimeout, not for ever.
 func TestUnlistedVMsGone(t *testing.T) {
 	run(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
@@ -106,7 +106,7 @@
 		f.watch(30 * time.Second)
 		f.Remove("x1")
 		f.Remove("x2")
-		f.watch(contact.AbsentAfter - time.Minute)
+		f.watch(contact.UnlistedTimeout - time.Minute)
 		f.List.SetDown(false)
 		v := f.put("edit")
 		f.watch(30 * time.Second)
--- a/rollout/peers.go
+++ b/rollout/peers.go
@@ -6,11 +6,11 @@
 	"github.com/springweir/springweir/contact"
 )
 
-// Exchanged is what a peer of the zone answers.
-type Exchanged struct {
-	Holds contact.Ack
-	// Vouched tells that the peer has not shunned this VM.
-	Vouched bool
+// ExchangeResponse is what a peer of the zone answers.
+type ExchangeResponse struct {
+	Ack contact.Ack
+	// Confirmed tells that the peer has not shunned this VM.
+	Confirmed bool
 	// Serving tells that the peer itself may serve new requests.
 	Serving bool
 	// Roster is the peer's roster if it is newer, or the zero roster.
@@ -21,11 +21,11 @@
 // themselves and bound its time.
 type Peers interface {
 	// Exchange asks the peer to vouch for this VM.
-	Exchange(ctx context.Context, vm contact.VM) (Exchanged, error)
+	Exchange(ctx context.Context, vm contact.VM) (ExchangeResponse, error)
 	// FetchConfig reads what the peer has in force, for one who holds have.
 	FetchConfig(ctx context.Context, vm contact.VM, have Version) (Update, error)
-	// Shun hands the peer a newer roster and returns what it then holds.
-	Shun(ctx context.Context, vm contact.VM, r contact.Roster) (contact.Ack, error)
+	// PushRoster hands the peer a newer roster and returns what it then holds.
+	PushRoster(ctx context.Context, vm contact.VM, r contact.Roster) (contact.Ack, error)
 }
 
 // Pusher puts configurations in force on VMs of the zone.
--- a/rollout/random_test.go
+++ b/rollout/random_test.go
@@ -136,12 +136,12 @@
 	case 8:
 		f.Rows.SetFault(memtable.Fault{Delay: time.Duration(rng.IntN(1500)) * time.Millisecond})
 	case 9:
-		n.Table.SetCut(rng.IntN(2) == 0)
+		n.Table.SetPartitioned(rng.IntN(2) == 0)
 	case 10:
 		f.Net.Cut(name, names[rng.IntN(len(names))], rng.IntN(2) == 0)
 	case 11: // the VM is replaced
 		f.Remove(name)
-		f.Add(n.Zone+"-"+f.ID(), n.Zone)
+		f.Add(n.Zone+"-"+f.NewID(), n.Zone)
 	}
 }
 
@@ -240,7 +240,7 @@
 			if err != nil || !s.Accepted {
 				break
 			}
-			f.Checker.Accepted(v)
+			f.Checker.RecordAccepted(v)
 			accepted++
 		}
 		f.Check()
--- a/rollout/scenario_test.go
+++ b/rollout/scenario_test.go
@@ -21,7 +21,7 @@
 // settleDown lets a new fleet join, be listed and take its first configuration.
 func settleDown(f *fleet) rollout.Version {
 	f.t.Helper()
-	f.Control()
+	f.StartControllers()
 	time.Sleep(5 * time.Second)
 	v := f.put("first")
 	f.await(v, target)
@@ -50,7 +50,7 @@
 	const vmsPerZone, maxReads = 63, 2000
 	run(t, func(t *testing.T) {
 		f := newFleet(t, vmsPerZone, "a", "b", "c", "d", "e", "f")
-		f.Control()
+		f.StartControllers()
 		time.Sleep(time.Minute)
 		v := f.put("first")
 		f.await(v, target)
@@ -87,8 +87,8 @@
 		cut := func(on bool) {
 			for _, n := range f.Nodes {
 				if n.Zone == "b" {
-					n.Table.SetCut(on)
-					f.CutControl(n.Name, on)
+					n.Table.SetPartitioned(on)
+					f.PartitionControllers(n.Name, on)
 				}
 			}
 		}
@@ -126,12 +126,12 @@
 				settleDown(f)
 				f.Isolate("a1", true)
 				v := f.put("without a1")
-				f.watch(contact.Lapse + time.Second)
+				f.watch(contact.Timeout + time.Second)
 				if f.Nodes["a1"].Member.Allow() == nil {
 					t.Error("a VM out of contact serves on")
 				}
-				f.watch(outage - contact.Lapse - time.Second)
-				if dropped := outage > 3*contact.SettleTime; dropped != f.accepted(v) {
+				f.watch(outage - contact.Timeout - time.Second)
+				if dropped := outage > 3*contact.RemovalDelay; dropped != f.accepted(v) {
 					t.Errorf("accepted = %v after %v", !dropped, outage)
 				}
 				f.Isolate("a1", false)
@@ -299,10 +299,10 @@
 	run(t, func(t *testing.T) {
 		f := newFleet(t, 4, "a")
 		settleDown(f)
-		f.CutControl("a1", true)
+		f.PartitionControllers("a1", true)
 		f.put("has the keeper find that a1 is silent")
 		for range 5000 {
-			if vm, _ := f.roster("a").Find("a1"); vm.Shunned() {
+			if vm, _ := f.roster("a").Find("a1"); vm.Excluded() {
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -377,7 +377,7 @@
 			// The controllers are refused at once, and so drop it before it lapses.
 			time.AfterFunc(29*time.Second+time.Millisecond, func() {
 				f.Net.Listen("a1", nil)
-				f.CutControl("a1", false)
+				f.PartitionControllers("a1", false)
 			})
 		}},
 	}
@@ -391,7 +391,7 @@
 				f.Isolate("a1", true)
 				f.await(f.put("next"), time.Minute)
 				f.watch(time.Second)
-				if len(f.Checker.Problems()) == 0 {
+				if len(f.Checker.Violations()) == 0 {
 					t.Error("the checker saw nothing")
 				}
 			})
--- a/rollout/syncer.go
+++ b/rollout/syncer.go
@@ -71,7 +71,7 @@
 
 // wantsTable tells that this VM's permission is about to end, or has.
 func (s *Syncer) wantsTable(now time.Time) bool {
-	return s.member.MustJoin() || now.Sub(s.member.LastContact()) > contact.Lapse-tableMargin
+	return s.member.NeedsJoin() || now.Sub(s.member.LastContact()) > contact.Timeout-tableMargin
 }
 
 // pollAfter spreads the reads of the fleet evenly: half to one and a half
@@ -107,14 +107,14 @@
 	if err != nil {
 		return err
 	}
-	s.member.Adopt(roster)
+	s.member.ApplyRoster(roster)
 	if err := s.follow(ctx, h.Version); err != nil {
 		return err
 	}
-	if s.member.MustJoin() {
+	if s.member.NeedsJoin() {
 		return s.join(ctx, h, roster, rows)
 	}
-	s.member.Renew(began)
+	s.member.RecordContact(began)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	return s.applier.Offer(doc)
+	return s.applier.Apply(doc)
 }
 
 // join puts this VM on the roster, provided that the head is still the version
@@ -152,7 +152,7 @@
 		// roster and joins again, which is harmless.
 		return eris.Wrap(err, "join roster")
 	}
-	s.member.Joined(next, began)
+	s.member.RecordJoin(next, began)
 	klog.Infof("rollout: joined roster of zone %s at revision %d", next.Zone, next.Revision)
 	return nil
 }
@@ -177,18 +177,18 @@
 	if fresh && !got.Serving {
 		return &UntrustedError{Peer: vm.Name}
 	}
-	s.member.Adopt(got.Roster)
-	if Version(got.Holds.Config) > s.applier.Current().Version {
+	s.member.ApplyRoster(got.Roster)
+	if Version(got.Ack.Config) > s.applier.Current().Version {
 		if err := s.fetch(ctx, vm); err != nil {
 			return err
 		}
 	}
-	if !got.Vouched || !(fresh || s.member.Roster().Trusts(vm.Name)) {
-		_ = s.handOver(ctx, vm, got.Holds) // there is no contact either way
+	if !got.Confirmed || !(fresh || s.member.Roster().IsActive(vm.Name)) {
+		_ = s.handOver(ctx, vm, got.Ack) // there is no contact either way
 		return &UntrustedError{Peer: vm.Name}
 	}
-	s.member.Renew(began)
-	return s.handOver(ctx, vm, got.Holds)
+	s.member.RecordContact(began)
+	return s.handOver(ctx, vm, got.Ack)
 }
 
 // handOver gives the peer the roster if it holds an older one: a VM that knows
@@ -198,7 +198,7 @@
 	if holds.Roster >= mine.Revision {
 		return nil
 	}
-	_, err := s.peers.Shun(ctx, vm, mine)
+	_, err := s.peers.PushRoster(ctx, vm, mine)
 	return err
 }
 
@@ -210,7 +210,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "fetch configuration from %s", vm.Address)
 	}
-	return s.applier.OfferUpdate(u)
+	return s.applier.ApplyUpdate(u)
 }
 
 // Leave takes this VM off the roster by plan and returns once it is off, or
@@ -222,7 +222,7 @@
 // would be cut; and once off the roster this VM's streams are no longer asked
 // about when an endpoint is withheld.
 func (s *Syncer) Leave(ctx context.Context) error {
-	s.member.Depart()
+	s.member.StopServing()
 	for {
 		gone, err := s.leaveOnce(ctx)
 		if gone {
--- a/rollout/syncer_test.go
+++ b/rollout/syncer_test.go
@@ -41,7 +41,7 @@
 func TestSyncPeer(t *testing.T) {
 	shunned := abc()
 	shunned.Revision++
-	shunned.VMs[1].ShunnedAt = shunned.Revision
+	shunned.VMs[1].ExcludedAt = shunned.Revision
 	update := rollout.NewUpdate(rollout.Document{}, rollout.NewDocument(5, []byte("text")))
 	held := contact.Ack{Config: 5, Roster: abc().Revision}
 	tests := []struct {
@@ -49,27 +49,27 @@
 		// known is the roster of a VM that had contact before; none is a new process.
 		known contact.Roster
 		peer  fakepeer.Scripted
-		want  contact.Standing
+		want  contact.Status
 	}{
-		{"new, from a peer that serves", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true, Roster: abc()}, Update: &update}, contact.InForce},
-		{"new, from a peer that does not serve", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Roster: abc()}, Update: &update}, contact.NotJoined},
-		{"new, not on the roster", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Serving: true, Roster: abc().Leave("a")}, Update: &update}, contact.NotJoined},
-		{"new, configuration not fetched", contact.Roster{}, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true, Roster: abc()}, Update: nil}, contact.NoContact},
-		{"known, from a peer that lapsed too", abc(), fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true}, Update: &update}, contact.InForce},
-		{"known, not vouched for", abc(), fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Serving: true}, Update: &update}, contact.NoContact},
-		{"known, from a shunned peer", shunned, fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true}, Update: &update}, contact.NoContact},
-		{"known, configuration not fetched", abc(), fakepeer.Scripted{Answer: rollout.Exchanged{Holds: held, Vouched: true, Serving: true}, Update: nil}, contact.NoContact},
+		{"new, from a peer that serves", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: &update}, contact.Active},
+		{"new, from a peer that does not serve", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Roster: abc()}, Update: &update}, contact.NotJoined},
+		{"new, not on the roster", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Serving: true, Roster: abc().Leave("a")}, Update: &update}, contact.NotJoined},
+		{"new, configuration not fetched", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: nil}, contact.NoContact},
+		{"known, from a peer that lapsed too", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true}, Update: &update}, contact.Active},
+		{"known, not vouched for", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, from a shunned peer", shunned, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, configuration not fetched", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: nil}, contact.NoContact},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(tt.peer)
 				if tt.known.Revision != 0 {
-					r.member.Joined(tt.known, time.Now())
-					time.Sleep(contact.Lapse)
+					r.member.RecordJoin(tt.known, time.Now())
+					time.Sleep(contact.Timeout)
 				}
 				err := r.syncer.SyncPeer(t.Context(), contact.VM{Name: "b", Address: "b"})
-				if got := r.member.Standing(); got != tt.want || (err == nil) != (tt.want == contact.InForce) {
+				if got := r.member.Status(); got != tt.want || (err == nil) != (tt.want == contact.Active) {
 					t.Errorf("standing %s, %v; want %s", got, err, tt.want)
 				}
 			})
@@ -79,7 +79,7 @@
 
 // A contact counts from before it was asked for, not from its answer.
 func TestContactCountsFromQuestion(t *testing.T) {
-	const slow = contact.Lapse - time.Second
+	const slow = contact.Timeout - time.Second
 	sync := map[string]func(t *testing.T, r *rig) error{
 		"table": func(t *testing.T, r *rig) error {
 			r.rows.SetFault(memtable.Fault{Delay: slow})
@@ -91,19 +91,19 @@
 	}
 	for name, contactWith := range sync {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.Scripted{Answer: rollout.Exchanged{Vouched: true}, Delay: slow})
+			r := newRig(fakepeer.Scripted{Answer: rollout.ExchangeResponse{Confirmed: true}, Delay: slow})
 			txn := table.Txn{Writes: []table.Write{{Key: contact.Key("z"), Value: abc().Encode()}}}
 			if _, err := r.rows.Commit(t.Context(), txn); err != nil {
 				t.Fatal(err)
 			}
-			r.member.Joined(abc(), time.Now())
-			time.Sleep(contact.Lapse)
+			r.member.RecordJoin(abc(), time.Now())
+			time.Sleep(contact.Timeout)
 			if err := contactWith(t, r); err != nil || r.member.Allow() != nil {
 				t.Errorf("%s: no contact: %v", name, err)
 			}
-			time.Sleep(contact.Lapse - slow)
+			time.Sleep(contact.Timeout - slow)
 			if r.member.Allow() == nil {
-				t.Errorf("%s: serves %v after it asked", name, contact.Lapse)
+				t.Errorf("%s: serves %v after it asked", name, contact.Timeout)
 			}
 		})
 	}
@@ -141,7 +141,7 @@
 		if _, err := r.store.Put(t.Context(), rollout.Edit{WriteID: "edit", Text: []byte("text")}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(contact.Lapse)
+		time.Sleep(contact.Timeout)
 		r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 			return memtable.Fault{Fail: len(c.Keys) == 1 && strings.HasPrefix(c.Keys[0].Row, "v/")}
 		})
--- a/withhold/churn_test.go
+++ b/withhold/churn_test.go
@@ -101,7 +101,7 @@
 		}
 		c.end(c.Nodes[name])
 		c.Remove(name)
-		c.Add("a-"+c.ID(), "a")
+		c.Add("a-"+c.NewID(), "a")
 	case 6:
 		c.Rows.SetDown(c.rng.IntN(3) == 0)
 	case 7:
@@ -155,7 +155,7 @@
 				Fleet: fakefleet.New(ctx, 4, "a"), rng: rand.New(rand.NewPCG(seed, 7)),
 				streams: map[*fakefleet.Node][]stream{}, paused: map[string]time.Time{},
 			}
-			c.Control()
+			c.StartControllers()
 			if _, err := c.Put("first"); err != nil {
 				t.Fatal(err)
 			}
@@ -165,7 +165,7 @@
 				t.Errorf("seed %d: nothing ran", seed)
 			}
 			entries := peer.NewControllerClient(c.Net.Transport("control-a"))
-			controller := withhold.NewController("a", c.Rows, entries, c, fakepeer.Held{}, c.ID)
+			controller := withhold.NewController("a", c.Rows, entries, c, fakepeer.Held{}, c.NewID)
 			var done atomic.Bool
 			go func() { done.Store(c.withhold(ctx, controller)) }()
 			c.run(time.Minute, true, done.Load)
--- a/withhold/controller.go
+++ b/withhold/controller.go
@@ -124,7 +124,7 @@
 	}
 	drained := func(a contact.Ack) bool { return a.Roster >= epoch }
 	var unstable *contact.UnstableError
-	if err := contact.Stable(ctx, r.VMs, ask, ask, drained); errors.As(err, &unstable) {
+	if err := contact.ConfirmStable(ctx, r.VMs, ask, ask, drained); errors.As(err, &unstable) {
 		return &WaitingError{Endpoint: endpoint, VMs: unstable.Missing}
 	}
 	n, err := c.endpoints.Streams(ctx, endpoint)
--- a/withhold/controller_test.go
+++ b/withhold/controller_test.go
@@ -96,7 +96,7 @@
 			func(b *bench) { b.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
 			func(t *testing.T, b *bench) {
 				r := b.roster(t)
-				r.VMs = r.Others("c")
+				r.VMs = r.Except("c")
 				b.write(t, r)
 			}},
 		{"for a stream of an entry that was dropped",
--- a/withhold/gate_test.go
+++ b/withhold/gate_test.go
@@ -55,7 +55,7 @@
 
 func TestGateAsksPermit(t *testing.T) {
 	g := NewGate(leaving.NewSet())
-	g.SetPermit(permit{err: &contact.UnconfirmedError{Standing: contact.NoContact}})
+	g.SetPermit(permit{err: &contact.UnconfirmedError{Status: contact.NoContact}})
 	var unconfirmed *contact.UnconfirmedError
 	if _, err := g.TryAcquire("e"); !errors.As(err, &unconfirmed) {
 		t.Errorf("TryAcquire without permission: %v", err)
@@ -100,11 +100,11 @@
 		g := NewGate(leaving.NewSet())
 		m := contact.NewMember("z", "a", g.ApplyRoster)
 		g.SetPermit(m)
-		m.Joined(contact.Roster{}.Join("z", "b", "b").Join("z", "c", "c").Join("z", "a", "a"), time.Now())
+		m.RecordJoin(contact.Roster{}.Join("z", "b", "b").Join("z", "c", "c").Join("z", "a", "a"), time.Now())
 		if _, err := g.TryAcquire("e"); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(contact.SettleTime) // nothing ticks
+		time.Sleep(contact.RemovalDelay) // nothing ticks
 		_, err := g.TryAcquire("e")
 		var refused *contact.UnconfirmedError
 		if !errors.As(err, &refused) || g.Streams("e") != 1 {
@@ -140,7 +140,7 @@
 func BenchmarkTryAcquire(b *testing.B) {
 	g := NewGate(leaving.NewSet())
 	m := contact.NewMember("z", "a", g.ApplyRoster)
-	m.Joined(contact.Roster{}.Join("z", "a", "a"), time.Now())
+	m.RecordJoin(contact.Roster{}.Join("z", "a", "a"), time.Now())
 	go m.Run(b.Context().Done())
 	g.SetPermit(m)
 	b.ReportAllocs()
