--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -91,7 +91,7 @@
 }
 
 // Shun implements contact.Peers.
-func (z *Zone) Shun(_ context.Context, vm contact.VM, r contact.Roster) (a contact.Ack, err error) {
+func (z *Zone) PushRoster(_ context.Context, vm contact.VM, r contact.Roster) (a contact.Ack, err error) {
 	err = z.call(vm.Name, func() {
 		if !z.IgnoresRosters[vm.Name] {
 			z.RosterRevisions[vm.Name] = r.Revision
@@ -129,7 +129,7 @@
 
 // StaticPeer is a peer that always answers the same.
 type StaticPeer struct {
-	Response rollout.Exchanged
+	Response rollout.ExchangeResponse
 	// Delay is how long an exchange takes.
 	Delay time.Duration
 	// Update is what it has in force; nil makes fetching fail.
@@ -137,7 +137,7 @@
 }
 
 // Exchange implements rollout.Peers.
-func (s StaticPeer) Exchange(context.Context, contact.VM) (rollout.Exchanged, error) {
+func (s StaticPeer) Exchange(context.Context, contact.VM) (rollout.ExchangeResponse, error) {
 	time.Sleep(s.Delay)
 	return s.Response, nil
 }
@@ -151,6 +151,6 @@
 }
 
 // Shun implements rollout.Peers.
-func (s StaticPeer) Shun(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
+func (s StaticPeer) PushRoster(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
 	return contact.Ack{}, nil
 }
--- a/rollout/fakefleet/table.go
+++ b/rollout/fakefleet/table.go
@@ -15,7 +15,7 @@
 }
 
 // SetCut cuts the way, or ends that.
-func (v *TableView) SetCut(cut bool) { v.cut.Store(cut) }
+func (v *TableView) SetPartitioned(cut bool) { v.cut.Store(cut) }
 
 func (v *TableView) err() error {
 	if !v.cut.Load() {
