--- a/claim/claim.go
+++ b/claim/claim.go
@@ -9,9 +9,9 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Claim is the right to dispatch one call once. It ends with exactly one of
-// Finish (the call ran), Release (it provably did not) or nothing at all (it
-// may have run; repeats are told so). It belongs to one goroutine.
+// Claim is the right to dispatch one call once. It ends with exactly one of Finish (the call ran),
+// Release (the call provably did not run) or nothing at all (the call may have run; repeats get
+// ClaimInProgress or ClaimUnknown). It belongs to one goroutine.
 type Claim struct {
 	store   *Store
 	key     Key
@@ -19,48 +19,49 @@
 	digest  Digest
 }
 
-// Finish keeps the call's answer for repeats. It waits at most cfg.FinishTimeout
-// for the platform; after that the answer is kept in the background, and until
-// it is, repeats are told that the call is in progress or unknown.
-func (c *Claim) Finish(ctx context.Context, answer Response) {
+// Finish stores the call's response for repeats. It waits at most cfg.FinishTimeout for the table
+// and the object store. After that the write continues in the background; until it has succeeded,
+// repeats get ClaimInProgress or ClaimUnknown.
+func (c *Claim) Finish(ctx context.Context, resp Response) {
 	s := c.store
 	rec := c.record(done)
-	c.conclude(ctx, func(ctx context.Context) error {
-		if err := s.keep(ctx, &rec, answer); err != nil {
+	c.writeOrDefer(ctx, func(ctx context.Context) error {
+		if err := s.storeResponse(ctx, &rec, resp); err != nil {
 			return err
 		}
-		_, err := s.settle(ctx, c.key.row(), c.version, rec)
+		_, err := s.write(ctx, c.key.row(), c.version, rec)
 		return err
 	})
 }
 
-// FinishWithoutResponse records that the call ran but that its answer is not kept.
+// FinishWithoutResponse records that the call ran without storing its response.
 func (c *Claim) FinishWithoutResponse(ctx context.Context) {
 	rec := c.record(done)
-	c.conclude(ctx, func(ctx context.Context) error {
-		_, err := c.store.settle(ctx, c.key.row(), c.version, rec)
+	c.writeOrDefer(ctx, func(ctx context.Context) error {
+		_, err := c.store.write(ctx, c.key.row(), c.version, rec)
 		return err
 	})
 }
 
-// Release gives the claim back after a call that provably did not run, so that
-// a repeat may run it. The row is overwritten, not deleted: see settle.
+// Release gives up the claim after a call that provably did not run, so that a repeat may run it.
+// The row is overwritten, not deleted: see Store.write.
 func (c *Claim) Release(ctx context.Context) {
 	rec := c.releasedRecord()
-	c.conclude(ctx, func(ctx context.Context) error {
-		_, err := c.store.settle(ctx, c.key.row(), c.version, rec)
+	c.writeOrDefer(ctx, func(ctx context.Context) error {
+		_, err := c.store.write(ctx, c.key.row(), c.version, rec)
 		return err
 	})
 }
 
-// conclude writes now if the platform answers in time, else in the background.
-// The write's record is made once, so that a repeat of it is the same write.
-// It goes on when the caller is gone, since the claim outlives the request.
-func (c *Claim) conclude(ctx context.Context, write func(ctx context.Context) error) {
+// writeOrDefer runs write and, if the store is unavailable or does not respond within
+// cfg.FinishTimeout, retries it in the background. The record is built once by the caller, so that
+// every retry is the same write. The write ignores the cancellation of ctx, since the claim
+// outlives the request.
+func (c *Claim) writeOrDefer(ctx context.Context, write func(ctx context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.store.cfg.FinishTimeout)
 	defer cancel()
 	if err := write(ctx); unreachable(err) {
-		c.store.later(write)
+		c.store.runInBackground(write)
 	}
 }
 
@@ -70,12 +71,12 @@
 
 func (c *Claim) releasedRecord() record { return c.record(released) }
 
-// keep puts the answer into rec, or into the object store when it is large.
-// One over the bounds is not kept; the record then only says done.
-func (s *Store) keep(ctx context.Context, rec *record, answer Response) error {
-	encoded := answer.encode()
+// storeResponse puts the response into rec, or into the object store if it exceeds MaxInline. A
+// response over MaxObject is dropped; the record then holds only the state done.
+func (s *Store) storeResponse(ctx context.Context, rec *record, resp Response) error {
+	encoded := resp.encode()
 	if len(encoded) <= s.cfg.MaxInline {
-		rec.Response = &answer
+		rec.Response = &resp
 		return nil
 	}
 	if s.cfg.Objects == nil || len(encoded) > s.cfg.MaxObject {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -19,9 +19,9 @@
 )
 
 var (
-	testKey    = Key{Organisation: "kliko", Service: "slots", IdempotencyKey: "k/1"}
-	testDigest = DigestOf("POST", "/confirm", []byte("slot 7"))
-	testAnswer = Response{Status: 201, Body: []byte("confirmed")}
+	testKey      = Key{Organisation: "kliko", Service: "slots", IdempotencyKey: "k/1"}
+	testDigest   = DigestOf("POST", "/confirm", []byte("slot 7"))
+	testResponse = Response{Status: 201, Body: []byte("confirmed")}
 )
 
 // begin claims the test key with a deadline of ten seconds.
@@ -29,18 +29,18 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	c, answer, err := s.Begin(ctx, testKey, d)
+	c, resp, err := s.Begin(ctx, testKey, d)
 	if err == nil {
-		return c, answer, nil
+		return c, resp, nil
 	}
 	var f *failure.Request
 	if !errors.As(err, &f) {
-		t.Fatalf("Begin gave %T, want *failure.Request", err)
+		t.Fatalf("Begin returned %T, want *failure.Request", err)
 	}
-	return c, answer, f
+	return c, resp, f
 }
 
-// outcome is what a Begin gave, for comparison.
+// outcome is the comparable form of the results of Begin.
 type outcome struct {
 	Claimed bool
 	Body    string
@@ -60,17 +60,17 @@
 	return o
 }
 
-func TestRepeatOfACall(t *testing.T) {
+func TestRepeatedCall(t *testing.T) {
 	large := Response{Status: 200, Body: []byte(strings.Repeat("x", DefaultMaxInline+1))}
 	other := DigestOf("POST", "/confirm", []byte("slot 8"))
 	tests := []struct {
 		name string
-		// first is what the VM with the claim does.
+		// first is what the VM that holds the claim does.
 		first  func(t *testing.T, s *Store, c *Claim)
 		digest Digest
 		want   outcome
 	}{
-		{"finished", func(t *testing.T, _ *Store, c *Claim) { c.Finish(t.Context(), testAnswer) }, testDigest,
+		{"finished", func(t *testing.T, _ *Store, c *Claim) { c.Finish(t.Context(), testResponse) }, testDigest,
 			outcome{Body: "confirmed"}},
 		{"finished with a large answer", func(t *testing.T, _ *Store, c *Claim) { c.Finish(t.Context(), large) }, testDigest,
 			outcome{Body: string(large.Body)}},
@@ -82,7 +82,7 @@
 			outcome{Reason: failure.ClaimInProgress, Ran: failure.Unknown, Retry: true}},
 		{"VM died", func(*testing.T, *Store, *Claim) { time.Sleep(time.Minute) }, testDigest,
 			outcome{Reason: failure.ClaimUnknown, Ran: failure.Unknown}},
-		{"another request", func(t *testing.T, _ *Store, c *Claim) { c.Finish(t.Context(), testAnswer) }, other,
+		{"another request", func(t *testing.T, _ *Store, c *Claim) { c.Finish(t.Context(), testResponse) }, other,
 			outcome{Reason: failure.KeyReused, Ran: failure.NotRun}},
 	}
 	for _, tt := range tests {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestTableDownRefusesAsNotRun(t *testing.T) {
+func TestTableUnavailableIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
 		rows.SetDown(true)
@@ -116,12 +116,12 @@
 			t.Errorf("(-want +got):\n%s", diff)
 		}
 		if d := time.Since(start); d != 0 {
-			t.Errorf("refused after %v, want at once", d)
+			t.Errorf("refused after %v, want immediately", d)
 		}
 	})
 }
 
-// commitFaults returns a hook that gives the nth commit, from 0, its fault.
+// commitFaults returns a hook that applies faults[i] to the i-th commit.
 func commitFaults(faults ...memtable.Fault) func(memtable.Call) memtable.Fault {
 	var commits atomic.Int64
 	return func(c memtable.Call) memtable.Fault {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestLostAnswerIsSettledByItsOwnId(t *testing.T) {
+func TestLostResponseIsResolvedByWriteID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
 		s := NewStore(Config{Table: rows})
@@ -150,9 +150,9 @@
 	})
 }
 
-// TestAbandonedClaimIsReleased: the claim's write takes effect, its answer is
-// lost and the table stays down past the deadline. The caller is told not run,
-// which holds, and the key must not stay "perhaps run" for ever.
+// TestAbandonedClaimIsReleased: the claim's write takes effect, its response is lost and the table
+// stays unavailable past the deadline. The caller gets the outcome not run, which is correct since
+// nothing is dispatched, and the key must become claimable again.
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
@@ -178,29 +178,28 @@
 	})
 }
 
-func TestAnswerIsKeptAfterAnOutage(t *testing.T) {
+func TestResponseIsStoredAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
 		s := NewStore(Config{Table: rows})
 		c, _, _ := begin(t, s, testDigest)
 		rows.SetDown(true)
 		start := time.Now()
-		c.Finish(t.Context(), testAnswer)
+		c.Finish(t.Context(), testResponse)
 		if d := time.Since(start); d > DefaultFinishTimeout {
-			t.Errorf("the caller's answer waited %v for the table", d)
+			t.Errorf("Finish waited %v for the table", d)
 		}
 		time.Sleep(time.Minute)
 		rows.SetDown(false)
 		s.Wait()
 		if got := outcomeOf(begin(t, s, testDigest)); got.Body != "confirmed" {
-			t.Errorf("repeat got %+v, want the answer", got)
+			t.Errorf("repeat got %+v, want the response", got)
 		}
 	})
 }
 
-// TestPausedVM: a VM is paused while its claim is on the way. Another VM claims
-// and finishes meanwhile. Whenever the write arrives, the paused VM must not
-// get the claim.
+// TestPausedVM: a VM is paused while its claim is in flight, and another VM claims and finishes the
+// call. Whenever the paused VM's write arrives, it must not get the claim.
 func TestPausedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
@@ -214,44 +213,44 @@
 		if c == nil {
 			t.Fatal(f)
 		}
-		c.Finish(t.Context(), testAnswer)
+		c.Finish(t.Context(), testResponse)
 		if diff := cmp.Diff(outcome{Body: "confirmed"}, <-result); diff != "" {
-			t.Errorf("the woken VM (-want +got):\n%s", diff)
+			t.Errorf("paused VM (-want +got):\n%s", diff)
 		}
 	})
 }
 
-func TestCorruptRowIsNotRun(t *testing.T) {
+func TestCorruptRowIsNotClaimed(t *testing.T) {
 	rows := memtable.New()
 	bad := table.Txn{Writes: []table.Write{{Key: testKey.row(), Value: []byte("{")}}}
 	if _, err := rows.Commit(t.Context(), bad); err != nil {
 		t.Fatal(err)
 	}
 	if c, _, f := begin(t, NewStore(Config{Table: rows}), testDigest); c != nil || f == nil {
-		t.Error("a row that cannot be read was claimed")
+		t.Error("a corrupt row was claimed")
 	}
 }
 
-func TestSweepDeletesOnlyWhatExpired(t *testing.T) {
+func TestSweepDeletesOnlyExpiredRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := memtable.New()
 		s := NewStore(Config{Table: rows})
-		perhaps, _, _ := s.Begin(t.Context(), Key{IdempotencyKey: "perhaps"}, testDigest)
-		const old = 300
-		for i := range old {
+		unknown, _, _ := s.Begin(t.Context(), Key{IdempotencyKey: "perhaps"}, testDigest)
+		const expired = 300
+		for i := range expired {
 			c, _, err := s.Begin(t.Context(), Key{IdempotencyKey: fmt.Sprint("old-", i)}, testDigest)
-			if err != nil || perhaps == nil {
+			if err != nil || unknown == nil {
 				t.Fatal(err)
 			}
-			c.Finish(t.Context(), testAnswer)
+			c.Finish(t.Context(), testResponse)
 		}
 		time.Sleep(DefaultRetention + time.Second)
-		young, _, _ := s.Begin(t.Context(), Key{IdempotencyKey: "young"}, testDigest)
-		young.Finish(t.Context(), testAnswer)
+		recent, _, _ := s.Begin(t.Context(), Key{IdempotencyKey: "young"}, testDigest)
+		recent.Finish(t.Context(), testResponse)
 		before := rows.Counts()
 		deleted, err := NewCleaner(s).Sweep(t.Context())
-		if err != nil || deleted != old {
-			t.Errorf("deleted %d rows (%v), want %d", deleted, err, old)
+		if err != nil || deleted != expired {
+			t.Errorf("deleted %d rows (%v), want %d", deleted, err, expired)
 		}
 		after := rows.Counts()
 		if n := after.Scans + after.Commits - before.Scans - before.Commits; n != 4 {
@@ -261,8 +260,8 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		NewCleaner(s).Run(ctx, time.Second, func() bool { return true })
-		if left, err := rows.Scan(t.Context(), Table, "", "", 0); err != nil || len(left) != 0 {
-			t.Errorf("%d rows (%v) left in the end, want none", len(left), err)
+		if remaining, err := rows.Scan(t.Context(), Table, "", "", 0); err != nil || len(remaining) != 0 {
+			t.Errorf("%d rows (%v) remain, want none", len(remaining), err)
 		}
 	})
 }
--- a/claim/cost_test.go
+++ b/claim/cost_test.go
@@ -13,17 +13,17 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// TestPlatformCallsOfACall pins what a call costs the platform.
-func TestPlatformCallsOfACall(t *testing.T) {
+// TestTableOperationsPerCall pins the number of table operations of a call.
+func TestTableOperationsPerCall(t *testing.T) {
 	type cost struct{ Commits, RowsWritten, RowsRead uint64 }
 	tests := []struct {
 		name string
-		play func(t *testing.T, s *Store)
+		run  func(t *testing.T, s *Store)
 		want cost
 	}{
 		{"claimed and finished", func(t *testing.T, s *Store) {
 			c, _, _ := begin(t, s, testDigest)
-			c.Finish(t.Context(), testAnswer)
+			c.Finish(t.Context(), testResponse)
 		}, cost{Commits: 2, RowsWritten: 2}},
 		{"claimed, result lost", func(t *testing.T, s *Store) {
 			begin(t, s, testDigest)
@@ -34,7 +34,7 @@
 		}, cost{Commits: 2, RowsWritten: 2}},
 		{"finished, then repeated", func(t *testing.T, s *Store) {
 			c, _, _ := begin(t, s, testDigest)
-			c.Finish(t.Context(), testAnswer)
+			c.Finish(t.Context(), testResponse)
 			begin(t, s, testDigest)
 		}, cost{Commits: 3, RowsWritten: 2, RowsRead: 1}},
 	}
@@ -42,7 +42,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rows := memtable.New()
-				tt.play(t, NewStore(Config{Table: rows}))
+				tt.run(t, NewStore(Config{Table: rows}))
 				got := rows.Counts()
 				if diff := cmp.Diff(tt.want, cost{got.Commits, got.RowsWritten, got.RowsRead}); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestWaitingClaimsShareCommits measures transactions a call through a
-// table.Batcher, with a platform that takes 5 ms for a transaction.
-func TestWaitingClaimsShareCommits(t *testing.T) {
+// TestConcurrentClaimsShareCommits measures transactions per call through a table.Batcher, with a
+// table that takes 5 ms per transaction.
+func TestConcurrentClaimsShareCommits(t *testing.T) {
 	const calls = 1000
 	for _, perSecond := range []int{10, 400, 2000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
@@ -69,16 +69,16 @@
 						t.Error(err)
 						return
 					}
-					c.Finish(t.Context(), testAnswer)
+					c.Finish(t.Context(), testResponse)
 				})
 				time.Sleep(time.Second / time.Duration(perSecond))
 			}
 			wg.Wait()
 			got := rows.Counts()
 			perCall := float64(got.Commits) / calls
-			t.Logf("%d calls a second: %.2f transactions and %.2f rows a call", perSecond, perCall, float64(got.RowsWritten)/calls)
+			t.Logf("%d calls per second: %.2f transactions and %.2f rows per call", perSecond, perCall, float64(got.RowsWritten)/calls)
 			if got.RowsWritten != 2*calls || perCall > 2 || perSecond >= 2000 && perCall > 1 {
-				t.Errorf("%.2f transactions a call, %d rows", perCall, got.RowsWritten)
+				t.Errorf("%.2f transactions per call, %d rows", perCall, got.RowsWritten)
 			}
 		})
 	}
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// randomHistory lets VMs claim one key again and again.
+// randomHistory makes several VMs claim the same key repeatedly under table faults.
 func randomHistory(seed uint64, wrap func(table.Service) table.Service) *history.Claims {
 	const vms, rounds = 4, 12
 	rows := memtable.New()
@@ -29,7 +29,7 @@
 		wg.Go(func() {
 			for round := range rounds {
 				time.Sleep(dice.Millis(200))
-				playVM(h, s, dice, vm, round)
+				runRound(h, s, dice, vm, round)
 			}
 			s.Wait()
 		})
@@ -38,16 +38,16 @@
 	return h
 }
 
-// playVM is one call: it begins, and if it got the claim it releases it, keeps
-// an answer, or dies with it.
-func playVM(h *history.Claims, s *Store, dice *history.Dice, vm, round int) {
+// runRound makes one call. If it gets the claim, it then releases the claim, finishes the call, or
+// drops the claim as a crashing VM does.
+func runRound(h *history.Claims, s *Store, dice *history.Dice, vm, round int) {
 	var c *Claim
 	h.Run(vm, history.ClaimInput{Op: history.Begin}, func() history.ClaimOutput {
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
-		held, answer, err := s.Begin(ctx, testKey, testDigest)
-		c = held
-		return output(held, answer, err)
+		claimed, resp, err := s.Begin(ctx, testKey, testDigest)
+		c = claimed
+		return output(claimed, resp, err)
 	})
 	if c == nil {
 		return
@@ -61,7 +61,7 @@
 			return history.ClaimOutput{}
 		})
 	case 3:
-		// The VM dies between its claim and the answer.
+		// The VM crashes between its claim and the response.
 	default:
 		h.Run(vm, history.ClaimInput{Op: history.Release}, func() history.ClaimOutput {
 			c.Release(context.Background())
@@ -70,10 +70,10 @@
 	}
 }
 
-func output(c *Claim, answer *Response, err error) history.ClaimOutput {
+func output(c *Claim, resp *Response, err error) history.ClaimOutput {
 	out := history.ClaimOutput{Claimed: c != nil}
-	if answer != nil {
-		out.Stored = string(answer.Body)
+	if resp != nil {
+		out.Stored = string(resp.Body)
 	}
 	var f *failure.Request
 	if errors.As(err, &f) {
@@ -87,27 +87,28 @@
 	tests := []struct {
 		name string
 		wrap func(table.Service) table.Service
-		// atLeast histories must be objected to; with all guards, none may be.
-		atLeast int
+		// minViolating is the least number of histories that must violate linearizability; zero
+		// means that none may.
+		minViolating int
 	}{
 		{"all guards", func(s table.Service) table.Service { return s }, 0},
 		{"without conditions", func(s table.Service) table.Service { return history.Unconditional{Service: s} }, seeds / 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			objections, claims := 0, 0
+			violating, claims := 0, 0
 			for seed := range uint64(seeds) {
 				synctest.Test(t, func(t *testing.T) {
 					h := randomHistory(seed, tt.wrap)
 					claims += h.Held()
 					if !h.Linearizable() {
-						objections++
+						violating++
 					}
 				})
 			}
-			t.Logf("objected to %d of %d histories with %d claims", objections, seeds, claims)
-			if objections < tt.atLeast || tt.atLeast == 0 && objections > 0 || claims < 2*seeds {
-				t.Error("want no objection with all guards, and more than half without")
+			t.Logf("violations in %d of %d histories with %d claims", violating, seeds, claims)
+			if violating < tt.minViolating || tt.minViolating == 0 && violating > 0 || claims < 2*seeds {
+				t.Error("want no violation with all safeguards, and violations in at least half of the histories without")
 			}
 		})
 	}
--- a/claim/record.go
+++ b/claim/record.go
@@ -1,13 +1,13 @@
-// Package claim makes a call that may not be repeated run at most once. A row
-// of the table service, keyed by organisation, service and idempotency key, is
-// claimed before the call is dispatched and keeps its answer afterwards.
+// Package claim makes non-repeatable calls run at most once. A row of the table service, keyed by
+// organisation, service and idempotency key, is claimed before the call is dispatched and stores
+// its response afterwards.
 //
-// One write comes before dispatch, not two ("claimed", then "sent"). The claim
-// is taken at the last moment, after admission and routing, so a call that was
-// never claimed has no row and any VM may run it; that is what a takeover of a
-// claimed-but-unsent row would give, for one write less. The two schemes leave
-// the same doubt: between the last write and the first byte sent, a VM that
-// dies leaves a row that says perhaps run. See docs/design/requests.md.
+// One write precedes dispatch, not two ("claimed", then "sent"). The claim is made as late as
+// possible, after admission and routing, so a call that was never claimed has no row and any VM may
+// run it. A second write would only allow another VM to take over a row that was claimed but not
+// sent, which the late claim gives for one write less. Both schemes leave the same uncertainty: a
+// VM that crashes between its last write and the first byte sent leaves a row whose call may have
+// run. See docs/design/requests.md.
 package claim
 
 import (
@@ -23,14 +23,14 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Table is the name of the claims' table.
+// Table is the name of the table that holds the claims.
 const Table = "claim"
 
-// Key names one at-most-once call.
+// Key identifies one at-most-once call.
 type Key struct {
 	Organisation string
 	Service      string
-	// IdempotencyKey is the caller's Idempotency-Key.
+	// IdempotencyKey is the caller's Idempotency-Key header.
 	IdempotencyKey string
 }
 
@@ -39,7 +39,7 @@
 	return table.Key{Table: Table, Row: strings.Join(parts, "/")}
 }
 
-// serviceOf is the service of a row.
+// serviceOf returns the service part of a row's key, or "" if the key is malformed.
 func serviceOf(key table.Key) string {
 	parts := strings.Split(key.Row, "/")
 	if len(parts) != 3 {
@@ -52,10 +52,10 @@
 	return name
 }
 
-// Digest tells whether two requests with one key are the same request.
+// Digest identifies the content of a request, to detect a key reused for a different request.
 type Digest string
 
-// DigestOf covers what the endpoint would act on.
+// DigestOf hashes the parts of a request that the endpoint acts on.
 func DigestOf(method, path string, body []byte) Digest {
 	h := sha256.New()
 	h.Write([]byte(method + "\n" + path + "\n"))
@@ -63,43 +63,42 @@
 	return Digest(hex.EncodeToString(h.Sum(nil)))
 }
 
-// Response is what a call's endpoint answered.
+// Response is the stored response of a call's endpoint.
 type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// state is how far a call has come, as far as the table knows.
+// state is the progress of a call as recorded in the table.
 type state string
 
 const (
-	// claimed: the call is perhaps run, now or earlier. Only the claim's
-	// owner may write the row again.
+	// claimed means that the call is running or may have run. Only the owner of the claim may write
+	// the row.
 	claimed state = "claimed"
-	// released: the owner proved that the call did not run. Anyone may claim
-	// it anew, conditional on this row's version.
+	// released means that the owner proved that the call did not run. Any VM may claim the call
+	// again, conditional on this row's version.
 	released state = "released"
-	// done: the call ran. The row never changes again until it is cleaned.
+	// done means that the call ran. The row does not change again until it is deleted.
 	done state = "done"
 )
 
 // record is the value of a row.
 type record struct {
-	// Write is the id of the write that made this value; a writer whose
-	// answer was lost knows its own write by it.
+	// Write is the ID of the write that produced this value. A writer that lost the response to its
+	// write recognises the write by this ID.
 	Write  string `json:"write"`
 	State  state  `json:"state"`
 	Owner  string `json:"owner"`
 	Digest Digest `json:"digest"`
-	// At is the wall clock in Unix milliseconds, for retention only.
+	// At is the wall clock time of the write in Unix milliseconds, used for retention only.
 	At int64 `json:"at"`
-	// Until is when the caller's deadline passes, in Unix milliseconds. It
-	// only words the answer to a repeat (in progress or unknown) and never
-	// gives anyone the right to run the call.
+	// Until is the caller's deadline in Unix milliseconds. It only selects the failure that a
+	// repeat gets (in progress or unknown) and never permits anyone to run the call.
 	Until int64 `json:"until,omitempty"`
-	// Response is kept inline, or as the object named Object when it is large.
-	// With neither, a done call's answer was not kept.
+	// Response is stored inline, or in the object named Object if it is large. If both are empty,
+	// the response of a done call was not stored.
 	Response *Response `json:"answer,omitempty"`
 	Object   string    `json:"object,omitempty"`
 }
@@ -111,7 +110,7 @@
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // no field of record and Answer can fail to marshal
+		panic(err) // record and Response hold only types that marshal without error
 	}
 	return b
 }
--- a/claim/store.go
+++ b/claim/store.go
@@ -14,29 +14,26 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Config is what a Store works with. Table is required; zero settings take the
-// defaults.
+// Config configures a Store. Table is required; zero values take the defaults.
 type Config struct {
-	// Table keeps the claims. A table.Batcher groups those that wait at the
-	// same moment.
+	// Table stores the claims. A table.Batcher groups concurrent claims into one transaction.
 	Table table.Service
-	// Objects keeps answers over MaxInline bytes; nil means they are not kept.
+	// Objects stores responses over MaxInline bytes; nil drops them.
 	Objects object.Store
-	// Owner names this process's instance, for operators who read a row.
+	// Owner identifies this process in the rows, for operators who read them.
 	Owner string
-	// MaxInline and MaxObject bound a kept answer, headers included, in bytes
-	// of JSON.
+	// MaxInline and MaxObject bound a stored response, headers included, in bytes of JSON.
 	MaxInline, MaxObject int
-	// FinishTimeout bounds how long a caller's answer waits to be kept. After
-	// that it is kept in the background.
+	// FinishTimeout bounds how long a caller waits for the final write of its claim. After that the
+	// write continues in the background.
 	FinishTimeout time.Duration
-	// BackgroundTimeout bounds how long a write is tried in the background.
+	// BackgroundTimeout bounds the retries of a background write.
 	BackgroundTimeout time.Duration
-	// Retention is how long rows are kept; UnknownRetention how long a row that says
-	// perhaps run is. Both are far longer than any call.
+	// Retention is how long rows are kept; UnknownRetention applies to rows whose call may have
+	// run. Both must be far longer than any call.
 	Retention, UnknownRetention time.Duration
-	// ServiceRetention, if set, tells how long the rows of a service are kept; zero
-	// takes Retention.
+	// ServiceRetention, if set, returns the retention for the rows of a service; zero means
+	// Retention.
 	ServiceRetention func(service string) time.Duration
 }
 
@@ -51,29 +48,28 @@
 )
 
 const (
-	// maxBackground bounds the writes under way in the background.
+	// maxBackground bounds the concurrent background writes.
 	maxBackground = 256
-	// maxTakeovers bounds how often one Begin chases released rows.
-	maxTakeovers = 4
-	// inProgressSlack is added to the owner's deadline and grace for clocks
-	// that differ.
+	// maxClaimAttempts bounds the writes of one Begin, which retries while it finds a released row.
+	maxClaimAttempts = 4
+	// inProgressSlack is added to the owner's deadline and grace period to allow for clock skew.
 	inProgressSlack = 5 * time.Second
 )
 
-// Grace is how long after its caller's deadline a claimed call may go on, so
-// that a late answer is kept for a repeat.
+// Grace is how long after its caller's deadline a claimed call may go on, so that a late response
+// is stored for a repeat.
 const Grace = 30 * time.Second
 
-// settleBackoff spaces the tries of writes in the background.
-var settleBackoff = retry.Backoff{Base: 50 * time.Millisecond, Max: 5 * time.Second}
+// backgroundBackoff spaces the retries of background writes.
+var backgroundBackoff = retry.Backoff{Base: 50 * time.Millisecond, Max: 5 * time.Second}
 
-// Store claims calls and keeps their answers. It is safe for concurrent use.
+// Store claims calls and stores their responses. It is safe for concurrent use.
 type Store struct {
 	cfg        Config
 	background errgroup.Group
 }
 
-// NewStore returns a Store.
+// NewStore returns a Store with the defaults of cfg filled in.
 func NewStore(cfg Config) *Store {
 	setDefault(&cfg.MaxInline, DefaultMaxInline)
 	setDefault(&cfg.MaxObject, DefaultMaxObject)
@@ -93,37 +89,34 @@
 	}
 }
 
-// Wait returns once no write is under way in the background. It is for planned stops.
+// Wait returns once no background write is in flight. It is meant for planned shutdowns.
 func (s *Store) Wait() { _ = s.background.Wait() }
 
-// Begin claims a call. It returns a Claim, after which the call may be
-// dispatched once; or the stored answer of a call that ran before; or
-// *failure.Request:
-// ClaimUnavailable (not run), KeyReused (not run), ClaimInProgress or
-// ClaimUnknown. With any of these the call must not be dispatched.
+// Begin claims a call. It returns a Claim, which permits one dispatch; or the stored response of a
+// call that ran before; or a *failure.Request: ClaimUnavailable (not run), KeyReused (not run),
+// ClaimInProgress or ClaimUnknown. Without a Claim the call must not be dispatched.
 //
-// Invariant: of all the Begins of one key, on all VMs, at most one holds a
-// Claim between two released rows. A Claim rests on a write that is
-// conditional on the row's absence or on the version of a released row, and
-// only the holder of the claim writes the row after that.
+// Invariant: for each key, across all VMs, at most one Begin gets a Claim between two releases of
+// the row. A Claim requires a write that is conditional on the row's absence or on the version of a
+// released row, and only the holder of the claim writes the row after that.
 func (s *Store) Begin(ctx context.Context, key Key, digest Digest) (*Claim, *Response, error) {
 	rec := s.newRecord(ctx, digest)
-	at := table.Absent
-	for range maxTakeovers {
-		version, err := s.settle(ctx, key.row(), at, rec)
+	expected := table.Absent
+	for range maxClaimAttempts {
+		version, err := s.write(ctx, key.row(), expected, rec)
 		if err == nil {
 			return &Claim{store: s, key: key, version: version, digest: digest}, nil, nil
 		}
-		var other *occupiedError
-		if !errors.As(err, &other) {
-			s.abandonUnsettled(err, key, at, rec)
+		var occupied *occupiedError
+		if !errors.As(err, &occupied) {
+			s.releaseUnresolved(err, key, expected, rec)
 			return nil, nil, unavailable(err)
 		}
-		if other.record.State != released || other.record.Digest != digest {
-			answer, err := s.repeat(ctx, other.record, digest)
-			return nil, answer, err
+		if occupied.record.State != released || occupied.record.Digest != digest {
+			resp, err := s.respondToRepeat(ctx, occupied.record, digest)
+			return nil, resp, err
 		}
-		at = other.version
+		expected = occupied.version
 	}
 	return nil, nil, inProgress()
 }
@@ -137,55 +130,55 @@
 	return rec
 }
 
-// repeat answers a repeat of a call from its row.
-func (s *Store) repeat(ctx context.Context, rec record, digest Digest) (*Response, error) {
+// respondToRepeat returns the response or the failure for a repeat of the call recorded in rec.
+func (s *Store) respondToRepeat(ctx context.Context, rec record, digest Digest) (*Response, error) {
 	if rec.Digest != digest {
 		return nil, keyReused()
 	}
 	if rec.State == done {
-		return s.stored(ctx, rec)
+		return s.storedResponse(ctx, rec)
 	}
 	if millis(time.Now()) < rec.Until+(Grace+inProgressSlack).Milliseconds() {
 		return nil, inProgress()
 	}
-	return nil, lost()
+	return nil, resultLost()
 }
 
-// stored returns the answer that a done row keeps.
-func (s *Store) stored(ctx context.Context, rec record) (*Response, error) {
+// storedResponse returns the response of a row in state done.
+func (s *Store) storedResponse(ctx context.Context, rec record) (*Response, error) {
 	metrics.GetOrCreateCounter(`springweir_claims_replayed_total`).Inc()
 	if rec.Response != nil {
 		return rec.Response, nil
 	}
 	if rec.Object == "" || s.cfg.Objects == nil {
-		return nil, notKept(nil)
+		return nil, responseLost(nil)
 	}
 	data, err := s.cfg.Objects.Get(ctx, rec.Object)
 	if err != nil {
-		return nil, notKept(err)
+		return nil, responseLost(err)
 	}
-	var answer Response
-	if err := json.Unmarshal(data, &answer); err != nil {
-		return nil, notKept(err)
+	var resp Response
+	if err := json.Unmarshal(data, &resp); err != nil {
+		return nil, responseLost(err)
 	}
-	return &answer, nil
+	return &resp, nil
 }
 
-// abandonUnsettled releases, in the background, a claim that may have been
-// written although this process gave the call up and never dispatches it.
-// Without it the key would say perhaps run until it is cleaned.
-func (s *Store) abandonUnsettled(err error, key Key, at table.Version, rec record) {
+// releaseUnresolved releases, in the background, a claim whose write may have taken effect although
+// Begin failed and the call is never dispatched. Otherwise repeats would get ClaimUnknown until the
+// row is deleted.
+func (s *Store) releaseUnresolved(err error, key Key, expected table.Version, rec record) {
 	var unknown *table.UnknownError
 	if !errors.As(err, &unknown) {
 		return
 	}
-	s.later(func(ctx context.Context) error {
-		version, err := s.settle(ctx, key.row(), at, rec)
+	s.runInBackground(func(ctx context.Context) error {
+		version, err := s.write(ctx, key.row(), expected, rec)
 		if err != nil {
 			return err
 		}
 		c := &Claim{store: s, key: key, version: version, digest: rec.Digest}
-		_, err = s.settle(ctx, key.row(), version, c.releasedRecord())
+		_, err = s.write(ctx, key.row(), version, c.releasedRecord())
 		return err
 	})
 }
--- a/claim/settle.go
+++ b/claim/write.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/table"
 )
 
-// occupiedError is a write refused because the row holds somebody else's value.
+// occupiedError reports a write that was rejected because the row holds another writer's value.
 type occupiedError struct {
 	version table.Version
 	record  record
@@ -28,56 +28,54 @@
 // Reason implements failure.Coded.
 func (e *occupiedError) Reason() failure.Reason { return failure.TableConflict }
 
-// settle writes rec on condition that the row stands at version at, and
-// returns the row's new version. A write whose answer is lost is settled by
-// table.CommitSettled: the same write again, then its id read back.
+// write writes rec on condition that the row's version is expected, and returns the row's new
+// version. If the response to the write is lost, table.CommitAndResolve repeats the same write and
+// then looks for its ID in the row.
 //
-// Why a late first try cannot hurt: it is conditional on the same version as
-// its repeat, so once either has applied the other conflicts; and the row is
-// never deleted while a call lives (release writes a new value), so the version
-// Absent does not come back.
+// A first attempt that arrives late does no harm. It is conditional on the same version as its
+// repeat, so once one of them has been applied the other conflicts. The row is never deleted while
+// a call is active (Release writes a new value), so the version Absent does not recur.
 //
-// Errors: *occupiedError, *cleanedError, *CorruptError and
-// *table.UnavailableError (no effect), *table.UnknownError (ctx ended before the
-// write was settled).
-func (s *Store) settle(ctx context.Context, key table.Key, at table.Version, rec record) (table.Version, error) {
+// Errors: *occupiedError, *cleanedError, *CorruptError and *table.UnavailableError (no effect),
+// *table.UnknownError (ctx ended before the write was resolved).
+func (s *Store) write(ctx context.Context, key table.Key, expected table.Version, rec record) (table.Version, error) {
 	txn := table.Txn{
-		Checks: []table.Check{{Key: key, Version: at}},
+		Checks: []table.Check{{Key: key, Version: expected}},
 		Writes: []table.Write{{Key: key, Value: rec.encode()}},
 	}
-	mine := func(row table.Row) bool {
+	isOwn := func(row table.Row) bool {
 		have, err := decode(row)
 		return err == nil && have.Write == rec.Write
 	}
-	versions, err := table.CommitAndResolve(ctx, s.cfg.Table, txn, mine)
+	versions, err := table.CommitAndResolve(ctx, s.cfg.Table, txn, isOwn)
 	if err == nil {
 		return versions[0], nil
 	}
 	var superseded *table.SupersededError
 	if errors.As(err, &superseded) {
-		return 0, occupied(superseded.Rows[0])
+		return 0, conflictError(superseded.Rows[0])
 	}
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		return s.afterConflict(ctx, key, mine)
+		return s.resolveConflict(ctx, key, isOwn)
 	}
 	return 0, err
 }
 
-// afterConflict reads whose value the row holds. It may be this write's own, if
-// an earlier settle of it ended in doubt.
-func (s *Store) afterConflict(ctx context.Context, key table.Key, mine func(table.Row) bool) (table.Version, error) {
+// resolveConflict checks whose value the row holds. It may be that of this very write, if an
+// earlier call of write returned *table.UnknownError.
+func (s *Store) resolveConflict(ctx context.Context, key table.Key, isOwn func(table.Row) bool) (table.Version, error) {
 	rows, err := s.cfg.Table.Get(ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	if rows[0].Version != table.Absent && mine(rows[0]) {
+	if rows[0].Version != table.Absent && isOwn(rows[0]) {
 		return rows[0].Version, nil
 	}
-	return 0, occupied(rows[0])
+	return 0, conflictError(rows[0])
 }
 
-func occupied(row table.Row) error {
+func conflictError(row table.Row) error {
 	if row.Version == table.Absent {
 		return &cleanedError{key: row.Key}
 	}
@@ -88,14 +86,14 @@
 	return &occupiedError{version: row.Version, record: rec}
 }
 
-// unreachable tells whether a call failed for want of the platform.
+// unreachable reports whether err means that the table was unavailable or its response was lost.
 func unreachable(err error) bool {
 	var unavailable *table.UnavailableError
 	var unknown *table.UnknownError
 	return errors.As(err, &unavailable) || errors.As(err, &unknown)
 }
 
-// cleanedError is a row that vanished under a write: it was past its retention.
+// cleanedError reports that the row was deleted concurrently because its retention had passed.
 type cleanedError struct{ key table.Key }
 
 // Error implements error.
@@ -104,9 +102,9 @@
 // Reason implements failure.Coded.
 func (e *cleanedError) Reason() failure.Reason { return failure.ClaimUnknown }
 
-// later runs a write in the background for at most cfg.BackgroundTimeout. When too many
-// are under way it is dropped, which leaves the row saying perhaps run.
-func (s *Store) later(write func(ctx context.Context) error) {
+// runInBackground retries write for at most cfg.BackgroundTimeout. If maxBackground writes are
+// already in flight, the write is dropped, which leaves the row in state claimed.
+func (s *Store) runInBackground(write func(ctx context.Context) error) {
 	started := s.background.TryGo(func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), s.cfg.BackgroundTimeout)
 		defer cancel()
@@ -115,18 +113,18 @@
 			if err == nil || !unreachable(err) {
 				return nil
 			}
-			if !retry.Wait(ctx, settleBackoff.Delay(n, rand.Float64())) {
-				dropped(err)
+			if !retry.Wait(ctx, backgroundBackoff.Delay(n, rand.Float64())) {
+				countDropped(err)
 				return nil
 			}
 		}
 	})
 	if !started {
-		dropped(nil)
+		countDropped(nil)
 	}
 }
 
-func dropped(cause error) {
+func countDropped(cause error) {
 	metrics.GetOrCreateCounter(`springweir_claim_writes_dropped_total`).Inc()
-	klog.Warningf("claim: gave up a background write: %v", cause)
+	klog.Warningf("claim: background write abandoned: %v", cause)
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -19,14 +19,14 @@
 	target   Target
 	observer Observer
 	start    time.Time
-	// version of the weights that is asked for, and then the one that answers.
+	// version of the weights: first the requested one, then the one that the stream reports.
 	version string
 	tokens  int
 	cached  int
 }
 
-// run sends the request and passes the verified frames on. A nil result means
-// that the terminal frame arrived and the answer is whole.
+// run sends the request and forwards the verified frames. It returns nil once the terminal frame
+// has arrived and the response is complete.
 func (a *attempt) run(ctx context.Context, kv *engine.KVRef) *failure.Request {
 	ctx, watch := watchdog.New(ctx, a.g.f.cfg.FirstFrameTimeout)
 	defer watch.Stop()
@@ -38,8 +38,8 @@
 		}
 		return failed
 	}
-	failed := a.read(ctx, stream, watch)
-	// Closing drops the connection, so nothing late can reach anyone else.
+	failed := a.readFrames(ctx, stream, watch)
+	// Closing drops the connection, so that late frames cannot reach another request.
 	_ = stream.Close()
 	if failed != nil {
 		a.cancel()
@@ -54,14 +54,14 @@
 	return a.target.Engine.Generate(ctx, req)
 }
 
-// cancel frees the engine from an attempt that may still run there.
+// cancel tells the engine to drop the attempt, which may still be running there.
 func (a *attempt) cancel() {
 	if a.target.Engine != nil {
 		a.g.f.cancelAttempt(a.target.Engine, a.id)
 	}
 }
 
-func (a *attempt) read(ctx context.Context, stream engine.Stream, watch *watchdog.Watchdog) *failure.Request {
+func (a *attempt) readFrames(ctx context.Context, stream engine.Stream, watch *watchdog.Watchdog) *failure.Request {
 	for {
 		frame, err := stream.Next(ctx)
 		if err != nil {
@@ -71,18 +71,18 @@
 		if v, ok := stream.(versioned); ok {
 			a.version = v.Version()
 		}
-		done, failed := a.take(frame)
+		done, failed := a.handleFrame(frame)
 		if done || failed != nil {
 			return failed
 		}
 	}
 }
 
-// versioned is a stream that knows the version of the weights behind it, such as
-// that of an entry of another zone, which chooses the engine itself.
+// versioned is a stream that reports the version of the weights behind it. The entry of another
+// zone provides it, since it chooses the engine itself.
 type versioned interface{ Version() string }
 
-// streamFailure is the failure of a stream that ended before its terminal frame.
+// streamFailure returns the failure of a stream that ended before its terminal frame.
 func streamFailure(err error) *failure.Request {
 	if errors.Is(err, io.EOF) {
 		return &failure.Request{
@@ -91,13 +91,13 @@
 		}
 	}
 	failed := *asRequest(err, failure.Unknown)
-	// The stream had begun, so whatever ended it cannot prove it never ran.
+	// The stream had started, so its error cannot prove that the request did not run.
 	failed.Ran = failed.Ran.And(failure.Unknown)
 	return &failed
 }
 
-// take checks one frame and emits its text. done means the answer is whole.
-func (a *attempt) take(frame engine.Frame) (done bool, failed *failure.Request) {
+// handleFrame verifies one frame and emits its text. done means that the response is complete.
+func (a *attempt) handleFrame(frame engine.Frame) (done bool, failed *failure.Request) {
 	if failed := a.check(frame); failed != nil {
 		return false, failed
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-// check refuses a frame of another attempt and one that does not follow on.
+// check rejects a frame of another attempt and one that is not contiguous with the text so far.
 func (a *attempt) check(frame engine.Frame) *failure.Request {
 	mismatch := func(msg string) *failure.Request {
 		return &failure.Request{Code: failure.AnswerMismatch, Ran: failure.Unknown, Message: msg}
--- a/forward/call.go
+++ b/forward/call.go
@@ -13,23 +13,22 @@
 	"github.com/springweir/springweir/service"
 )
 
-// Response is the whole answer to a service call.
+// Response is the complete response to a service call.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Replayed is set when the call ran earlier and this is its stored answer.
+	// Replayed is set when the call ran earlier and this is its stored response.
 	Replayed bool
-	// leaving is set when the endpoint said that it leaves.
+	// leaving is set when the endpoint announced that it is about to stop.
 	leaving bool
 }
 
-// Call carries out one service call. The error is nil or *failure.Request.
+// Call executes one service call. The error is nil or *failure.Request.
 //
-// What may be tried again: a call of a repeatable service, on any failure of
-// an endpoint; a non-repeatable one with an idempotency key, only after an
-// attempt that provably did not run; a non-repeatable one without a key,
-// never. A call that may not be repeated is claimed before each dispatch.
+// Calls of a repeatable service are retried after any failure of an endpoint. Non-repeatable calls
+// with an idempotency key are retried only after an attempt that provably did not run, and those
+// without a key never. A non-repeatable call with a key is claimed before each dispatch.
 func (f *Forwarder) Call(ctx context.Context, w *Work) (*Response, error) {
 	ctx, cancel := w.context(ctx)
 	defer cancel()
@@ -38,87 +37,86 @@
 		return nil, admissionFailure(ctx, err)
 	}
 	defer release()
-	c := &call{f: f, w: w, tries: newTries(f, w)}
-	reply, failed := c.run(ctx)
-	conclude(ctx, c.held, reply, failed)
+	c := &call{f: f, w: w, attempts: newAttemptTracker(f, w)}
+	resp, failed := c.run(ctx)
+	concludeClaim(ctx, c.held, resp, failed)
 	if failed != nil {
 		return nil, failed
 	}
-	return reply, nil
+	return resp, nil
 }
 
-// call is the state of one service call over all its attempts. It belongs to
-// one goroutine.
+// call is the state of one service call over all its attempts. It belongs to one goroutine.
 type call struct {
-	f     *Forwarder
-	w     *Work
-	tries *tries
-	// held is the claim under which this process may dispatch, or nil. It is
-	// kept over attempts that provably did not run.
+	f        *Forwarder
+	w        *Work
+	attempts *attemptTracker
+	// held is the claim under which this process may dispatch, or nil. It is kept across attempts
+	// that provably did not run.
 	held *claim.Claim
 }
 
 func (c *call) run(ctx context.Context) (*Response, *failure.Request) {
 	for {
-		plan, id, failed := c.tries.route(ctx, Attempt{})
+		plan, id, failed := c.attempts.route(ctx, Attempt{})
 		if failed != nil {
 			return nil, failed
 		}
-		reply, failed := c.dispatch(ctx, plan, id)
+		resp, failed := c.dispatch(ctx, plan, id)
 		if failed == nil {
-			return reply, nil
+			return resp, nil
 		}
-		if c.tries.again(failed) {
+		if c.attempts.shouldReroute(failed) {
 			continue
 		}
-		if !c.mayRepeat(failed) {
-			return nil, c.tries.stop(ctx, failed)
+		if !c.mayRetry(failed) {
+			return nil, c.attempts.stopRetrying(ctx, failed)
 		}
-		if failed = c.tries.failed(ctx, plan.Target.Pool, failed); failed != nil {
+		if failed = c.attempts.prepareRetry(ctx, plan.Target.Pool, failed); failed != nil {
 			return nil, failed
 		}
 	}
 }
 
-func (c *call) mayRepeat(failed *failure.Request) bool {
+func (c *call) mayRetry(failed *failure.Request) bool {
 	if c.w.Repeatable {
 		return true
 	}
 	return c.w.IdempotencyKey != "" && failed.Ran == failure.NotRun
 }
 
-// dispatch makes one attempt, under a claim when the call may not be repeated.
-// An entry of another zone makes the claim itself, just before it dispatches,
-// so this process gives its own back first.
+// dispatch makes one attempt, under a claim if the call is not repeatable and has a key. The entry
+// of another zone makes the claim itself just before it dispatches, so this process releases its
+// own claim first.
 func (c *call) dispatch(ctx context.Context, plan Plan, id string) (*Response, *failure.Request) {
 	if plan.Target.Peer != nil {
 		c.release(ctx)
-		return c.f.observed(ctx, c.w, plan, id)
+		return c.f.sendObserved(ctx, c.w, plan, id)
 	}
 	stored, failed := c.claim(ctx)
 	if stored != nil || failed != nil {
-		notMade(plan.Observer, failed)
+		notifyNotSent(plan.Observer, failed)
 		return stored, failed
 	}
-	if failed := c.tries.recheck(plan); failed != nil {
+	if failed := c.attempts.recheck(plan); failed != nil {
 		return nil, failed
 	}
 	if c.held != nil {
-		return c.outlast(ctx, plan, id)
+		return c.dispatchWithGrace(ctx, plan, id)
 	}
-	return c.f.observed(ctx, c.w, plan, id)
+	return c.f.sendObserved(ctx, c.w, plan, id)
 }
 
-// notMade tells an observer that its attempt is not made after all: the
-// endpoint that was taken for it is given back.
-func notMade(o Observer, failed *failure.Request) {
+// notifyNotSent informs an observer that its attempt is not sent, so that the endpoint's
+// reservation is released.
+func notifyNotSent(o Observer, failed *failure.Request) {
 	if o != nil {
 		o.Finished(Result{Err: failed, Abandoned: true})
 	}
 }
 
-// claim takes the claim of a call that needs one. A call that ran before gives
-// its stored answer instead.
+// claim acquires the claim of a call that needs one. It returns the stored response of a call that
+// ran before.
 func (c *call) claim(ctx context.Context) (*Response, *failure.Request) {
 	w := c.w
 	if w.Repeatable || w.IdempotencyKey == "" || c.held != nil {
@@ -140,35 +138,35 @@
 	return nil, nil
 }
 
-// outlast makes an attempt that goes on for up to claim.Grace after the caller
-// was given its final answer: a confirmation that comes late is then kept for
-// the caller's repeat, and is not lost for good.
+// dispatchWithGrace makes an attempt that may continue for claim.Grace after the caller received
+// its final failure, so that a late response is stored for the caller's repeat instead of being
+// lost.
 //
-// Invariant: the claim has one owner. It passes to the attempt's goroutine only
-// when gone is closed before the result was taken, and the result is handed
-// over on an unbuffered channel, so exactly one side concludes the claim.
-func (c *call) outlast(ctx context.Context, plan Plan, id string) (*Response, *failure.Request) {
-	results, gone := make(chan callResult), make(chan struct{})
+// Invariant: the claim has one owner. It passes to the attempt's goroutine only if callerDone is
+// closed before the result was received. The result is sent on an unbuffered channel, so exactly
+// one side concludes the claim.
+func (c *call) dispatchWithGrace(ctx context.Context, plan Plan, id string) (*Response, *failure.Request) {
+	results, callerDone := make(chan callResult), make(chan struct{})
 	held := c.held
-	started := c.f.late.TryGo(func() error {
-		within, cancel := graceContext(ctx)
+	started := c.f.claimedCalls.TryGo(func() error {
+		graceCtx, cancel := graceContext(ctx)
 		defer cancel()
-		reply, failed := c.f.observed(within, c.w, plan, id)
+		resp, failed := c.f.sendObserved(graceCtx, c.w, plan, id)
 		select {
-		case results <- callResult{reply, failed}:
-		case <-gone:
-			conclude(within, held, reply, failed)
+		case results <- callResult{resp, failed}:
+		case <-callerDone:
+			concludeClaim(graceCtx, held, resp, failed)
 		}
 		return nil
 	})
 	if !started {
-		return c.f.observed(ctx, c.w, plan, id)
+		return c.f.sendObserved(ctx, c.w, plan, id)
 	}
 	select {
 	case r := <-results:
-		return r.reply, r.failed
+		return r.resp, r.failed
 	case <-ctx.Done():
-		close(gone)
+		close(callerDone)
 		c.held = nil
 		failed := contextFailure(ctx)
 		failed.Ran = failure.Unknown
@@ -177,18 +175,18 @@
 }
 
 type callResult struct {
-	reply  *Response
+	resp   *Response
 	failed *failure.Request
 }
 
-// graceContext ends claim.Grace after ctx does, or when it is cancelled itself.
+// graceContext returns a context that ends claim.Grace after ctx does, or when it is cancelled.
 func graceContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	within, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	graceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		timer := time.AfterFunc(claim.Grace, cancel)
-		context.AfterFunc(within, func() { timer.Stop() })
+		context.AfterFunc(graceCtx, func() { timer.Stop() })
 	})
-	return within, func() {
+	return graceCtx, func() {
 		stop()
 		cancel()
 	}
@@ -201,13 +199,13 @@
 	}
 }
 
-// conclude ends a claim by what is known of all attempts together. A call that
-// may have run leaves the claim as it is, so that no repeat ever runs.
-func conclude(ctx context.Context, held *claim.Claim, reply *Response, failed *failure.Request) {
+// concludeClaim ends a claim according to the combined outcome of all attempts. If the call may
+// have run, the row stays in state claimed, so that no repeat ever runs.
+func concludeClaim(ctx context.Context, held *claim.Claim, resp *Response, failed *failure.Request) {
 	switch {
 	case held == nil:
 	case failed == nil:
-		held.Finish(ctx, claim.Response{Status: reply.Status, Header: reply.Header, Body: reply.Body})
+		held.Finish(ctx, claim.Response{Status: resp.Status, Header: resp.Header, Body: resp.Body})
 	case failed.Ran == failure.NotRun:
 		held.Release(ctx)
 	case failed.Ran == failure.Done:
@@ -215,50 +213,51 @@
 	}
 }
 
-// observed makes one attempt and tells the plan's observer how it went.
-func (f *Forwarder) observed(ctx context.Context, w *Work, plan Plan, id string) (*Response, *failure.Request) {
+// sendObserved makes one attempt and reports its result to the plan's observer.
+func (f *Forwarder) sendObserved(ctx context.Context, w *Work, plan Plan, id string) (*Response, *failure.Request) {
 	start := clock.Now()
-	reply, failed := f.once(ctx, w, plan.Target, id)
+	resp, failed := f.sendOnce(ctx, w, plan.Target, id)
 	if plan.Observer != nil {
 		plan.Observer.Finished(Result{
 			Err:       failed,
 			Abandoned: failed != nil && ctx.Err() != nil,
 			Elapsed:   clock.Since(start),
-			Leaving:   saysItLeaves(reply, failed),
+			Leaving:   reportsLeaving(resp, failed),
 		})
 	}
-	return reply, failed
+	return resp, failed
 }
 
-// saysItLeaves tells whether an answer or a refusal said that its endpoint leaves.
-func saysItLeaves(reply *Response, failed *failure.Request) bool {
+// reportsLeaving reports whether the response or the refusal announced that the endpoint is
+// leaving.
+func reportsLeaving(resp *Response, failed *failure.Request) bool {
 	if failed == nil {
-		return reply.leaving
+		return resp.leaving
 	}
 	var leaving *service.LeavingError
 	return errors.As(failed, &leaving)
 }
 
-// once sends the call a single time and reads the whole answer.
-func (f *Forwarder) once(ctx context.Context, w *Work, target Target, id string) (*Response, *failure.Request) {
+// sendOnce sends the call once, without retry, and reads the complete response.
+func (f *Forwarder) sendOnce(ctx context.Context, w *Work, target Target, id string) (*Response, *failure.Request) {
 	if ctx.Err() != nil {
 		return nil, contextFailure(ctx)
 	}
 	call := w.Call
 	call.Attempt = id
-	answer, err := send(ctx, w, target, call)
+	resp, err := send(ctx, w, target, call)
 	if err != nil {
 		return nil, asRequest(err, failure.Unknown)
 	}
-	defer answer.Body.Close()
-	if answer.Attempt != "" && answer.Attempt != id {
+	defer resp.Body.Close()
+	if resp.Attempt != "" && resp.Attempt != id {
 		return nil, &failure.Request{Code: failure.AnswerMismatch, Ran: failure.Unknown, Message: "the answer belongs to another attempt"}
 	}
-	body, failed := f.readAnswer(answer)
+	body, failed := f.readResponse(resp)
 	if failed != nil {
 		return nil, failed
 	}
-	return &Response{Status: answer.Status, Header: answer.Header, Body: body, leaving: answer.Leaving}, nil
+	return &Response{Status: resp.Status, Header: resp.Header, Body: body, leaving: resp.Leaving}, nil
 }
 
 func send(ctx context.Context, w *Work, target Target, call service.Call) (*service.Answer, error) {
@@ -268,9 +267,10 @@
 	return target.Service.Do(ctx, call)
 }
 
-// readAnswer reads the whole body, so that a caller never gets half an answer.
-func (f *Forwarder) readAnswer(answer *service.Answer) ([]byte, *failure.Request) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, f.cfg.MaxResponseBytes+1))
+// readResponse reads the complete body before anything is returned, so that a caller never gets a
+// partial response.
+func (f *Forwarder) readResponse(resp *service.Answer) ([]byte, *failure.Request) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, f.cfg.MaxResponseBytes+1))
 	if err != nil {
 		return nil, bodyFailure(err)
 	}
@@ -280,8 +280,8 @@
 	return body, nil
 }
 
-// bodyFailure is the failure of an answer that had begun: it proves nothing
-// about whether the call ran to its end.
+// bodyFailure returns the failure of a response whose body ended early, which does not show whether
+// the call ran to completion.
 func bodyFailure(err error) *failure.Request {
 	var known *failure.Request
 	if errors.As(err, &known) {
@@ -292,12 +292,12 @@
 	return &failure.Request{Code: failure.AnswerTruncated, Ran: failure.Unknown, Message: "the answer broke off", Cause: err}
 }
 
-// stop ends a request whose failed attempt may not be followed by another.
-func (t *tries) stop(ctx context.Context, err *failure.Request) *failure.Request {
-	t.ran = t.ran.And(err.Ran)
-	t.last = err
+// stopRetrying returns the final failure of a request whose failed attempt must not be retried.
+func (t *attemptTracker) stopRetrying(ctx context.Context, err *failure.Request) *failure.Request {
+	t.outcome = t.outcome.And(err.Ran)
+	t.lastFailure = err
 	if ctx.Err() != nil && err.Ran != failure.Done {
-		return t.givenUp(ctx)
+		return t.abandoned(ctx)
 	}
-	return t.final(err)
+	return t.finalFailure(err)
 }
--- a/forward/fakeforward/fakeforward.go
+++ b/forward/fakeforward/fakeforward.go
@@ -1,5 +1,5 @@
-// Package fakeforward holds the in-memory fakes of the interfaces that package
-// forward needs: a router, admitters and a sink.
+// Package fakeforward provides in-memory fakes of the interfaces that package forward uses: a
+// router, admitters, a sink, a generator and counting observers.
 package fakeforward
 
 import (
@@ -12,27 +12,27 @@
 	"github.com/springweir/springweir/forward"
 )
 
-// RetryAfter is what Router says when nothing is left.
+// RetryAfter is the delay that Router returns when no target is left.
 const RetryAfter = 1500 * time.Millisecond
 
-// Router routes to the first target that suits the work and has not failed yet.
+// Router routes to the first target that accepts the work and has not failed yet.
 type Router struct {
 	Targets []forward.Target
-	// PrefillTarget, if set, is in every plan.
+	// PrefillTarget, if set, is part of every plan for an attempt that is not prefilled.
 	PrefillTarget *forward.Target
 	// Versions are the versions of the weights by target name.
 	Versions map[string]string
-	// Observers, if set, gives each plan its observers.
+	// Observers, if set, provides the observers of each plan.
 	Observers *ObserverCounter
-	// Recheck, if set, tells why a target may no longer be sent to after a wait; it is not routed to
-	// either then.
+	// Recheck, if set, returns why a target may not be used, or nil. It is consulted for routing
+	// and as Plan.Recheck.
 	Recheck func(target string) *failure.Request
 }
 
 // Route implements forward.Router.
 func (r Router) Route(_ context.Context, w *forward.Work, a forward.Attempt) (forward.Plan, error) {
 	for _, t := range r.Targets {
-		if !suits(t, w) || slices.Contains(a.Tried, t.Name) || r.recheck(t.Name) != nil {
+		if !accepts(t, w) || slices.Contains(a.Tried, t.Name) || r.recheck(t.Name) != nil {
 			continue
 		}
 		return r.plan(t, a), nil
@@ -59,49 +59,50 @@
 	return plan
 }
 
-// suits tells whether a target can take the work. A hopped one stays in the zone.
-func suits(t forward.Target, w *forward.Work) bool {
+// accepts reports whether a target can serve the work. Work from another zone must stay in this
+// zone.
+func accepts(t forward.Target, w *forward.Work) bool {
 	if t.Peer != nil {
 		return !w.FromOtherZone
 	}
 	return (t.Service != nil) == (w.Service != "")
 }
 
-// AdmitAll admits everything at once.
+// AdmitAll admits all work immediately.
 type AdmitAll struct{}
 
 // Admit implements forward.Admitter.
 func (AdmitAll) Admit(context.Context, *forward.Work) (func(), error) { return func() {}, nil }
 
-// BlockAll admits nothing: it holds work until the work's context ends.
+// BlockAll admits nothing: it blocks until the work's context ends.
 type BlockAll struct {
-	// OnAdmit, if set, is called when work is held.
+	// OnAdmit, if set, is called before Admit blocks.
 	OnAdmit func()
 }
 
 // Admit implements forward.Admitter.
-func (c BlockAll) Admit(ctx context.Context, _ *forward.Work) (func(), error) {
-	if c.OnAdmit != nil {
-		c.OnAdmit()
+func (b BlockAll) Admit(ctx context.Context, _ *forward.Work) (func(), error) {
+	if b.OnAdmit != nil {
+		b.OnAdmit()
 	}
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// Sink keeps the text that it got.
+// Sink collects the emitted text.
 type Sink struct {
 	Text strings.Builder
-	// BeforeEmit, if set, is called with the number of each piece, counted from
-	// one. Its error is that of a caller who has left.
-	BeforeEmit func(piece int) error
-	pieces     int
+	// BeforeEmit, if set, is called with the number of each delta, counted from one. An error
+	// simulates a caller that has disconnected.
+	BeforeEmit func(n int) error
+	deltas     int
 }
 
 // Emit implements forward.Sink.
 func (s *Sink) Emit(d forward.Delta) error {
-	s.pieces++
+	s.deltas++
 	if s.BeforeEmit != nil {
-		if err := s.BeforeEmit(s.pieces); err != nil {
+		if err := s.BeforeEmit(s.deltas); err != nil {
 			return err
 		}
 	}
--- a/forward/fakeforward/frames.go
+++ b/forward/fakeforward/generator.go
@@ -7,8 +7,8 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// FixedFrames is a forward.Generator that answers every attempt with the same
-// frames, whatever was asked for, and then just ends the stream.
+// FixedFrames is a forward.Generator that returns the same frames for every request and then
+// io.EOF.
 type FixedFrames []engine.Frame
 
 // Generate implements forward.Generator.
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -10,26 +10,23 @@
 	"github.com/springweir/springweir/retry"
 )
 
-// Config is what a Forwarder works with. Router and Admitter are required;
-// zero settings take the defaults.
+// Config configures a Forwarder. Router and Admitter are required; zero values take the defaults.
 type Config struct {
 	Router   Router
 	Admitter Admitter
-	// Claims keeps at-most-once calls; nil refuses non-repeatable calls that
-	// carry a key.
+	// Claims stores at-most-once calls; if nil, non-repeatable calls with a key are refused.
 	Claims *claim.Store
-	// Budgets are the retry budgets; nil makes default ones.
+	// Budgets are the retry budgets; nil creates default ones.
 	Budgets *retry.Budgets
 	Backoff retry.Backoff
-	// MaxAttempts bounds the attempts for one request.
+	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
-	// FirstFrameTimeout is how long an engine may stay silent before its first frame;
-	// MaxFrameGap how long after that. An attempt that stalls is given up
-	// and may be resumed elsewhere.
+	// FirstFrameTimeout bounds the wait for an engine's first frame, MaxFrameGap the wait for each
+	// later one. An attempt that exceeds them is abandoned and may be resumed on another engine.
 	FirstFrameTimeout, MaxFrameGap time.Duration
-	// PrefillTimeout bounds the prefill that goes before a KV import.
+	// PrefillTimeout bounds the prefill that precedes a KV cache import.
 	PrefillTimeout time.Duration
-	// MaxResponseBytes bounds a service's answer, in bytes.
+	// MaxResponseBytes bounds the body of a service's response.
 	MaxResponseBytes int64
 }
 
@@ -43,30 +40,30 @@
 )
 
 const (
-	// cancelTimeout bounds the message that tells an engine to drop an attempt.
+	// cancelTimeout bounds the request that tells an engine to drop an attempt.
 	cancelTimeout = 2 * time.Second
-	// maxCancels bounds such messages under way; more are dropped, since the
-	// closed connection tells the engine as well.
+	// maxCancels bounds the concurrent cancel requests. Further ones are dropped, since the closed
+	// connection also tells the engine.
 	maxCancels = 64
-	// maxLate bounds the claimed calls under way. Those above it do not go on
-	// once their caller was answered.
-	maxLate = 4096
+	// maxClaimedCalls bounds the concurrent claimed calls that get a grace period. Calls beyond it
+	// end with their caller.
+	maxClaimedCalls = 4096
 )
 
-// Forwarder carries work to endpoints. It is safe for concurrent use and holds
-// no lock while it waits.
+// Forwarder sends work to endpoints. It is safe for concurrent use and holds no lock while it
+// waits.
 type Forwarder struct {
 	cfg     Config
 	cancels errgroup.Group
-	// late holds the claimed calls under way, which may outlast their caller.
-	late errgroup.Group
+	// claimedCalls runs the claimed calls in flight, which may outlive their callers.
+	claimedCalls errgroup.Group
 }
 
-// New returns a Forwarder.
+// New returns a Forwarder with the defaults of cfg filled in.
 func New(cfg Config) *Forwarder {
 	f := &Forwarder{cfg: cfg.withDefaults()}
 	f.cancels.SetLimit(maxCancels)
-	f.late.SetLimit(maxLate)
+	f.claimedCalls.SetLimit(maxClaimedCalls)
 	return f
 }
 
@@ -92,15 +89,15 @@
 	}
 }
 
-// Wait returns once no cancel message and no claimed call is under way. It is
-// for planned stops, after the callers' requests have ended.
+// Wait returns once no cancel request and no claimed call is in flight. It is meant for planned
+// shutdowns, after the callers' requests have ended.
 func (f *Forwarder) Wait() {
 	_ = f.cancels.Wait()
-	_ = f.late.Wait()
+	_ = f.claimedCalls.Wait()
 }
 
-// cancelAttempt tells the engine to drop an attempt that this side gave up on,
-// without holding up the caller's final answer.
+// cancelAttempt tells the engine to drop an abandoned attempt, without delaying the caller's final
+// response.
 func (f *Forwarder) cancelAttempt(g Generator, attempt string) {
 	f.cancels.TryGo(func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
--- a/forward/generate.go
+++ b/forward/generate.go
@@ -10,13 +10,13 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// Generate carries out one generation and gives its pieces to sink. The error
-// is nil or *failure.Request, and is returned as soon as it is certain.
+// Generate executes one generation and emits its deltas to sink. The error is nil or
+// *failure.Request, and is returned as soon as it is certain.
 //
-// Invariant: sink receives the tokens 0, 1, 2, ... of one answer, each once.
-// A piece goes to it only if it carries the current attempt's id and begins at
-// the position that the pieces before it reached; a new attempt starts from
-// that position with the very text that the sink holds.
+// Invariant: sink receives the tokens 0, 1, 2, ... of one response, each exactly once. A delta is
+// emitted only if it carries the current attempt's ID and begins at the position that the earlier
+// deltas reached. A new attempt resumes from that position with exactly the text that sink has
+// accepted.
 func (f *Forwarder) Generate(ctx context.Context, w *Work, sink Sink) (Summary, error) {
 	ctx, cancel := w.context(ctx)
 	defer cancel()
@@ -25,7 +25,7 @@
 		return Summary{}, admissionFailure(ctx, err)
 	}
 	defer release()
-	g := &generation{f: f, w: w, sink: sink, tries: newTries(f, w), tokens: w.ResumeFrom, version: w.Version}
+	g := &generation{f: f, w: w, sink: sink, attempts: newAttemptTracker(f, w), tokens: w.ResumeFrom, version: w.Version}
 	g.emitted.WriteString(w.Emitted)
 	if failed := g.run(ctx); failed != nil {
 		return g.summary, failed
@@ -33,7 +33,7 @@
 	return g.summary, nil
 }
 
-// admissionFailure is the failure of work that never reached a route.
+// admissionFailure returns the failure of work that was not admitted and thus never routed.
 func admissionFailure(ctx context.Context, err error) *failure.Request {
 	if ctx.Err() != nil {
 		return contextFailure(ctx)
@@ -41,48 +41,47 @@
 	return asRequest(err, failure.NotRun)
 }
 
-// generation is the state of one request over all its attempts. It belongs to
-// one goroutine.
+// generation is the state of one request over all its attempts. It belongs to one goroutine.
 type generation struct {
-	f     *Forwarder
-	w     *Work
-	sink  Sink
-	tries *tries
-	// tokens and emitted are what the sink holds: the confirmed position.
+	f        *Forwarder
+	w        *Work
+	sink     Sink
+	attempts *attemptTracker
+	// tokens and emitted are the number and the text of the tokens that sink has accepted.
 	tokens  int
 	emitted strings.Builder
-	// version is the version of the weights that they were computed with. Two
-	// versions never meet in one answer: an engine refuses one it lacks.
+	// version is the version of the weights that computed those tokens. One response never mixes
+	// versions: an engine refuses a version that it has not loaded.
 	version string
 	summary Summary
-	// kv is the prompt's KV cache that was prefilled for an engine which left before it was sent
-	// anything, or nil.
+	// kv is the prompt's KV cache, kept when the engine it was prefilled for left before anything
+	// was sent to it; otherwise nil.
 	kv *engine.KVRef
-	// noImport is set after a failed KV import: the next attempt prefills whole.
-	noImport bool
+	// importDisabled is set after a failed KV import: the next attempt prefills the full prompt.
+	importDisabled bool
 }
 
 func (g *generation) run(ctx context.Context) *failure.Request {
 	for {
-		plan, id, failed := g.tries.route(ctx, Attempt{Emitted: g.tokens, Version: g.version, Prefilled: g.kv != nil})
+		plan, id, failed := g.attempts.route(ctx, Attempt{Emitted: g.tokens, Version: g.version, Prefilled: g.kv != nil})
 		if failed != nil {
 			return failed
 		}
-		failed = g.serve(ctx, plan, id)
+		failed = g.runAttempt(ctx, plan, id)
 		if failed == nil || g.complete() {
 			return nil
 		}
-		if g.tries.again(failed) {
+		if g.attempts.shouldReroute(failed) {
 			continue
 		}
-		if failed = g.tries.failed(ctx, plan.Target.Pool, failed); failed != nil {
+		if failed = g.attempts.prepareRetry(ctx, plan.Target.Pool, failed); failed != nil {
 			return failed
 		}
 	}
 }
 
-// complete tells whether the sink holds as many tokens as were asked for. Then
-// the answer is whole although its terminal frame was lost.
+// complete reports whether sink has accepted as many tokens as requested. The response is then
+// complete even if its terminal frame was lost.
 func (g *generation) complete() bool {
 	if g.w.MaxTokens <= 0 || g.tokens < g.w.MaxTokens {
 		return false
@@ -91,20 +90,20 @@
 	return true
 }
 
-// serve makes one attempt and tells the plan's observer how it went.
-func (g *generation) serve(ctx context.Context, plan Plan, id string) *failure.Request {
+// runAttempt makes one attempt and reports its result to the plan's observer.
+func (g *generation) runAttempt(ctx context.Context, plan Plan, id string) *failure.Request {
 	a := &attempt{g: g, id: id, target: plan.Target, observer: plan.Observer, start: clock.Now()}
 	a.version = cmp.Or(g.version, plan.Version)
 	kv := g.prefill(ctx, plan, a)
-	if failed := g.tries.recheck(plan); failed != nil {
-		g.kv = kv // for the engine that is chosen next
+	if failed := g.attempts.recheck(plan); failed != nil {
+		g.kv = kv // reused by the next attempt's engine
 		return failed
 	}
 	failed := a.run(ctx, kv)
-	// A cache that has failed once is not tried again.
-	g.noImport = g.noImport || (kv != nil && failed != nil)
+	// A failed import is not retried.
+	g.importDisabled = g.importDisabled || (kv != nil && failed != nil)
 	if kv != nil && importRefused(failed) {
-		handedOver(failed.Code)
+		countFallback(failed.Code)
 		a.id = id + "w"
 		failed = a.run(ctx, nil)
 	}
@@ -114,7 +113,7 @@
 	return failed
 }
 
-// request builds what the engine is asked for.
+// request builds the request to the engine.
 func (g *generation) request(ctx context.Context, id, version string, kv *engine.KVRef) engine.GenerateRequest {
 	w := g.w
 	req := engine.GenerateRequest{
--- a/forward/generate_test.go
+++ b/forward/generate_test.go
@@ -16,86 +16,86 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// seen is what one engine was asked to compute.
-type seen struct {
+// attemptSeen is an attempt as an engine received it.
+type attemptSeen struct {
 	Attempt string
 	From    int
 	Emitted int
 }
 
-func seenBy(e *fakeengine.Engine) []seen {
-	var out []seen
+func attemptsSeen(e *fakeengine.Engine) []attemptSeen {
+	var out []attemptSeen
 	for _, a := range e.Attempts() {
-		out = append(out, seen{a.Request.Attempt, a.Request.ResumeFrom, len(a.Request.Emitted)})
+		out = append(out, attemptSeen{a.Request.Attempt, a.Request.ResumeFrom, len(a.Request.Emitted)})
 	}
 	return out
 }
 
-func answerLen(tokens int) int { return len(enginemodel.AnswerText(testPrompt, 0, tokens)) }
+func textLen(tokens int) int { return len(enginemodel.AnswerText(testPrompt, 0, tokens)) }
 
 func TestGenerate(t *testing.T) {
 	type script = fakeengine.Behaviour
 	tests := []struct {
 		name   string
 		a, b   script
-		set    func(a, b *fakeengine.Engine)
+		setup  func(a, b *fakeengine.Engine)
 		tokens int
-		want   verdict
-		onA    []seen
-		onB    []seen
+		want   errorKind
+		onA    []attemptSeen
+		onB    []attemptSeen
 	}{
-		{name: "whole", tokens: 12, onA: []seen{{"r1.1", 0, 0}}},
+		{name: "whole", tokens: 12, onA: []attemptSeen{{"r1.1", 0, 0}}},
 		{name: "refused, then whole elsewhere", a: script{Refuse: failure.EndpointRefused}, tokens: 12,
-			onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 0, 0}}},
+			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 0, 0}}},
 		{name: "truncated, resumed elsewhere", a: script{Ending: fakeengine.Truncated, After: 5}, tokens: 12,
-			onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 5, answerLen(5)}}},
+			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 5, textLen(5)}}},
 		{name: "crossed, resumed elsewhere", a: script{Ending: fakeengine.Crossed, After: 3}, tokens: 12,
-			onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 3, answerLen(3)}}},
+			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 3, textLen(3)}}},
 		{name: "given up by the engine, resumed elsewhere", a: script{Ending: fakeengine.GivenUp, After: 3}, tokens: 12,
-			onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 3, answerLen(3)}}},
+			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 3, textLen(3)}}},
 		{name: "silent, resumed elsewhere", a: script{Ending: fakeengine.Silent, After: 4}, tokens: 12,
-			onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 4, answerLen(4)}}},
-		{name: "frozen, answered elsewhere", set: func(a, _ *fakeengine.Engine) { a.Freeze() }, tokens: 12,
-			onB: []seen{{"r1.2", 0, 0}}},
+			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 4, textLen(4)}}},
+		{name: "frozen, answered elsewhere", setup: func(a, _ *fakeengine.Engine) { a.Freeze() }, tokens: 12,
+			onB: []attemptSeen{{"r1.2", 0, 0}}},
 		{name: "terminal frame lost at the token limit", a: script{Ending: fakeengine.Truncated, After: 12}, tokens: 12,
-			onA: []seen{{"r1.1", 0, 0}}},
+			onA: []attemptSeen{{"r1.1", 0, 0}}},
 		{name: "both refuse", a: script{Refuse: failure.EndpointRefused}, b: script{Refuse: failure.EndpointRefused},
-			want: verdict{failure.EndpointRefused, failure.NotRun}, onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 0, 0}}},
+			want: errorKind{failure.EndpointRefused, failure.NotRun}, onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 0, 0}}},
 		{name: "one may have run, the other refuses", a: script{BreakBefore: true}, b: script{Refuse: failure.EndpointRefused},
-			want: verdict{failure.EndpointRefused, failure.Unknown}, onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 0, 0}}},
+			want: errorKind{failure.EndpointRefused, failure.Unknown}, onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 0, 0}}},
 		{name: "both truncated", a: script{Ending: fakeengine.Truncated, After: 2}, b: script{Ending: fakeengine.Truncated, After: 2},
-			tokens: 4, want: verdict{failure.AnswerTruncated, failure.Unknown},
-			onA: []seen{{"r1.1", 0, 0}}, onB: []seen{{"r1.2", 2, answerLen(2)}}},
-		{name: "both unreachable", set: func(a, b *fakeengine.Engine) { a.SetUnreachable(true); b.SetUnreachable(true) },
-			want: verdict{failure.EndpointUnreachable, failure.NotRun}},
+			tokens: 4, want: errorKind{failure.AnswerTruncated, failure.Unknown},
+			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 2, textLen(2)}}},
+		{name: "both unreachable", setup: func(a, b *fakeengine.Engine) { a.SetUnreachable(true); b.SetUnreachable(true) },
+			want: errorKind{failure.EndpointUnreachable, failure.NotRun}},
 		{name: "a bad request is not retried", a: script{Refuse: failure.BadRequest},
-			want: verdict{failure.BadRequest, failure.NotRun}, onA: []seen{{"r1.1", 0, 0}}},
+			want: errorKind{failure.BadRequest, failure.NotRun}, onA: []attemptSeen{{"r1.1", 0, 0}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a, b, router := twoEngines()
-				a.Script(always(tt.a))
-				b.Script(always(tt.b))
-				if tt.set != nil {
-					tt.set(a, b)
+				a.Script(behaveAlways(tt.a))
+				b.Script(behaveAlways(tt.b))
+				if tt.setup != nil {
+					tt.setup(a, b)
 				}
 				router.Observers = new(fakeforward.ObserverCounter)
 				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 				var sink fakeforward.Sink
 				_, err := f.Generate(t.Context(), testWork(), &sink)
 				f.Wait()
-				settled(t, router.Observers)
-				if diff := cmp.Diff(tt.want, verdictOf(t, err)); diff != "" {
-					t.Errorf("verdict (-want +got):\n%s", diff)
+				checkObservers(t, router.Observers)
+				if diff := cmp.Diff(tt.want, errorKindOf(t, err)); diff != "" {
+					t.Errorf("failure (-want +got):\n%s", diff)
 				}
 				if diff := cmp.Diff(enginemodel.AnswerText(testPrompt, 0, tt.tokens), sink.Text.String()); diff != "" {
 					t.Errorf("text (-want +got):\n%s", diff)
 				}
-				if diff := cmp.Diff(tt.onA, seenBy(a)); diff != "" {
+				if diff := cmp.Diff(tt.onA, attemptsSeen(a)); diff != "" {
 					t.Errorf("attempts on a (-want +got):\n%s", diff)
 				}
-				if diff := cmp.Diff(tt.onB, seenBy(b)); diff != "" {
+				if diff := cmp.Diff(tt.onB, attemptsSeen(b)); diff != "" {
 					t.Errorf("attempts on b (-want +got):\n%s", diff)
 				}
 			})
@@ -103,12 +103,12 @@
 	}
 }
 
-// TestTwoVersionsNeverMeet: a stream that broke goes on with the version that
-// the caller already holds tokens of, even if the router would offer another.
-func TestTwoVersionsNeverMeet(t *testing.T) {
+// TestResumeKeepsVersion: an interrupted stream resumes with the version that computed the tokens
+// the caller already holds, even if the router offers another version.
+func TestResumeKeepsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, router := twoEngines()
-		a.Script(always(fakeengine.Behaviour{Ending: fakeengine.Truncated, After: 5}))
+		a.Script(behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Truncated, After: 5}))
 		router.Versions = map[string]string{"a": "v1", "b": "v2"}
 		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 		if _, err := f.Generate(t.Context(), testWork(), new(fakeforward.Sink)); err != nil {
@@ -121,7 +121,7 @@
 	})
 }
 
-func TestFramesThatDoNotFit(t *testing.T) {
+func TestInvalidFrames(t *testing.T) {
 	first := engine.Frame{Attempt: "r1.1", Position: 0, Tokens: 2, Text: "one two "}
 	end := engine.Frame{Attempt: "r1.1", Position: 3, Finish: engine.Stop}
 	tests := []struct {
@@ -147,7 +147,7 @@
 			f := forward.New(forward.Config{Router: fakeforward.Router{Targets: []forward.Target{target}}, Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
 			var sink fakeforward.Sink
 			_, err := f.Generate(t.Context(), testWork(), &sink)
-			if got := verdictOf(t, err); got.Reason != tt.want || (err != nil && got.Ran != failure.Unknown) {
+			if got := errorKindOf(t, err); got.Reason != tt.want || (err != nil && got.Ran != failure.Unknown) {
 				t.Errorf("got %+v, want %q with outcome unknown", got, tt.want)
 			}
 			if diff := cmp.Diff(tt.text, sink.Text.String()); diff != "" {
@@ -157,58 +157,58 @@
 	}
 }
 
-func leaveAtThird(piece int) error {
-	if piece == 3 {
+func disconnectAtThird(n int) error {
+	if n == 3 {
 		return context.Canceled
 	}
 	return nil
 }
 
-func TestGivenUpRequestsAreAnsweredAtOnce(t *testing.T) {
+func TestAbandonedRequestsFailImmediately(t *testing.T) {
 	tests := []struct {
 		name     string
 		admitter forward.Admitter
-		set      func(a *fakeengine.Engine)
+		setup    func(a *fakeengine.Engine)
 		sink     fakeforward.Sink
-		want     verdict
-		after    time.Duration
-		// cancelled is set when the engine must be told.
+		want     errorKind
+		elapsed  time.Duration
+		// cancelled is set when the engine must receive a cancel request.
 		cancelled bool
 	}{
-		{name: "deadline while queued", admitter: fakeforward.BlockAll{}, want: verdict{failure.DeadlinePassed, failure.NotRun}, after: 2 * time.Second},
-		{name: "deadline on a frozen engine", admitter: fakeforward.AdmitAll{}, set: func(a *fakeengine.Engine) { a.Freeze() },
-			want: verdict{failure.DeadlinePassed, failure.Unknown}, after: 2 * time.Second, cancelled: true},
+		{name: "deadline while queued", admitter: fakeforward.BlockAll{}, want: errorKind{failure.DeadlinePassed, failure.NotRun}, elapsed: 2 * time.Second},
+		{name: "deadline on a frozen engine", admitter: fakeforward.AdmitAll{}, setup: func(a *fakeengine.Engine) { a.Freeze() },
+			want: errorKind{failure.DeadlinePassed, failure.Unknown}, elapsed: 2 * time.Second, cancelled: true},
 		{name: "deadline in a stream", admitter: fakeforward.AdmitAll{},
-			set: func(a *fakeengine.Engine) {
-				a.Script(always(fakeengine.Behaviour{Ending: fakeengine.Silent, After: 3}))
+			setup: func(a *fakeengine.Engine) {
+				a.Script(behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Silent, After: 3}))
 			},
-			want: verdict{failure.DeadlinePassed, failure.Unknown}, after: 2 * time.Second, cancelled: true},
-		{name: "caller gone", admitter: fakeforward.AdmitAll{}, sink: fakeforward.Sink{BeforeEmit: leaveAtThird},
-			want: verdict{failure.CallerGone, failure.Unknown}, after: 90 * time.Millisecond, cancelled: true},
+			want: errorKind{failure.DeadlinePassed, failure.Unknown}, elapsed: 2 * time.Second, cancelled: true},
+		{name: "caller gone", admitter: fakeforward.AdmitAll{}, sink: fakeforward.Sink{BeforeEmit: disconnectAtThird},
+			want: errorKind{failure.CallerGone, failure.Unknown}, elapsed: 90 * time.Millisecond, cancelled: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a, _, router := twoEngines()
-				if tt.set != nil {
-					tt.set(a)
+				if tt.setup != nil {
+					tt.setup(a)
 				}
 				var cancels cancelLog
-				router.Targets[0].Engine = &cancelNoting{a, &cancels}
+				router.Targets[0].Engine = &cancelRecorder{a, &cancels}
 				f := forward.New(forward.Config{Router: router, Admitter: tt.admitter})
 				work := testWork()
 				start := time.Now()
 				work.Deadline = start.Add(2 * time.Second)
 				_, err := f.Generate(t.Context(), work, &tt.sink)
-				if diff := cmp.Diff(tt.want, verdictOf(t, err)); diff != "" {
+				if diff := cmp.Diff(tt.want, errorKindOf(t, err)); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
 				}
-				if d := time.Since(start); d != tt.after {
-					t.Errorf("answered after %v, want %v", d, tt.after)
+				if d := time.Since(start); d != tt.elapsed {
+					t.Errorf("returned after %v, want %v", d, tt.elapsed)
 				}
 				f.Wait()
 				if got := len(cancels) > 0; got != tt.cancelled {
-					t.Errorf("the engine was told of %q, want told: %v", cancels, tt.cancelled)
+					t.Errorf("cancelled attempts %q, want any: %v", cancels, tt.cancelled)
 				}
 			})
 		})
@@ -218,23 +218,23 @@
 // cancelLog lists the attempts that an engine was told to drop.
 type cancelLog []string
 
-type cancelNoting struct {
+type cancelRecorder struct {
 	*fakeengine.Engine
 	log *cancelLog
 }
 
 // Cancel implements forward.Generator.
-func (c *cancelNoting) Cancel(ctx context.Context, attempt string) error {
+func (c *cancelRecorder) Cancel(ctx context.Context, attempt string) error {
 	*c.log = append(*c.log, attempt)
 	return c.Engine.Cancel(ctx, attempt)
 }
 
-// TestFailingEndpointAddsAtMostTheBudget measures the load that retries add.
-func TestFailingEndpointAddsAtMostTheBudget(t *testing.T) {
+// TestRetryBudgetBoundsAddedLoad measures the load that retries add.
+func TestRetryBudgetBoundsAddedLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests, gap = 3000, 10 * time.Millisecond
 		a, b, router := twoEngines()
-		down := always(fakeengine.Behaviour{Refuse: failure.EndpointRefused})
+		down := behaveAlways(fakeengine.Behaviour{Refuse: failure.EndpointRefused})
 		a.Script(down)
 		b.Script(down)
 		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
@@ -244,7 +244,7 @@
 		}
 		time.Sleep(time.Minute)
 		added := len(a.Attempts()) + len(b.Attempts()) - requests
-		// 10% of 3000, half a retry a second for 30 s, and a burst of 10.
+		// 10% of 3000, half a retry per second for 30 s, and a burst of 10.
 		const bound = 300 + 15 + 10
 		t.Logf("%d requests, %d retries, bound %d, without a budget %d", requests, added, bound, requests)
 		if added > bound || added < bound/2 {
--- a/forward/rig_test.go
+++ b/forward/helpers_test.go
@@ -18,7 +18,7 @@
 	return &forward.Work{ID: "r1", Model: "m", Prompt: testPrompt, PromptTokens: 10, MaxTokens: 12}
 }
 
-// twoEngines returns fakes that answer a token every 20 ms, and a router to them.
+// twoEngines returns fakes that emit a token every 20 ms, and a router to them.
 func twoEngines() (a, b *fakeengine.Engine, router fakeforward.Router) {
 	opts := fakeengine.Options{FirstToken: 50 * time.Millisecond, TokenGap: 20 * time.Millisecond}
 	opts.Incarnation = "a1"
@@ -31,34 +31,34 @@
 	}}
 }
 
-// always scripts a fake engine.
-func always(b fakeengine.Behaviour) func(engine.GenerateRequest) fakeengine.Behaviour {
+// behaveAlways returns a fake engine's script that gives every request the same behaviour.
+func behaveAlways(b fakeengine.Behaviour) func(engine.GenerateRequest) fakeengine.Behaviour {
 	return func(engine.GenerateRequest) fakeengine.Behaviour { return b }
 }
 
-// verdict is a failure without its words.
-type verdict struct {
+// errorKind is the comparable part of a failure.
+type errorKind struct {
 	Reason failure.Reason
 	Ran    failure.Outcome
 }
 
-func verdictOf(t *testing.T, err error) verdict {
+func errorKindOf(t *testing.T, err error) errorKind {
 	t.Helper()
 	if err == nil {
-		return verdict{}
+		return errorKind{}
 	}
 	var f *failure.Request
 	if !errors.As(err, &f) {
 		t.Fatalf("got %T (%v), want *failure.Request", err, err)
 	}
-	return verdict{f.Code, f.Ran}
+	return errorKind{f.Code, f.Ran}
 }
 
-// settled fails the test unless each observer was told once of its attempt's end.
-func settled(t *testing.T, l *fakeforward.ObserverCounter) {
+// checkObservers fails the test unless each observer received Finished exactly once.
+func checkObservers(t *testing.T, c *fakeforward.ObserverCounter) {
 	t.Helper()
-	given, open, twice := l.Counts()
-	if given == 0 || open != 0 || twice != 0 {
-		t.Errorf("of %d observers %d were not told of the end, %d twice", given, open, twice)
+	created, unfinished, repeated := c.Counts()
+	if created == 0 || unfinished != 0 || repeated != 0 {
+		t.Errorf("%d observers, %d without Finished, %d repeated calls of Finished", created, unfinished, repeated)
 	}
 }
--- a/forward/history_test.go
+++ b/forward/history_test.go
@@ -21,15 +21,15 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// guards are the parts that a test may take out.
-type guards struct {
+// wrappers replace the table and the endpoints by variants without a safeguard.
+type wrappers struct {
 	table    func(table.Service) table.Service
 	endpoint func(service.Endpoint) service.Endpoint
 }
 
-// randomCalls lets callers confirm and repeat through several VMs, some of them
-// paused, while table and endpoints fail. It returns the promises broken.
-func randomCalls(seed uint64, g guards) []string {
+// randomCalls makes callers send and repeat confirmations through several VMs, some of which are
+// paused, while the table and the endpoints fail. It returns the violations found.
+func randomCalls(seed uint64, wrap wrappers) []string {
 	const vms, callers, keys, requests = 3, 6, 12, 8
 	rows := memtable.New()
 	rows.SetHook(history.TableFaults(history.NewDice(seed, 1)))
@@ -37,37 +37,37 @@
 	router := fakeforward.Router{Observers: new(fakeforward.ObserverCounter)}
 	for i, e := range endpoints {
 		e.Script(endpointFaults(history.NewDice(seed, uint64(i)+2)))
-		router.Targets = append(router.Targets, forward.Target{Name: fmt.Sprint(i), Service: g.endpoint(e)})
+		router.Targets = append(router.Targets, forward.Target{Name: fmt.Sprint(i), Service: wrap.endpoint(e)})
 	}
-	var entries []*forward.Forwarder
+	var forwarders []*forward.Forwarder
 	for vm := range uint64(vms) {
-		paused := &history.Pausing{Service: g.table(rows), Dice: history.NewDice(seed, vm+10)}
+		paused := &history.Pausing{Service: wrap.table(rows), Dice: history.NewDice(seed, vm+10)}
 		claims := claim.NewStore(claim.Config{Table: paused})
 		defer claims.Wait()
-		entries = append(entries, forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims}))
+		forwarders = append(forwarders, forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims}))
 	}
 	var mu sync.Mutex
-	var told []history.Told
+	var results []history.Told
 	var wg sync.WaitGroup
 	for c := range callers {
 		dice := history.NewDice(seed, uint64(c)+100)
 		wg.Go(func() {
 			for n := range requests {
 				time.Sleep(dice.Millis(500))
-				t := confirm(entries[dice.Roll(vms)], fmt.Sprintf("r%d-%d", c, n), fmt.Sprint("k", dice.Roll(keys)))
+				t := confirm(forwarders[dice.Roll(vms)], fmt.Sprintf("r%d-%d", c, n), fmt.Sprint("k", dice.Roll(keys)))
 				mu.Lock()
-				told = append(told, t)
+				results = append(results, t)
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	time.Sleep(time.Minute) // what still runs has run then
-	broken := history.Check(told, runs(endpoints))
-	if _, open, twice := router.Observers.Counts(); open+twice > 0 {
-		broken = append(broken, fmt.Sprintf("%d observers not told of the end, %d twice", open, twice))
+	time.Sleep(time.Minute) // until all background work has ended
+	violations := history.Check(results, runs(endpoints))
+	if _, unfinished, repeated := router.Observers.Counts(); unfinished+repeated > 0 {
+		violations = append(violations, fmt.Sprintf("%d observers without Finished, %d repeated calls of Finished", unfinished, repeated))
 	}
-	return broken
+	return violations
 }
 
 func confirm(f *forward.Forwarder, request, key string) history.Told {
@@ -75,13 +75,13 @@
 	work.Deadline = time.Now().Add(3 * time.Second)
 	work.Call.Body = []byte(key)
 	t := history.Told{Request: request, Key: key, Want: "for " + key}
-	reply, err := f.Call(context.Background(), work)
+	resp, err := f.Call(context.Background(), work)
 	var failed *failure.Request
 	if errors.As(err, &failed) {
 		t.Ran = failed.Ran
 		return t
 	}
-	t.Got = string(reply.Body)
+	t.Got = string(resp.Body)
 	return t
 }
 
@@ -121,73 +121,74 @@
 
 const historySeeds = 100
 
-// hopeful calls every failure of an endpoint not run.
-type hopeful struct{ service.Endpoint }
+// alwaysNotRun reports every failure of an endpoint as not run.
+type alwaysNotRun struct{ service.Endpoint }
 
 // Do implements service.Endpoint.
-func (h hopeful) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
-	answer, err := h.Endpoint.Do(ctx, call)
+func (h alwaysNotRun) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+	resp, err := h.Endpoint.Do(ctx, call)
 	if err == nil {
-		return answer, nil
+		return resp, nil
 	}
 	return nil, &failure.Request{Code: failure.EndpointRefused, Ran: failure.NotRun}
 }
 
-// crossing answers each call with the answer to the one before, under a false name.
-type crossing struct {
+// swapping returns the response of the previous call under the current call's attempt ID.
+type swapping struct {
 	service.Endpoint
 	mu   sync.Mutex
 	last *service.Answer
 }
 
 // Do implements service.Endpoint.
-func (c *crossing) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
-	answer, err := c.Endpoint.Do(ctx, call)
+func (c *swapping) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+	resp, err := c.Endpoint.Do(ctx, call)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last == nil {
-		c.last = answer
+		c.last = resp
 		return nil, &failure.Request{Code: failure.EndpointBroke, Ran: failure.Unknown}
 	}
-	answer, c.last = c.last, answer
-	answer.Attempt = call.Attempt
-	return answer, nil
+	resp, c.last = c.last, resp
+	resp.Attempt = call.Attempt
+	return resp, nil
 }
 
-func TestHistories(t *testing.T) {
+func TestRandomHistories(t *testing.T) {
 	sameTable := func(s table.Service) table.Service { return s }
 	sameEndpoint := func(e service.Endpoint) service.Endpoint { return e }
 	tests := []struct {
-		name   string
-		guards guards
-		// atLeast histories must be objected to; with all guards, none may be.
-		atLeast int
+		name     string
+		wrappers wrappers
+		// minViolating is the least number of histories that must contain violations; zero means
+		// that none may.
+		minViolating int
 	}{
-		{"all guards", guards{sameTable, sameEndpoint}, 0},
-		{"claims without conditions", guards{func(s table.Service) table.Service { return history.Unconditional{Service: s} }, sameEndpoint}, historySeeds / 2},
-		{"failures taken for not run", guards{sameTable, func(e service.Endpoint) service.Endpoint { return hopeful{e} }}, historySeeds / 2},
-		{"answers under a false name", guards{sameTable, func(e service.Endpoint) service.Endpoint { return &crossing{Endpoint: e} }}, historySeeds / 4},
+		{"all guards", wrappers{sameTable, sameEndpoint}, 0},
+		{"claims without conditions", wrappers{func(s table.Service) table.Service { return history.Unconditional{Service: s} }, sameEndpoint}, historySeeds / 2},
+		{"failures taken for not run", wrappers{sameTable, func(e service.Endpoint) service.Endpoint { return alwaysNotRun{e} }}, historySeeds / 2},
+		{"answers under a false name", wrappers{sameTable, func(e service.Endpoint) service.Endpoint { return &swapping{Endpoint: e} }}, historySeeds / 4},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			objections := 0
+			violating := 0
 			for seed := range uint64(historySeeds) {
 				synctest.Test(t, func(t *testing.T) {
-					broken := randomCalls(seed, tt.guards)
-					if len(broken) > 0 {
-						objections++
+					violations := randomCalls(seed, tt.wrappers)
+					if len(violations) > 0 {
+						violating++
 					}
-					if tt.atLeast == 0 && len(broken) > 0 {
-						t.Errorf("seed %d: %s", seed, strings.Join(broken, "; "))
+					if tt.minViolating == 0 && len(violations) > 0 {
+						t.Errorf("seed %d: %s", seed, strings.Join(violations, "; "))
 					}
 				})
 			}
-			t.Logf("objected to %d of %d histories", objections, historySeeds)
-			if objections < tt.atLeast {
-				t.Errorf("objected to %d histories without the guard, want at least %d", objections, tt.atLeast)
+			t.Logf("violations in %d of %d histories", violating, historySeeds)
+			if violating < tt.minViolating {
+				t.Errorf("violations in %d histories without the safeguard, want at least %d", violating, tt.minViolating)
 			}
 		})
 	}
--- a/forward/handover_test.go
+++ b/forward/kvtransfer_test.go
@@ -15,8 +15,9 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// pair routes prefills to one engine and serving to another, and there again.
-func pair(prefill, serve *fakeengine.Engine) fakeforward.Router {
+// disaggregatedRouter returns a router that sends prefills to one engine and up to two attempts at
+// decoding to another.
+func disaggregatedRouter(prefill, serve *fakeengine.Engine) fakeforward.Router {
 	var targets []forward.Target
 	for _, name := range []string{"b", "b again"} {
 		targets = append(targets, forward.Target{Name: name, Engine: serve})
@@ -28,7 +29,7 @@
 	}
 }
 
-func TestHandOver(t *testing.T) {
+func TestKVTransfer(t *testing.T) {
 	refuseImport := func(r engine.GenerateRequest) fakeengine.Behaviour {
 		if r.KV != nil {
 			return fakeengine.Behaviour{Refuse: failure.EndpointRefused}
@@ -45,13 +46,13 @@
 		name           string
 		prefill, serve func(engine.GenerateRequest) fakeengine.Behaviour
 		frozen         bool
-		// imports tells for each attempt on the serving engine whether it imported.
+		// imports holds, for each attempt on the serving engine, whether it imported a cache.
 		imports []bool
 	}{
 		{name: "imported", imports: []bool{true}},
-		{name: "prefill refused", prefill: always(fakeengine.Behaviour{Refuse: failure.EndpointRefused}), imports: []bool{false}},
-		{name: "prefill crashed", prefill: always(fakeengine.Behaviour{Ending: fakeengine.Truncated}), imports: []bool{false}},
-		{name: "prefill crossed", prefill: always(fakeengine.Behaviour{Ending: fakeengine.Crossed}), imports: []bool{false}},
+		{name: "prefill refused", prefill: behaveAlways(fakeengine.Behaviour{Refuse: failure.EndpointRefused}), imports: []bool{false}},
+		{name: "prefill crashed", prefill: behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Truncated}), imports: []bool{false}},
+		{name: "prefill crossed", prefill: behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Crossed}), imports: []bool{false}},
 		{name: "prefill frozen", frozen: true, imports: []bool{false}},
 		{name: "import refused", serve: refuseImport, imports: []bool{true, false}},
 		{name: "serving engine breaks after the import", serve: breakImport, imports: []bool{true, false}},
@@ -65,7 +66,7 @@
 				if tt.frozen {
 					a.Freeze()
 				}
-				router := pair(a, b)
+				router := disaggregatedRouter(a, b)
 				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 				var sink fakeforward.Sink
 				work := testWork()
@@ -74,7 +75,7 @@
 					t.Fatal(err)
 				}
 				f.Wait()
-				settled(t, router.Observers)
+				checkObservers(t, router.Observers)
 				if diff := cmp.Diff(enginemodel.AnswerText(testPrompt, 0, 12), sink.Text.String()); diff != "" {
 					t.Errorf("text (-want +got):\n%s", diff)
 				}
@@ -90,14 +91,14 @@
 	}
 }
 
-// TestPrefillCountsAsRun: a request of which only the prompt was computed did run.
+// TestPrefillCountsAsRun: a request whose prompt was prefilled has outcome unknown, not not-run.
 func TestPrefillCountsAsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _ := twoEngines()
 		b.SetUnreachable(true)
-		f := forward.New(forward.Config{Router: pair(a, b), Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
+		f := forward.New(forward.Config{Router: disaggregatedRouter(a, b), Admitter: fakeforward.AdmitAll{}, MaxAttempts: 1})
 		_, err := f.Generate(t.Context(), testWork(), new(fakeforward.Sink))
-		if diff := cmp.Diff(verdict{failure.EndpointUnreachable, failure.Unknown}, verdictOf(t, err)); diff != "" {
+		if diff := cmp.Diff(errorKind{failure.EndpointUnreachable, failure.Unknown}, errorKindOf(t, err)); diff != "" {
 			t.Errorf("(-want +got):\n%s", diff)
 		}
 	})
--- a/forward/peer.go
+++ b/forward/peer.go
@@ -19,27 +19,26 @@
 	"github.com/springweir/springweir/service"
 )
 
-// maxErrorBody bounds how much of a peer's error is read, in bytes.
+// maxErrorBody bounds how much of a peer's error body is read, in bytes.
 const maxErrorBody = 64 << 10
 
 // Limits of the connections to entries of other zones.
 const (
 	peerConnectTimeout = time.Second
-	// peerKeepAlive is below the idle limit of an entry's own server.
+	// peerKeepAlive is below the idle timeout of an entry's server.
 	peerKeepAlive = 30 * time.Second
 	peerMaxIdle   = 16
 )
 
-// PeerTarget is an entry of another zone, spoken to over the same HTTP
-// interface as callers use, with a header that forbids a second hop.
+// PeerTarget is the entry of another zone. It is called through the same HTTP interface as callers
+// use, with a header that forbids a second hop.
 type PeerTarget struct {
 	base      string
 	transport *http.Transport
 }
 
-// NewPeerTransport returns the transport that all PeerTargets of a process
-// share. It does not bound the wait for an answer's head, which comes with the
-// first token; the forwarder does.
+// NewPeerTransport returns the transport shared by all PeerTargets of a process. It sets no timeout
+// for the response header, which arrives with the first token; the forwarder does.
 func NewPeerTransport() *http.Transport {
 	return httponce.NewTransport(httponce.TransportOptions{
 		ConnectTimeout: peerConnectTimeout,
@@ -48,8 +47,8 @@
 	})
 }
 
-// NewPeerTarget returns the entry at address (host:port), reached over a
-// transport of NewPeerTransport.
+// NewPeerTarget returns the entry at address (host:port), reached over a transport of
+// NewPeerTransport.
 func NewPeerTarget(address string, transport *http.Transport) *PeerTarget {
 	return &PeerTarget{base: "http://" + address, transport: transport}
 }
@@ -94,9 +93,8 @@
 	}, nil
 }
 
-// send makes one HTTP exchange, never repeated (see internal/httponce). A
-// failure that the peer itself answers with comes back as that failure, whose
-// outcome the peer vouches for.
+// send makes one HTTP exchange without retry (see internal/httponce). A failure that the peer
+// reports is returned as such, with the peer's outcome.
 func (p *PeerTarget) send(ctx context.Context, w *Work, attempt, method, path string, header http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, p.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -108,14 +106,14 @@
 	setHopHeaders(ctx, req.Header, w, attempt)
 	resp, err := httponce.Send(p.transport, req)
 	if err != nil {
-		return nil, peerBroke(err)
+		return nil, exchangeFailure(err)
 	}
 	if resp.Header.Get(wire.HeaderAttempt) != attempt {
 		resp.Abort()
 		return nil, &failure.Request{Code: failure.AnswerMismatch, Ran: failure.Unknown, Message: "the answer belongs to another attempt"}
 	}
 	if reason := resp.Header.Get(wire.HeaderReason); reason != "" {
-		return nil, peerRefused(resp.Response, failure.Reason(reason))
+		return nil, readPeerFailure(resp.Response, failure.Reason(reason))
 	}
 	return resp.Response, nil
 }
@@ -129,8 +127,8 @@
 		header.Set(wire.HeaderIdempotencyKey, w.IdempotencyKey)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		left := max(clock.Until(deadline).Milliseconds(), 1)
-		header.Set(wire.HeaderDeadline, strconv.FormatInt(left, 10))
+		remaining := max(clock.Until(deadline).Milliseconds(), 1)
+		header.Set(wire.HeaderDeadline, strconv.FormatInt(remaining, 10))
 	}
 }
 
@@ -145,18 +143,18 @@
 	}
 }
 
-// peerBroke is the failure of an exchange that gave no answer.
-func peerBroke(err error) *failure.Request {
-	var broke *httponce.Error
-	if !errors.As(err, &broke) {
+// exchangeFailure returns the failure of an exchange that got no response.
+func exchangeFailure(err error) *failure.Request {
+	var exchange *httponce.Error
+	if !errors.As(err, &exchange) {
 		return asRequest(err, failure.Unknown)
 	}
-	return &failure.Request{Code: broke.Reason(), Ran: broke.Outcome(), Message: "the other zone's entry did not answer", Cause: err}
+	return &failure.Request{Code: exchange.Reason(), Ran: exchange.Outcome(), Message: "the other zone's entry did not answer", Cause: err}
 }
 
-// peerRefused reads the failure that a peer answered with. One that cannot be
-// read proves nothing.
-func peerRefused(resp *http.Response, reason failure.Reason) *failure.Request {
+// readPeerFailure decodes the failure that a peer reported. If it cannot be decoded, the outcome is
+// unknown.
+func readPeerFailure(resp *http.Response, reason failure.Reason) *failure.Request {
 	defer resp.Body.Close()
 	var body wire.ErrorBody
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&body)
--- a/forward/crossed_test.go
+++ b/forward/peermismatch_test.go
@@ -13,10 +13,10 @@
 	"github.com/springweir/springweir/service"
 )
 
-// TestPeerTargetRefusesCrossedAnswers lets an entry of another zone answer as
-// another attempt, with an answer and with that attempt's word that it did not
-// run, which must never pass for this one's.
-func TestPeerTargetRefusesCrossedAnswers(t *testing.T) {
+// TestPeerTargetRejectsMismatchedResponses: the entry of another zone returns the response or the
+// refusal of another attempt. Neither may count for the current attempt, in particular not an
+// outcome of not run.
+func TestPeerTargetRejectsMismatchedResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name, attempt, reason string
 		want                  failure.Request
@@ -51,10 +51,10 @@
 					t.Errorf("%s: got %s, %s (%v), want %s, %s", what, got.Code, got.Ran, err, tt.want.Code, tt.want.Ran)
 				}
 			}
-			answer, err := peer.Do(t.Context(), work, service.Call{Method: http.MethodGet, Path: "/x", Header: http.Header{}, Attempt: "r.1"})
+			resp, err := peer.Do(t.Context(), work, service.Call{Method: http.MethodGet, Path: "/x", Header: http.Header{}, Attempt: "r.1"})
 			check("call", err)
 			if err == nil {
-				_ = answer.Body.Close()
+				_ = resp.Body.Close()
 			}
 			stream, err := peer.Generate(t.Context(), work, engine.GenerateRequest{Attempt: "r.1"})
 			check("generation", err)
--- a/forward/hiddenrepeat_test.go
+++ b/forward/peerretry_test.go
@@ -12,10 +12,9 @@
 	"github.com/springweir/springweir/service"
 )
 
-// dyingServer answers the first request of each connection and kills the
-// connection after it has read the second: a keep-alive connection that dies
-// once the request on it has been handled.
-func dyingServer(t *testing.T) (address string, handled *atomic.Int64) {
+// closingServer responds to the first request of each connection and closes the connection after it
+// has read the second, as when a keep-alive connection breaks after a request was handled.
+func closingServer(t *testing.T) (address string, handled *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,13 +27,13 @@
 			if err != nil {
 				return
 			}
-			go serveDying(conn, handled)
+			go serveClosing(conn, handled)
 		}
 	}()
 	return listener.Addr().String(), handled
 }
 
-func serveDying(conn net.Conn, handled *atomic.Int64) {
+func serveClosing(conn net.Conn, handled *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for n := 0; n < 2; n++ {
@@ -50,7 +49,7 @@
 	}
 }
 
-func TestPeerTargetNeverRepeats(t *testing.T) {
+func TestPeerTargetNeverRetries(t *testing.T) {
 	tests := []struct {
 		name, method string
 		body         []byte
@@ -62,7 +61,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			address, handled := dyingServer(t)
+			address, handled := closingServer(t)
 			transport := NewPeerTransport()
 			defer transport.CloseIdleConnections()
 			peer := NewPeerTarget(address, transport)
@@ -70,14 +69,14 @@
 			work := &Work{ID: "r", Service: "slots", IdempotencyKey: "k"}
 			work.Call = service.Call{Method: tt.method, Path: "/x", Header: http.Header{}, Body: tt.body}
 			target := Target{Name: "peer", Peer: peer}
-			if _, failed := f.once(context.Background(), work, target, "r.1"); failed != nil {
+			if _, failed := f.sendOnce(context.Background(), work, target, "r.1"); failed != nil {
 				t.Fatalf("first call: %v", failed)
 			}
-			if _, failed := f.once(context.Background(), work, target, "r.1"); failed == nil || failed.Ran != "unknown" {
+			if _, failed := f.sendOnce(context.Background(), work, target, "r.1"); failed == nil || failed.Ran != "unknown" {
 				t.Errorf("second call: %v, want a failure with outcome unknown", failed)
 			}
 			if got := handled.Load(); got != 2 {
-				t.Errorf("handled %d requests for 2 sent", got)
+				t.Errorf("server handled %d requests, want the 2 that were sent", got)
 			}
 		})
 	}
--- a/forward/peerstream.go
+++ b/forward/peerstream.go
@@ -17,15 +17,15 @@
 // maxEvent bounds one event of a peer's stream, in bytes.
 const maxEvent = 1 << 20
 
-// peerStream reads the events of a hopped completion as frames. The request's
+// peerStream reads the events of a completion served by another zone as frames. The request's
 // context bounds its reads. It belongs to one goroutine.
 type peerStream struct {
 	body    io.ReadCloser
 	scanner *bufio.Scanner
 	attempt string
-	// version is the version of the weights that the last event named.
+	// version is the version of the weights in the last event.
 	version string
-	// ended is set once the terminal frame has been given out.
+	// ended is set once the terminal frame has been returned.
 	ended bool
 }
 
@@ -35,8 +35,8 @@
 	return &peerStream{body: resp.Body, scanner: scanner, attempt: attempt}
 }
 
-// Next implements engine.Stream. The terminal frame is held back until the
-// done event has followed it, since only that says that the answer is whole.
+// Next implements engine.Stream. The terminal frame is returned only after the done event, which
+// alone marks the response as complete.
 func (s *peerStream) Next(ctx context.Context) (engine.Frame, error) {
 	if s.ended {
 		return engine.Frame{}, io.EOF
@@ -56,7 +56,7 @@
 	return frame, nil
 }
 
-// frame reads one event and turns it into a frame.
+// frame reads one event and converts it into a frame.
 func (s *peerStream) frame(ctx context.Context) (engine.Frame, error) {
 	data, err := s.data(ctx)
 	if err != nil {
--- a/forward/recheck.go
+++ b/forward/recheck.go
@@ -9,14 +9,14 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// maxReplans bounds how often one request is routed again because its endpoint left, or was
-// withheld, while the request waited.
-const maxReplans = 8
+// maxReroutes bounds how often one request is rerouted because its endpoint left or was withheld
+// while the request waited.
+const maxReroutes = 8
 
-// recheck looks once more at where an attempt goes, after its prompt was prefilled elsewhere or its
-// claim recorded: seconds in which the endpoint may begin to leave. A failure means that nothing is
-// sent; the plan's endpoint is given back.
-func (t *tries) recheck(plan Plan) *failure.Request {
+// recheck verifies that the plan's target may still be used after the prompt was prefilled on
+// another engine or the claim was recorded. These steps take seconds, in which the endpoint may
+// begin to leave. On failure nothing is sent, and the endpoint's reservation is released.
+func (t *attemptTracker) recheck(plan Plan) *failure.Request {
 	if plan.Recheck == nil {
 		return nil
 	}
@@ -26,18 +26,18 @@
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_plans_changed_total{reason=%q}`, failed.Code)).Inc()
 	klog.Infof("forward: request %s is not sent to %s as planned: %s", t.w.ID, plan.Target.Name, failed.Code)
-	notMade(plan.Observer, failed)
+	notifyNotSent(plan.Observer, failed)
 	t.withdrawn = failed
 	return failed
 }
 
-// again tells whether an attempt that was not sent is to be routed again. It counts as no attempt,
-// and costs no retry.
-func (t *tries) again(failed *failure.Request) bool {
+// shouldReroute reports whether an attempt that was not sent is to be routed again. Rerouting
+// counts neither as an attempt nor against the retry budget.
+func (t *attemptTracker) shouldReroute(failed *failure.Request) bool {
 	if t.withdrawn == nil || failed != t.withdrawn {
 		return false
 	}
 	t.withdrawn = nil
-	t.replans++
-	return t.replans <= maxReplans
+	t.reroutes++
+	return t.reroutes <= maxReroutes
 }
--- a/forward/standin_test.go
+++ b/forward/standin_test.go
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// standIn starts a stand-in engine behind a listener of its own.
+// standIn starts a stand-in engine behind its own listener.
 func standIn(t *testing.T, name string) (*httptest.Server, *engine.Client) {
 	server := httptest.NewUnstartedServer(nil)
 	address := server.Listener.Addr().String()
@@ -38,39 +38,39 @@
 	return server, client
 }
 
-// spoiling changes the reference of an exported cache on its way.
-type spoiling struct {
+// kvMutator alters the reference of an exported KV cache in transit.
+type kvMutator struct {
 	forward.Generator
-	spoil func(*engine.KVRef)
+	mutate func(*engine.KVRef)
 }
 
 // Generate implements forward.Generator.
-func (s spoiling) Generate(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+func (s kvMutator) Generate(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 	stream, err := s.Generator.Generate(ctx, req)
-	return spoilingStream{stream, s.spoil}, err
+	return kvMutatorStream{stream, s.mutate}, err
 }
 
-type spoilingStream struct {
+type kvMutatorStream struct {
 	engine.Stream
-	spoil func(*engine.KVRef)
+	mutate func(*engine.KVRef)
 }
 
 // Next implements engine.Stream.
-func (s spoilingStream) Next(ctx context.Context) (engine.Frame, error) {
+func (s kvMutatorStream) Next(ctx context.Context) (engine.Frame, error) {
 	f, err := s.Stream.Next(ctx)
 	if f.KV != nil {
-		s.spoil(f.KV)
+		s.mutate(f.KV)
 	}
 	return f, err
 }
 
-// TestStandInsOverHTTP carries answers over the real clients and stand-ins,
-// whose text depends on prompt, position and imported cache.
+// TestStandInsOverHTTP runs generations through the real clients and stand-in engines, whose text
+// depends on prompt, position and imported cache.
 func TestStandInsOverHTTP(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*engine.KVRef)
-		cut   bool
+		name       string
+		mutate     func(*engine.KVRef)
+		disconnect bool
 	}{
 		{"handed over", func(*engine.KVRef) {}, false},
 		{"cache is not the one named", func(kv *engine.KVRef) { kv.Digest = "0" }, false},
@@ -84,14 +84,14 @@
 			server, b := standIn(t, "b1")
 			router := fakeforward.Router{
 				Targets:       []forward.Target{{Name: "b", Engine: b}, {Name: "a", Engine: a}},
-				PrefillTarget: &forward.Target{Name: "a", Engine: spoiling{a, tt.spoil}},
+				PrefillTarget: &forward.Target{Name: "a", Engine: kvMutator{a, tt.mutate}},
 			}
 			f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 			work := testWork()
 			work.Deadline = time.Now().Add(time.Minute)
 			var sink fakeforward.Sink
-			sink.BeforeEmit = func(piece int) error {
-				if tt.cut && piece == 3 {
+			sink.BeforeEmit = func(n int) error {
+				if tt.disconnect && n == 3 {
 					server.CloseClientConnections()
 				}
 				return nil
--- a/withhold/churn_test.go
+++ b/withhold/churn_test.go
@@ -15,63 +15,64 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// churn is a zone of real entries that use an endpoint while they are cut off,
-// paused, killed, restarted and replaced.
+// churn is a zone of real entries that send to an endpoint while they are partitioned, paused,
+// killed, restarted and replaced.
 type churn struct {
 	*fakefleet.Fleet
 	rng *rand.Rand
-	// streams run on the endpoint, by the process that runs them.
-	streams map[*fakefleet.Node][]stream
-	open    atomic.Int64
-	paused  map[string]time.Time
-	began   int
+	// streams are the streams on the endpoint, by the process that holds them.
+	streams     map[*fakefleet.Node][]stream
+	openStreams atomic.Int64
+	paused      map[string]time.Time
+	started     int
 }
 
 type stream struct {
-	hold withhold.Reservation
-	ends time.Time
+	reservation withhold.Reservation
+	ends        time.Time
 }
 
-// Streams implements withhold.Endpoints: the endpoint sees every stream.
-func (c *churn) Streams(context.Context, string) (int, error) { return int(c.open.Load()), nil }
+// Streams implements withhold.Endpoints: the endpoint counts every stream.
+func (c *churn) Streams(context.Context, string) (int, error) { return int(c.openStreams.Load()), nil }
 
-// use lets a random entry that runs start a stream, and returns whether it may.
-func (c *churn) use() bool {
+// startStream starts a stream on a random entry that is not paused, and reports whether it was
+// allowed.
+func (c *churn) startStream() bool {
 	names := c.Names()
 	name := names[c.rng.IntN(len(names))]
 	if !c.paused[name].IsZero() {
 		return false
 	}
 	n := c.Nodes[name]
-	hold, err := n.Gate.TryAcquire("e")
+	reservation, err := n.Gate.TryAcquire("e")
 	if err != nil {
 		return false
 	}
-	c.open.Add(1)
-	c.began++
+	c.openStreams.Add(1)
+	c.started++
 	ends := time.Now().Add(time.Duration(c.rng.IntN(1500)) * time.Millisecond)
-	c.streams[n] = append(c.streams[n], stream{hold, ends})
+	c.streams[n] = append(c.streams[n], stream{reservation, ends})
 	return true
 }
 
-// end ends the streams whose time has come, or all of one process.
-func (c *churn) end(killed *fakefleet.Node) {
+// endStreams ends the streams whose time has passed, and all of the killed process.
+func (c *churn) endStreams(killed *fakefleet.Node) {
 	for n, list := range c.streams {
-		var left []stream
+		var running []stream
 		for _, s := range list {
 			if n != killed && time.Now().Before(s.ends) {
-				left = append(left, s)
+				running = append(running, s)
 				continue
 			}
-			s.hold.Release()
-			c.open.Add(-1)
+			s.reservation.Release()
+			c.openStreams.Add(-1)
 		}
-		c.streams[n] = left
+		c.streams[n] = running
 	}
 }
 
-// fault does one random thing to the zone, and wakes who was paused for long.
-func (c *churn) fault() {
+// injectFault injects one random fault and resumes processes whose pause is over.
+func (c *churn) injectFault() {
 	for name, until := range c.paused {
 		if !until.IsZero() && time.Now().After(until) {
 			c.Resume(name)
@@ -92,14 +93,14 @@
 		c.Pause(name)
 		c.paused[name] = time.Now().Add(time.Duration(c.rng.IntN(20)) * time.Second)
 	case 4:
-		c.end(c.Nodes[name])
+		c.endStreams(c.Nodes[name])
 		c.Kill(name)
 		c.Start(name, "a")
-	case 5: // the VM is replaced, once it is known to have been listed
+	case 5: // replace the VM, if it was recorded as listed
 		if !c.listed(name) {
 			return
 		}
-		c.end(c.Nodes[name])
+		c.endStreams(c.Nodes[name])
 		c.Remove(name)
 		c.Add("a-"+c.ID(), "a")
 	case 6:
@@ -109,28 +110,28 @@
 	}
 }
 
-// listed tells whether the roster notes that the membership list has shown the
-// VM. Several that die before that keep the zone waiting for good: each would
-// have to acknowledge that the others are shunned, and the list never drops
-// them (docs/PROMISES.md, promise 9).
+// listed reports whether the roster records that the membership list has contained the VM. If
+// several VMs exit before that, the zone waits permanently: each would have to acknowledge that the
+// others are excluded, and the list never drops them (docs/PROMISES.md, promise 9).
 func (c *churn) listed(name string) bool {
 	vm, _ := c.Nodes[name].Member.Roster().Find(name)
 	return vm.Listed
 }
 
-// run lets streams, and faults if asked for, happen for d, or until stop says so.
-func (c *churn) run(d time.Duration, faults bool, stop func() bool) {
+// runFor starts and ends streams, and injects faults if requested, for d or until stop returns
+// true.
+func (c *churn) runFor(d time.Duration, faults bool, stop func() bool) {
 	for end := time.Now().Add(d); time.Now().Before(end) && !stop(); time.Sleep(50 * time.Millisecond) {
-		c.end(nil)
-		c.use()
+		c.endStreams(nil)
+		c.startStream()
 		if faults && c.rng.IntN(20) == 0 {
-			c.fault()
+			c.injectFault()
 		}
 	}
 }
 
-// calm ends all faults.
-func (c *churn) calm() {
+// clearFaults ends all faults.
+func (c *churn) clearFaults() {
 	c.Rows.SetDown(false)
 	c.Rows.SetFault(memtable.Fault{})
 	for _, name := range c.Names() {
@@ -142,10 +143,10 @@
 	clear(c.paused)
 }
 
-// TestWithheldThroughChurn withholds an endpoint in the midst of random faults.
-// Once Withhold has returned nothing runs there, and no entry starts anything
-// there, whatever happens to it, until the endpoint is restored.
-func TestWithheldThroughChurn(t *testing.T) {
+// TestWithholdUnderRandomFaults withholds an endpoint while random faults occur. After Withhold has
+// returned, no stream runs on the endpoint and no entry starts one, whatever fault it meets, until
+// the endpoint is restored.
+func TestWithholdUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -160,34 +161,34 @@
 				t.Fatal(err)
 			}
 			time.Sleep(30 * time.Second)
-			c.run(20*time.Second, true, func() bool { return false })
-			if c.began == 0 {
-				t.Errorf("seed %d: nothing ran", seed)
+			c.runFor(20*time.Second, true, func() bool { return false })
+			if c.started == 0 {
+				t.Errorf("seed %d: no stream started", seed)
 			}
 			entries := peer.NewControllerClient(c.Net.Transport("control-a"))
 			controller := withhold.NewController("a", c.Rows, entries, c, fakepeer.Held{}, c.ID)
 			var done atomic.Bool
-			go func() { done.Store(c.withhold(ctx, controller)) }()
-			c.run(time.Minute, true, done.Load)
+			go func() { done.Store(c.withholdUntilDone(ctx, controller)) }()
+			c.runFor(time.Minute, true, done.Load)
 			if !done.Load() {
-				c.calm()
-				c.run(5*time.Minute, false, done.Load)
+				c.clearFaults()
+				c.runFor(5*time.Minute, false, done.Load)
 			}
-			if n := c.open.Load(); n != 0 || !done.Load() {
+			if n := c.openStreams.Load(); n != 0 || !done.Load() {
 				t.Errorf("seed %d: withheld is %t with %d streams", seed, done.Load(), n)
 			}
-			c.run(time.Minute, true, func() bool {
-				if c.open.Load() > 0 {
+			c.runFor(time.Minute, true, func() bool {
+				if c.openStreams.Load() > 0 {
 					t.Errorf("seed %d: an entry started a stream", seed)
 				}
-				return c.open.Load() > 0
+				return c.openStreams.Load() > 0
 			})
 		})
 	}
 }
 
-// withhold tries until the endpoint is withheld or ctx ends.
-func (c *churn) withhold(ctx context.Context, controller *withhold.Controller) bool {
+// withholdUntilDone retries until the endpoint is withheld or ctx ends.
+func (c *churn) withholdUntilDone(ctx context.Context, controller *withhold.Controller) bool {
 	for ctx.Err() == nil {
 		if controller.Withhold(ctx, "e") == nil {
 			return true
--- a/withhold/controller.go
+++ b/withhold/controller.go
@@ -17,23 +17,23 @@
 
 // Timing of the controller.
 const (
-	// confirmInterval is between two rounds of asking the entries.
+	// confirmInterval is the initial interval between two rounds of queries to the entries.
 	confirmInterval = 250 * time.Millisecond
-	// maxConfirmInterval bounds it while a long stream is let finish.
+	// maxConfirmInterval bounds the interval while a long stream finishes.
 	maxConfirmInterval = 2 * time.Second
-	// conflictPause is between two tries to write the roster.
-	conflictPause = 50 * time.Millisecond
+	// conflictDelay is the delay between two attempts to write the roster.
+	conflictDelay = 50 * time.Millisecond
 )
 
-// EntryState is what an entry says about an endpoint.
+// EntryState is an entry's reported state of an endpoint.
 type EntryState struct {
 	// Instance is unique for each start of the entry's process.
 	Instance uint64
 	State
 }
 
-// Peers asks the zone's entries. Implementations never repeat a call by
-// themselves and bound its time.
+// Peers sends requests to the zone's entries. Implementations never retry a request and bound its
+// time.
 type Peers interface {
 	// Withhold stops new work to the endpoint.
 	Withhold(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (EntryState, error)
@@ -41,20 +41,19 @@
 	Restore(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (EntryState, error)
 }
 
-// Endpoints asks an endpoint itself how many streams are open there. A kind of
-// endpoint that cannot say returns zero.
+// Endpoints queries an endpoint for its number of open streams. For a kind of endpoint that cannot
+// report it, Streams returns zero.
 type Endpoints interface {
 	Streams(ctx context.Context, endpoint string) (int, error)
 }
 
-// Controller withholds endpoints of one zone, under the zone's lease. It is
-// safe for concurrent use.
+// Controller withholds endpoints of one zone, under the zone's lease. It is safe for concurrent
+// use.
 //
-// The mark goes into the roster before the entries are asked. So a VM that
-// joins, or a process that restarts, holds it before it serves, and a
-// successor finds it. Once every VM of that roster has answered in two stable
-// rounds that it withholds the endpoint and runs nothing there, no entry of
-// the zone can send to it until it is restored.
+// The mark is written to the roster before the entries are queried, so that a VM that joins or a
+// process that restarts has it before it serves, and a successor finds it. Once every VM of that
+// roster has reported in two stable rounds that it withholds the endpoint and runs nothing there,
+// no entry of the zone can send to the endpoint until it is restored.
 type Controller struct {
 	zone      string
 	rows      table.Service
@@ -68,8 +67,8 @@
 	waiting map[string]*WaitingError
 }
 
-// NewController returns the controller of a zone's endpoints. writeID gives a
-// new id for each call.
+// NewController returns the controller of a zone's endpoints. writeID must return a new ID for each
+// call.
 func NewController(zone string, rows table.Service, peers Peers, endpoints Endpoints, auth contact.Authority, writeID func() string) *Controller {
 	return &Controller{
 		zone: zone, rows: rows, peers: peers, endpoints: endpoints, auth: auth, writeID: writeID,
@@ -77,12 +76,12 @@
 	}
 }
 
-// Withhold returns nil once no entry of the zone can send to the endpoint and
-// none has work there. It waits for entries that do not answer, for as long as
-// they are on the roster, and for streams to finish. The error is
-// *WaitingError when ctx ends first, *RestoredError, or the authority's.
+// Withhold returns nil once no entry of the zone can send to the endpoint and none has work there.
+// It waits for entries that do not respond, as long as they are on the roster, and for streams to
+// finish. The error is *WaitingError if ctx ends first, *RestoredError, or an error of the
+// authority or the table.
 func (c *Controller) Withhold(ctx context.Context, endpoint string) error {
-	roster, err := c.edit(ctx, func(r contact.Roster) (contact.Roster, bool) {
+	roster, err := c.updateRoster(ctx, func(r contact.Roster) (contact.Roster, bool) {
 		_, marked := r.WithheldEpoch(endpoint)
 		return r.Withhold(endpoint), !marked
 	})
@@ -100,18 +99,17 @@
 		if !loop.Sleep(ctx, pause) {
 			return eris.Wrap(waiting, "withhold")
 		}
-		if roster, err = c.reread(ctx, roster, endpoint); err != nil {
+		if roster, err = c.refreshRoster(ctx, roster, endpoint); err != nil {
 			return err
 		}
 	}
 }
 
-// confirm asks the entries and then the endpoint. The endpoint comes last: its
-// count then covers an entry that was dropped from the roster with a stream
-// still running.
+// confirm queries the entries and then the endpoint. The endpoint is last so that its count covers
+// an entry that was dropped from the roster with a stream still running.
 func (c *Controller) confirm(ctx context.Context, r contact.Roster, endpoint string) *WaitingError {
 	epoch, _ := r.WithheldEpoch(endpoint)
-	ask := func(ctx context.Context, vm contact.VM) (contact.Ack, error) {
+	query := func(ctx context.Context, vm contact.VM) (contact.Ack, error) {
 		a, err := c.peers.Withhold(ctx, vm, endpoint, epoch)
 		if err != nil {
 			return contact.Ack{}, err
@@ -124,7 +122,7 @@
 	}
 	drained := func(a contact.Ack) bool { return a.Roster >= epoch }
 	var unstable *contact.UnstableError
-	if err := contact.Stable(ctx, r.VMs, ask, ask, drained); errors.As(err, &unstable) {
+	if err := contact.Stable(ctx, r.VMs, query, query, drained); errors.As(err, &unstable) {
 		return &WaitingError{Endpoint: endpoint, VMs: unstable.Missing}
 	}
 	n, err := c.endpoints.Streams(ctx, endpoint)
@@ -138,11 +136,11 @@
 	}
 }
 
-// reread returns the newest roster, or the old one while the table is out of
-// reach: marks and VMs only ever come by a write of the roster, and the
-// confirmation asks for nothing that a newer roster could take back.
-func (c *Controller) reread(ctx context.Context, old contact.Roster, endpoint string) (contact.Roster, error) {
-	r, _, err := c.read(ctx)
+// refreshRoster returns the newest roster, or the old one while the table is unavailable. The old
+// one is safe to use: marks and VMs are only added by writes of the roster, and a newer roster
+// cannot revoke what confirm requires.
+func (c *Controller) refreshRoster(ctx context.Context, old contact.Roster, endpoint string) (contact.Roster, error) {
+	r, _, err := c.readRoster(ctx)
 	if err != nil {
 		return old, nil
 	}
@@ -152,10 +150,10 @@
 	return r, nil
 }
 
-// Restore allows new work to the endpoint again. An entry that misses the
-// message learns it with its next roster.
+// Restore allows new work to the endpoint again. An entry that misses the message applies the
+// change with its next roster.
 func (c *Controller) Restore(ctx context.Context, endpoint string) error {
-	roster, err := c.edit(ctx, func(r contact.Roster) (contact.Roster, bool) {
+	roster, err := c.updateRoster(ctx, func(r contact.Roster) (contact.Roster, bool) {
 		_, marked := r.WithheldEpoch(endpoint)
 		return r.Restore(endpoint), marked
 	})
@@ -169,11 +167,11 @@
 	return nil
 }
 
-// RestoreUnwanted restores every endpoint that a predecessor withheld and
-// nobody wants withheld now. A successor calls it once the open orders of its
-// predecessor are resolved, and then now and then.
+// RestoreUnwanted restores every endpoint that a predecessor withheld and for which wanted returns
+// false. A successor calls it once the open orders of its predecessor are resolved, and
+// periodically after that.
 func (c *Controller) RestoreUnwanted(ctx context.Context, wanted func(endpoint string) bool) error {
-	r, _, err := c.read(ctx)
+	r, _, err := c.readRoster(ctx)
 	if err != nil {
 		return err
 	}
@@ -181,7 +179,7 @@
 		if wanted(w.Endpoint) {
 			continue
 		}
-		klog.Infof("withhold: %s is restored, as nobody wants it withheld", w.Endpoint)
+		klog.Infof("withhold: restoring %s, which no longer needs to be withheld", w.Endpoint)
 		if err := c.Restore(ctx, w.Endpoint); err != nil {
 			return err
 		}
@@ -210,17 +208,16 @@
 	}
 }
 
-// edit changes the roster by compare-and-swap, under the lease, and returns
-// the one that stands. change tells whether there is anything to write. A
-// write whose answer was lost needs no settling: the next read shows whether
-// the change stands.
-func (c *Controller) edit(ctx context.Context, change func(contact.Roster) (contact.Roster, bool)) (contact.Roster, error) {
+// updateRoster changes the roster by compare-and-swap, under the lease, and returns the current
+// one. change reports whether there is anything to write. A write whose response was lost needs no
+// resolution: the next read shows whether the change was applied.
+func (c *Controller) updateRoster(ctx context.Context, change func(contact.Roster) (contact.Roster, bool)) (contact.Roster, error) {
 	for {
 		checks, err := c.auth.Checks()
 		if err != nil {
 			return contact.Roster{}, err
 		}
-		old, row, err := c.read(ctx)
+		old, row, err := c.readRoster(ctx)
 		if err != nil {
 			return contact.Roster{}, err
 		}
@@ -240,13 +237,13 @@
 		if !errors.As(err, &conflict) && !errors.As(err, &unknown) {
 			return contact.Roster{}, eris.Wrap(err, "write roster")
 		}
-		if !loop.Sleep(ctx, conflictPause) {
+		if !loop.Sleep(ctx, conflictDelay) {
 			return contact.Roster{}, eris.Wrap(err, "write roster")
 		}
 	}
 }
 
-func (c *Controller) read(ctx context.Context) (contact.Roster, table.Row, error) {
+func (c *Controller) readRoster(ctx context.Context) (contact.Roster, table.Row, error) {
 	rows, err := c.rows.Get(ctx, contact.Key(c.zone))
 	if err != nil {
 		return contact.Roster{}, table.Row{}, eris.Wrap(err, "read roster")
--- a/withhold/controller_test.go
+++ b/withhold/controller_test.go
@@ -18,50 +18,50 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-type bench struct {
-	rows *memtable.Table
-	zone *fakepeer.Zone
-	c    *withhold.Controller
-	hold withhold.Reservation
+type fixture struct {
+	rows        *memtable.Table
+	zone        *fakepeer.Zone
+	controller  *withhold.Controller
+	reservation withhold.Reservation
 }
 
-// always is a permit.
-type always struct{}
+// allowAll is a permit that always allows.
+type allowAll struct{}
 
-func (always) Allow() error { return nil }
+func (allowAll) Allow() error { return nil }
 
 func newGate() *withhold.Gate {
 	g := withhold.NewGate(leaving.NewSet())
-	g.SetPermit(always{})
+	g.SetPermit(allowAll{})
 	return g
 }
 
-// newBench returns a zone of three entries, a, b and c.
-func newBench(t *testing.T) *bench {
-	b := &bench{rows: memtable.New(), zone: fakepeer.NewZone()}
+// newFixture returns a zone of three entries, a, b and c.
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{rows: memtable.New(), zone: fakepeer.NewZone()}
 	r := contact.Roster{}
 	for _, name := range []string{"a", "b", "c"} {
 		r = r.Join("z", name, name)
-		b.zone.Gates[name] = newGate()
+		f.zone.Gates[name] = newGate()
 	}
-	b.write(t, r)
+	f.write(t, r)
 	n := 0
 	id := func() string { n++; return fmt.Sprint(n) }
-	b.c = withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{}, id)
-	return b
+	f.controller = withhold.NewController("z", f.rows, f.zone, f.zone, fakepeer.Held{}, id)
+	return f
 }
 
-func (b *bench) write(t *testing.T, r contact.Roster) {
+func (f *fixture) write(t *testing.T, r contact.Roster) {
 	t.Helper()
 	txn := table.Txn{Writes: []table.Write{{Key: contact.Key("z"), Value: r.Encode()}}}
-	if _, err := b.rows.Commit(t.Context(), txn); err != nil {
+	if _, err := f.rows.Commit(t.Context(), txn); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *bench) roster(t *testing.T) contact.Roster {
+func (f *fixture) roster(t *testing.T) contact.Roster {
 	t.Helper()
-	rows, err := b.rows.Get(t.Context(), contact.Key("z"))
+	rows, err := f.rows.Get(t.Context(), contact.Key("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,114 +72,115 @@
 	return r
 }
 
-// withhold returns the result of Withhold as it comes.
-func (b *bench) withhold(ctx context.Context) chan error {
+// withhold starts Withhold and returns a channel for its result.
+func (f *fixture) withhold(ctx context.Context) chan error {
 	done := make(chan error, 1)
-	go func() { done <- b.c.Withhold(ctx, "e") }()
+	go func() { done <- f.controller.Withhold(ctx, "e") }()
 	return done
 }
 
 func TestWithholdWaits(t *testing.T) {
 	tests := []struct {
 		name    string
-		hold    func(*bench)
+		block   func(*fixture)
 		want    withhold.WaitingError
-		release func(*testing.T, *bench)
+		unblock func(*testing.T, *fixture)
 	}{
 		{"for a stream",
-			func(b *bench) { b.hold, _ = b.zone.Gates["b"].TryAcquire("e") }, withhold.WaitingError{Endpoint: "e", VMs: []string{"b"}},
-			func(_ *testing.T, b *bench) { b.hold.Release() }},
+			func(f *fixture) { f.reservation, _ = f.zone.Gates["b"].TryAcquire("e") }, withhold.WaitingError{Endpoint: "e", VMs: []string{"b"}},
+			func(_ *testing.T, f *fixture) { f.reservation.Release() }},
 		{"for an entry that is paused or out of reach",
-			func(b *bench) { b.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
-			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.Silent["c"] = false }) }},
+			func(f *fixture) { f.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
+			func(_ *testing.T, f *fixture) { f.zone.Change(func() { f.zone.Silent["c"] = false }) }},
 		{"until such an entry is off the roster",
-			func(b *bench) { b.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
-			func(t *testing.T, b *bench) {
-				r := b.roster(t)
+			func(f *fixture) { f.zone.Silent["c"] = true }, withhold.WaitingError{Endpoint: "e", VMs: []string{"c"}},
+			func(t *testing.T, f *fixture) {
+				r := f.roster(t)
 				r.VMs = r.Others("c")
-				b.write(t, r)
+				f.write(t, r)
 			}},
 		{"for a stream of an entry that was dropped",
-			func(b *bench) { b.zone.Open["e"] = 1 }, withhold.WaitingError{Endpoint: "e", Streams: 1},
-			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.Open["e"] = 0 }) }},
+			func(f *fixture) { f.zone.Open["e"] = 1 }, withhold.WaitingError{Endpoint: "e", Streams: 1},
+			func(_ *testing.T, f *fixture) { f.zone.Change(func() { f.zone.Open["e"] = 0 }) }},
 		{"for an endpoint that does not answer",
-			func(b *bench) { b.zone.EndpointSilent = true }, withhold.WaitingError{Endpoint: "e", Unresponsive: true},
-			func(_ *testing.T, b *bench) { b.zone.Change(func() { b.zone.EndpointSilent = false }) }},
+			func(f *fixture) { f.zone.EndpointSilent = true }, withhold.WaitingError{Endpoint: "e", Unresponsive: true},
+			func(_ *testing.T, f *fixture) { f.zone.Change(func() { f.zone.EndpointSilent = false }) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
-				tt.hold(b)
-				done := b.withhold(t.Context())
+				f := newFixture(t)
+				tt.block(f)
+				done := f.withhold(t.Context())
 				time.Sleep(time.Minute)
-				if diff := cmp.Diff(&tt.want, b.c.Waiting("e")); diff != "" {
+				if diff := cmp.Diff(&tt.want, f.controller.Waiting("e")); diff != "" {
 					t.Errorf("waiting (-want +got):\n%s", diff)
 				}
-				tt.release(t, b)
+				tt.unblock(t, f)
 				time.Sleep(5 * time.Second)
 				select {
 				case err := <-done:
-					if err != nil || b.c.Waiting("e") != nil {
-						t.Errorf("Withhold: %v, waiting for %v", err, b.c.Waiting("e"))
+					if err != nil || f.controller.Waiting("e") != nil {
+						t.Errorf("Withhold: %v, waiting for %v", err, f.controller.Waiting("e"))
 					}
 				default:
-					t.Error("still waits")
+					t.Error("Withhold has not returned")
 				}
 			})
 		})
 	}
 }
 
-func TestWithholdEnds(t *testing.T) {
+func TestWithholdFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.zone.Silent["c"] = true
+		f := newFixture(t)
+		f.zone.Silent["c"] = true
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		var waiting *withhold.WaitingError
-		if err := <-b.withhold(ctx); !errors.As(err, &waiting) {
+		if err := <-f.withhold(ctx); !errors.As(err, &waiting) {
 			t.Errorf("after the deadline: %v", err)
 		}
-		done := b.withhold(t.Context())
+		done := f.withhold(t.Context())
 		time.Sleep(time.Second)
-		if err := b.c.Restore(t.Context(), "e"); err != nil {
+		if err := f.controller.Restore(t.Context(), "e"); err != nil {
 			t.Fatal(err)
 		}
 		var restored *withhold.RestoredError
 		if err := <-done; !errors.As(err, &restored) {
 			t.Errorf("after another controller restored it: %v", err)
 		}
-		lost := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{Err: &withhold.RestoredError{}}, nil)
-		if err := lost.Withhold(t.Context(), "e"); err == nil || b.zone.Gates["a"].Withheld("e") {
-			t.Error("withholds without the lease")
+		lost := withhold.NewController("z", f.rows, f.zone, f.zone, fakepeer.Held{Err: &withhold.RestoredError{}}, nil)
+		if err := lost.Withhold(t.Context(), "e"); err == nil || f.zone.Gates["a"].Withheld("e") {
+			t.Error("endpoint withheld without the lease")
 		}
 	})
 }
 
-// A controller that dies leaves its mark in the roster; its successor restores
-// what nobody wants, also after writes whose answers were lost.
-func TestSuccessorRestores(t *testing.T) {
+// TestSuccessorRestoresUnwanted: a controller that exits leaves its mark in the roster. Its
+// successor restores the endpoints that are no longer wanted withheld, also if responses to its
+// writes are lost.
+func TestSuccessorRestoresUnwanted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		if err := b.c.Withhold(t.Context(), "e"); err != nil {
+		f := newFixture(t)
+		if err := f.controller.Withhold(t.Context(), "e"); err != nil {
 			t.Fatal(err)
 		}
-		if err := b.c.Withhold(t.Context(), "wanted"); err != nil {
+		if err := f.controller.Withhold(t.Context(), "wanted"); err != nil {
 			t.Fatal(err)
 		}
 		lose := true
-		b.rows.SetHook(func(c memtable.Call) memtable.Fault {
+		f.rows.SetHook(func(c memtable.Call) memtable.Fault {
 			fault := memtable.Fault{LoseResponse: lose && c.Op == memtable.OpCommit}
 			lose = !lose && fault.LoseResponse
 			return fault
 		})
-		successor := withhold.NewController("z", b.rows, b.zone, b.zone, fakepeer.Held{}, func() string { return "s" })
+		successor := withhold.NewController("z", f.rows, f.zone, f.zone, fakepeer.Held{}, func() string { return "s" })
 		if err := successor.RestoreUnwanted(t.Context(), func(e string) bool { return e == "wanted" }); err != nil {
 			t.Fatal(err)
 		}
-		for name, g := range b.zone.Gates {
-			g.ApplyRoster(b.roster(t))
+		for name, g := range f.zone.Gates {
+			g.ApplyRoster(f.roster(t))
 			if g.Withheld("e") || !g.Withheld("wanted") {
 				t.Errorf("%s: e withheld %v, wanted withheld %v", name, g.Withheld("e"), g.Withheld("wanted"))
 			}
--- a/withhold/errors.go
+++ b/withhold/errors.go
@@ -7,7 +7,7 @@
 	"github.com/springweir/springweir/leaving"
 )
 
-// WithheldError is new work refused because the endpoint is withheld.
+// WithheldError reports new work refused because the endpoint is withheld.
 type WithheldError struct{ Endpoint string }
 
 // Error implements error.
@@ -16,7 +16,7 @@
 // Reason implements failure.Coded.
 func (e *WithheldError) Reason() failure.Reason { return failure.EndpointWithheld }
 
-// LeavingError is new work refused because the endpoint is about to stop.
+// LeavingError reports new work refused because the endpoint is about to stop.
 type LeavingError struct {
 	Endpoint string
 	Signal   leaving.Signal
@@ -30,15 +30,15 @@
 // Reason implements failure.Coded.
 func (e *LeavingError) Reason() failure.Reason { return failure.EndpointLeaving }
 
-// WaitingError is a withholding that was not confirmed in time. The endpoint
-// stays withheld until it is restored.
+// WaitingError reports a withholding that is not confirmed yet. The endpoint stays withheld until
+// it is restored.
 type WaitingError struct {
 	Endpoint string
-	// VMs names the entries that did not answer or still have work there.
+	// VMs names the entries that did not respond or still have work there.
 	VMs []string
-	// Streams is what the endpoint itself says is still running there.
+	// Streams is the number of streams that the endpoint itself reports.
 	Streams int
-	// Unresponsive is set when the endpoint itself does not answer.
+	// Unresponsive is set if the endpoint itself does not respond.
 	Unresponsive bool
 }
 
@@ -53,7 +53,7 @@
 // Reason implements failure.Coded.
 func (e *WaitingError) Reason() failure.Reason { return failure.EndpointWithheld }
 
-// RestoredError is a withholding that another controller has ended.
+// RestoredError reports a withholding that another controller has ended.
 type RestoredError struct{ Endpoint string }
 
 // Error implements error.
--- a/withhold/gate.go
+++ b/withhold/gate.go
@@ -1,9 +1,8 @@
-// Package withhold stops new work to an endpoint before a planned change takes
-// it away, and tells when nothing of this zone runs there any more.
+// Package withhold blocks new work to an endpoint before a planned change stops it, and reports
+// when no work of this zone runs there any more.
 //
-// Gate is the entry's side: every attempt passes it. Controller is the side of
-// the process that plans changes. The zone's roster holds the marks, so a
-// successor of either side finds them.
+// Gate runs in each entry, and every attempt passes it. Controller runs in the process that plans
+// changes. The marks are stored in the zone's roster, so that a successor of either finds them.
 package withhold
 
 import (
@@ -14,77 +13,76 @@
 	"github.com/springweir/springweir/leaving"
 )
 
-// withheldBit marks a withheld endpoint in slot.state; the bits below it count
-// the attempts that run there.
+// withheldBit marks a withheld endpoint in slot.state; the lower bits count the attempts in flight.
 const withheldBit = int64(1) << 62
 
 // slot is one endpoint's state at this entry.
 //
-// Invariant: an attempt that holds the slot counted itself while withheldBit
-// was off, in one atomic step. So a count of zero read after the bit was set
-// proves that nothing runs there and nothing will.
+// Invariant: an attempt with a reservation was counted while withheldBit was unset, in one atomic
+// step. A count of zero read after the bit was set therefore proves that no attempt is in flight
+// and none will start.
 type slot struct {
 	state atomic.Int64
 	// epoch is the roster revision of the newest decision. Guarded by Gate.mu.
 	epoch uint64
 }
 
-// Permit says whether this VM may start new work at all.
+// Permit decides whether this VM may start new work at all.
 type Permit interface {
-	// Allow returns nil, or a failure.Coded error that says why not.
+	// Allow returns nil, or a failure.Coded error with the reason.
 	Allow() error
 }
 
-// Gate counts what runs on each endpoint and refuses new work to withheld
-// ones. It is safe for concurrent use.
+// Gate counts the attempts in flight on each endpoint and refuses new work to withheld ones. It is
+// safe for concurrent use.
 //
-// Lock order: contact.Member calls ApplyRoster with its lock held, so its lock
-// comes before mu. mu is a leaf.
+// Lock order: contact.Member calls ApplyRoster with its lock held, so its lock comes before mu. mu
+// is a leaf.
 type Gate struct {
 	permit  Permit
 	leaving *leaving.Set
 	// slots maps an endpoint's name to its *slot. Slots are never removed.
 	slots sync.Map
-	// mu serialises decisions; TryAcquire does not take it.
+	// mu serialises decisions; TryAcquire takes it only to create a slot.
 	mu sync.Mutex
-	// revision is the newest roster followed. A slot made later starts there.
+	// revision is that of the newest roster applied, with which new slots start.
 	revision uint64
 	withheld map[string]bool
 }
 
-// NewGate returns a gate that withholds nothing and also refuses what the set
-// says is leaving. SetPermit comes before use.
+// NewGate returns a gate that withholds nothing and refuses work to the endpoints in l. SetPermit
+// must be called before use.
 func NewGate(l *leaving.Set) *Gate { return &Gate{leaving: l} }
 
-// SetPermit sets what says whether this VM may start new work. It is set once,
-// before the gate is used: the permit and the gate need each other.
+// SetPermit sets the permit. It must be called once, before the gate is used; it is separate from
+// NewGate because the permit and the gate refer to each other.
 func (g *Gate) SetPermit(p Permit) { g.permit = p }
 
 // Reservation is the right to run one attempt on an endpoint.
 type Reservation struct{ slot *slot }
 
-// Release gives the right back. Only the first call counts.
-func (h *Reservation) Release() {
-	if h.slot == nil {
+// Release ends the reservation. Repeated calls have no effect.
+func (r *Reservation) Release() {
+	if r.slot == nil {
 		return
 	}
-	h.slot.state.Add(-1)
-	h.slot = nil
+	r.slot.state.Add(-1)
+	r.slot = nil
 }
 
-// TryAcquire counts an attempt that is about to be sent to the endpoint. The
-// error is *WithheldError for a withheld endpoint, *LeavingError for a leaving
-// one, or the permit's. It takes no lock, and allocates only for a refusal.
+// TryAcquire counts an attempt that is about to be sent to the endpoint. The error is
+// *WithheldError for a withheld endpoint, *LeavingError for a leaving one, or the permit's. For an
+// endpoint that the gate has seen before it takes no lock, and allocates only for a refusal.
 func (g *Gate) TryAcquire(endpoint string) (Reservation, error) {
-	h, err := g.tryAcquire(endpoint)
+	r, err := g.tryAcquire(endpoint)
 	if err != nil {
 		countRefusal(err)
 	}
-	return h, err
+	return r, err
 }
 
 func (g *Gate) tryAcquire(endpoint string) (Reservation, error) {
-	if signal, is := g.leaving.Leaving(endpoint); is {
+	if signal, ok := g.leaving.Leaving(endpoint); ok {
 		return Reservation{}, &LeavingError{Endpoint: endpoint, Signal: signal}
 	}
 	s := g.slot(endpoint)
@@ -92,8 +90,8 @@
 		s.state.Add(-1)
 		return Reservation{}, &WithheldError{Endpoint: endpoint}
 	}
-	// The permit is asked after counting, so that an attempt is either counted
-	// while this VM is on the roster or not made.
+	// The permit is checked after counting, so that an attempt is either counted while this VM is
+	// on the roster or not made.
 	if err := g.permit.Allow(); err != nil {
 		s.state.Add(-1)
 		return Reservation{}, err
@@ -101,10 +99,11 @@
 	return Reservation{slot: s}, nil
 }
 
-// Recheck tells why an attempt that holds an endpoint may not be sent there any more after a wait:
-// the endpoint leaves, is withheld, or this VM may start nothing new. The errors are TryAcquire's.
+// Recheck returns why an attempt with a reservation may not be sent to the endpoint after a wait:
+// the endpoint is leaving or withheld, or this VM may start no new work. The errors are those of
+// TryAcquire.
 func (g *Gate) Recheck(endpoint string) error {
-	if signal, is := g.leaving.Leaving(endpoint); is {
+	if signal, ok := g.leaving.Leaving(endpoint); ok {
 		return &LeavingError{Endpoint: endpoint, Signal: signal}
 	}
 	if g.Withheld(endpoint) {
@@ -113,13 +112,13 @@
 	return g.permit.Allow()
 }
 
-// Withheld tells whether the endpoint gets no new work.
+// Withheld reports whether the endpoint is withheld.
 func (g *Gate) Withheld(endpoint string) bool {
 	v, ok := g.slots.Load(endpoint)
 	return ok && v.(*slot).state.Load()&withheldBit != 0
 }
 
-// Streams returns how many attempts run on the endpoint.
+// Streams returns the number of attempts in flight on the endpoint.
 func (g *Gate) Streams(endpoint string) int {
 	v, ok := g.slots.Load(endpoint)
 	if !ok {
@@ -128,24 +127,24 @@
 	return int(v.(*slot).state.Load() &^ withheldBit)
 }
 
-// State is what an entry holds about one endpoint.
+// State is an entry's state of one endpoint.
 type State struct {
 	// Epoch is the roster revision of the newest decision.
 	Epoch    uint64
 	Withheld bool
-	// Streams counts the attempts that run there.
+	// Streams is the number of attempts in flight.
 	Streams int
 }
 
-// Withhold refuses new work to the endpoint from now on, unless a decision of
-// the same or a later epoch is held already. It returns what is then held.
-func (g *Gate) Withhold(endpoint string, epoch uint64) State { return g.decide(endpoint, epoch, true) }
+// Withhold refuses new work to the endpoint from now on, unless a decision of the same or a later
+// epoch is in effect. It returns the resulting state.
+func (g *Gate) Withhold(endpoint string, epoch uint64) State { return g.apply(endpoint, epoch, true) }
 
-// Restore allows new work to the endpoint, unless a decision of the same or a
-// later epoch is held already. It returns what is then held.
-func (g *Gate) Restore(endpoint string, epoch uint64) State { return g.decide(endpoint, epoch, false) }
+// Restore allows new work to the endpoint, unless a decision of the same or a later epoch is in
+// effect. It returns the resulting state.
+func (g *Gate) Restore(endpoint string, epoch uint64) State { return g.apply(endpoint, epoch, false) }
 
-// ApplyRoster takes over all decisions of a roster.
+// ApplyRoster applies all decisions of a roster, unless a newer one was applied before.
 func (g *Gate) ApplyRoster(r contact.Roster) {
 	listed := make(map[string]bool, len(r.Withheld))
 	for _, w := range r.Withheld {
@@ -160,22 +159,22 @@
 	g.revision = r.Revision
 	g.withheld = listed
 	g.slots.Range(func(name, v any) bool {
-		g.set(v.(*slot), r.Revision, listed[name.(string)])
+		g.setIfNewer(v.(*slot), r.Revision, listed[name.(string)])
 		return true
 	})
 }
 
-func (g *Gate) decide(endpoint string, epoch uint64, withheld bool) State {
+func (g *Gate) apply(endpoint string, epoch uint64, withheld bool) State {
 	s := g.slot(endpoint)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.set(s, epoch, withheld)
+	g.setIfNewer(s, epoch, withheld)
 	state := s.state.Load()
 	return State{Epoch: s.epoch, Withheld: state&withheldBit != 0, Streams: int(state &^ withheldBit)}
 }
 
-// set takes over a decision if it is newer than the slot's. The caller holds mu.
-func (g *Gate) set(s *slot, epoch uint64, withheld bool) {
+// setIfNewer applies a decision if it is newer than the slot's. The caller holds mu.
+func (g *Gate) setIfNewer(s *slot, epoch uint64, withheld bool) {
 	if epoch <= s.epoch {
 		return
 	}
@@ -187,8 +186,8 @@
 	s.state.And(^withheldBit)
 }
 
-// slot finds or makes the endpoint's slot. A new one starts with what the
-// newest roster says, before anyone can see it.
+// slot returns the endpoint's slot and creates it if needed. A new slot gets the decision of the
+// newest roster before it is published.
 func (g *Gate) slot(endpoint string) *slot {
 	if v, ok := g.slots.Load(endpoint); ok {
 		return v.(*slot)
@@ -196,7 +195,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &slot{}
-	g.set(s, g.revision, g.withheld[endpoint])
+	g.setIfNewer(s, g.revision, g.withheld[endpoint])
 	v, _ := g.slots.LoadOrStore(endpoint, s)
 	return v.(*slot)
 }
--- a/withhold/gate_test.go
+++ b/withhold/gate_test.go
@@ -13,20 +13,20 @@
 	"github.com/springweir/springweir/leaving"
 )
 
-// permit is a fake Permit.
-type permit struct{ err error }
+// fakePermit is a fake Permit.
+type fakePermit struct{ err error }
 
-func (p permit) Allow() error { return p.err }
+func (p fakePermit) Allow() error { return p.err }
 
 func newTestGate() *Gate {
 	g := NewGate(leaving.NewSet())
-	g.SetPermit(permit{})
+	g.SetPermit(fakePermit{})
 	return g
 }
 
 func TestGateCountsAndRefuses(t *testing.T) {
 	g := newTestGate()
-	h, err := g.TryAcquire("e")
+	r, err := g.TryAcquire("e")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,28 +37,28 @@
 	if _, err := g.TryAcquire("e"); !errors.As(err, &refused) {
 		t.Errorf("TryAcquire on a withheld endpoint: %v", err)
 	}
-	h.Release()
-	h.Release()
+	r.Release()
+	r.Release()
 	if g.Streams("e") != 0 {
-		t.Errorf("%d streams after a release that was repeated", g.Streams("e"))
+		t.Errorf("%d streams after a repeated Release", g.Streams("e"))
 	}
 	if s := g.Restore("e", 2); !s.Withheld {
-		t.Error("an older decision was taken")
+		t.Error("an older decision was applied")
 	}
 	if s := g.Restore("e", 4); s.Withheld {
-		t.Error("a newer decision was not taken")
+		t.Error("a newer decision was not applied")
 	}
 	if s := g.Withhold("e", 3); s.Withheld || s.Epoch != 4 {
-		t.Errorf("a late Withhold was taken: %+v", s)
+		t.Errorf("a stale Withhold was applied: %+v", s)
 	}
 }
 
-func TestGateAsksPermit(t *testing.T) {
+func TestGateRequiresPermit(t *testing.T) {
 	g := NewGate(leaving.NewSet())
-	g.SetPermit(permit{err: &contact.UnconfirmedError{Standing: contact.NoContact}})
+	g.SetPermit(fakePermit{err: &contact.UnconfirmedError{Standing: contact.NoContact}})
 	var unconfirmed *contact.UnconfirmedError
 	if _, err := g.TryAcquire("e"); !errors.As(err, &unconfirmed) {
-		t.Errorf("TryAcquire without permission: %v", err)
+		t.Errorf("TryAcquire without a permit: %v", err)
 	}
 	if g.Streams("e") != 0 {
 		t.Error("a refused attempt is counted")
@@ -68,7 +68,7 @@
 func TestGateRefusesLeaving(t *testing.T) {
 	set := leaving.NewSet()
 	g := NewGate(set)
-	g.SetPermit(permit{})
+	g.SetPermit(fakePermit{})
 	set.SetTree([]string{"e"})
 	_, err := g.TryAcquire("e")
 	var refused *LeavingError
@@ -77,25 +77,25 @@
 	}
 }
 
-func TestGateFollowsRosters(t *testing.T) {
+func TestGateAppliesRosters(t *testing.T) {
 	g := newTestGate()
 	r := contact.Roster{Revision: 4}.Withhold("e").Withhold("f")
 	g.ApplyRoster(r)
-	g.ApplyRoster(contact.Roster{Revision: 5}) // older
+	g.ApplyRoster(contact.Roster{Revision: 5}) // stale
 	if !g.Withheld("e") || !g.Withheld("f") || g.Withheld("new") {
-		t.Error("does not follow the roster")
+		t.Error("roster not applied")
 	}
-	g.Withhold("h", r.Revision+1) // a message that runs ahead of the roster
+	g.Withhold("h", r.Revision+1) // a message newer than the roster
 	g.ApplyRoster(r.Restore("e"))
 	if g.Withheld("e") || !g.Withheld("f") || !g.Withheld("h") {
-		t.Error("does not follow the next roster")
+		t.Error("next roster not applied")
 	}
 }
 
-// A process that was paused for as long as it takes to drop its VM starts
-// nothing new when it wakes, before any of its loops has run. What it had begun
-// still counts, which is all that the entry itself can say.
-func TestGateOfWokenProcess(t *testing.T) {
+// TestGateAfterProcessPause: a process that was paused for long enough that its VM is dropped from
+// the roster starts no new work when it resumes, before any of its loops has run. The work it
+// started earlier still counts, since the entry cannot tell whether it ended.
+func TestGateAfterProcessPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(leaving.NewSet())
 		m := contact.NewMember("z", "a", g.ApplyRoster)
@@ -104,27 +104,27 @@
 		if _, err := g.TryAcquire("e"); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(contact.SettleTime) // nothing ticks
+		time.Sleep(contact.SettleTime) // no background loop runs
 		_, err := g.TryAcquire("e")
 		var refused *contact.UnconfirmedError
 		if !errors.As(err, &refused) || g.Streams("e") != 1 {
-			t.Errorf("after waking: %v, %d streams", err, g.Streams("e"))
+			t.Errorf("after the pause: %v, %d streams", err, g.Streams("e"))
 		}
 	})
 }
 
-// Once a gate says that nothing runs on a withheld endpoint, nothing does.
+// TestGateRace: once a gate reports that no attempt is in flight on a withheld endpoint, none is.
 func TestGateRace(t *testing.T) {
 	g := newTestGate()
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for range 2000 {
-				h, err := g.TryAcquire("e")
+				r, err := g.TryAcquire("e")
 				if err == nil && g.Streams("e") < 1 {
-					t.Error("an attempt runs uncounted")
+					t.Error("attempt in flight but not counted")
 				}
-				h.Release()
+				r.Release()
 			}
 		})
 	}
@@ -146,27 +146,27 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			h, err := g.TryAcquire("engine-17")
+			r, err := g.TryAcquire("engine-17")
 			if err != nil {
 				b.Fatal(err)
 			}
-			h.Release()
+			r.Release()
 		}
 	})
 }
 
-// An attempt that holds an endpoint asks again after a wait: it may not go where the endpoint
-// leaves or is withheld by now, nor at all where this VM may start nothing.
+// TestGateRecheck: an attempt with a reservation is checked again after a wait. It may not be sent
+// to an endpoint that is leaving or withheld, nor by a VM without a permit.
 func TestGateRecheck(t *testing.T) {
 	set := leaving.NewSet()
 	g := NewGate(set)
-	p := &permit{}
+	p := &fakePermit{}
 	g.SetPermit(p)
 	if _, err := g.TryAcquire("e"); err != nil {
 		t.Fatal(err)
 	}
 	if err := g.Recheck("e"); err != nil {
-		t.Errorf("at once: %v", err)
+		t.Errorf("immediately: %v", err)
 	}
 	set.Record("e", "e1", true)
 	var leaves *LeavingError
--- a/withhold/metrics.go
+++ b/withhold/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// countRefusal counts an attempt that the gate did not let through.
+// countRefusal counts an attempt that the gate refused.
 func countRefusal(err error) {
 	name := fmt.Sprintf(`springweir_attempts_refused_total{reason=%q}`, failure.ReasonOf(err))
 	metrics.GetOrCreateCounter(name).Inc()
