--- a/forward/kvtransfer.go
+++ b/forward/kvtransfer.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// usable reports whether kv identifies a cache that an importer can verify.
+// usable reports whether kv identifies a KV cache that an importer can verify.
 func usable(kv *engine.KVRef) bool {
 	return kv != nil && kv.Handle != "" && kv.Digest != "" && kv.Incarnation != ""
 }
