--- a/caller/refuse.go
+++ b/caller/refuse.go
@@ -9,8 +9,9 @@
 	"github.com/springweir/springweir/forward"
 )
 
-// Refuse answers a request that never reached a Handler, as a Handler would.
-func Refuse(w http.ResponseWriter, r *http.Request, f *failure.Request) {
+// WriteFailure writes the error response for a request that never reached a Handler, in the form
+// that a Handler uses.
+func WriteFailure(w http.ResponseWriter, r *http.Request, f *failure.Request) {
 	x := &exchange{w: w, r: r, work: &forward.Work{ID: rand.Text()}}
 	w.Header().Set(wire.HeaderRequest, x.work.ID)
 	x.fail(f)
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -76,7 +76,7 @@
 func (s *streamer) send(resp wire.Response, position, tokens int) error {
 	resp.Object = s.a.format.object(true)
 	if s.a.x.work.FromOtherZone {
-		resp.Piece = &wire.Piece{
+		resp.HopChunk = &wire.HopChunk{
 			Attempt:  s.a.x.r.Header.Get(wire.HeaderAttempt),
 			Position: position,
 			Tokens:   tokens,
--- a/caller/wire/wire.go
+++ b/caller/wire/wire.go
@@ -114,12 +114,12 @@
 	Model   string   `json:"model"`
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// Piece is set between entries only.
-	Piece *Piece `json:"springweir,omitempty"`
+	// HopChunk is set between entries only.
+	HopChunk *HopChunk `json:"springweir,omitempty"`
 }
 
-// Piece places an event of a hopped stream in the whole answer.
-type Piece struct {
+// HopChunk places an event of a hopped stream in the whole answer.
+type HopChunk struct {
 	Attempt  string `json:"attempt"`
 	Position int    `json:"position"`
 	Tokens   int    `json:"tokens"`
--- a/controller/duties.go
+++ b/controller/duties.go
@@ -82,7 +82,7 @@
 		return pools
 	}
 	for _, e := range tree.Endpoints() {
-		if e.Engine() && e.Zone == c.process.Zone {
+		if e.IsEngine() && e.Zone == c.process.Zone {
 			pools[e.Pool] = true
 		}
 	}
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -115,7 +115,7 @@
 	if !found {
 		return
 	}
-	set := pool.In(p.c.process.Zone)
+	set := pool.ForZone(p.c.process.Zone)
 	seen, err := p.c.picture(ctx)
 	if err != nil {
 		klog.V(1).Infof("controller: no picture of zone %s: %v", p.c.process.Zone, err)
--- a/controller/targets.go
+++ b/controller/targets.go
@@ -37,7 +37,7 @@
 		return order.Target{}, false
 	}
 	e, found := tree.Endpoint(name)
-	if !found || !e.Engine() {
+	if !found || !e.IsEngine() {
 		return order.Target{}, false
 	}
 	return order.Target{Name: name, VM: e.VM, Engine: t.client(e), Fencing: order.Fencing(e.Fencing)}, true
--- a/controller/wants.go
+++ b/controller/wants.go
@@ -23,7 +23,7 @@
 // and what replacements lack.
 func (l *loadPlanner) wants(ctx context.Context, tree *settings.Tree, pool settings.Pool, seen *picture, asked map[weightstore.Artifact]float64) []loads.Load {
 	var wants []loads.Load
-	for i, name := range pool.In(l.p.c.process.Zone).Models {
+	for i, name := range pool.ForZone(l.p.c.process.Zone).Models {
 		model, found := tree.Model(name)
 		if !found {
 			continue
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -252,7 +252,7 @@
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := e.handler.Load()
 	if handler == nil {
-		caller.Refuse(w, r, notAllowed(&contact.UnconfirmedError{Standing: contact.NotJoined}))
+		caller.WriteFailure(w, r, notAllowed(&contact.UnconfirmedError{Standing: contact.NotJoined}))
 		return
 	}
 	e.requests.begin()
--- a/entry/server.go
+++ b/entry/server.go
@@ -102,7 +102,7 @@
 // it as not run: that entry then chooses anew.
 func (e *Entry) hopped(w http.ResponseWriter, r *http.Request) {
 	if e.refusing.Load() {
-		caller.Refuse(w, r, &failure.Request{
+		caller.WriteFailure(w, r, &failure.Request{
 			Code: failure.Stopping, Ran: failure.NotRun, RetryAfter: comeBack, Message: "this VM is stopping",
 		})
 		return
--- a/entry/specs.go
+++ b/entry/specs.go
@@ -97,7 +97,7 @@
 		Zone:    e.Zone,
 		Service: e.Service,
 	}
-	if e.Engine() {
+	if e.IsEngine() {
 		s.Kind = fleet.Engine
 	}
 	return s
--- a/entry/upstreams.go
+++ b/entry/upstreams.go
@@ -81,14 +81,14 @@
 	defer u.mu.Unlock()
 	next := map[string]*upstream{}
 	for _, pool := range v.tree.Pools() {
-		set := pool.In(v.zone)
+		set := pool.ForZone(v.zone)
 		next[poolUpstream(pool.Name)] = u.keepOrMake(poolUpstream(pool.Name), upstreamSettings{
 			Retry: set.Retry, Queues: set.Queues, Spill: set.Spill, Ejection: set.Ejection,
 			Engine: tuning.Engine(set.Roles), FirstToken: set.FirstTokenTimeout, BetweenTokens: set.BetweenTokensTimeout,
 		})
 	}
 	for _, svc := range v.tree.Services() {
-		set := svc.In(v.zone)
+		set := svc.ForZone(v.zone)
 		next[serviceUpstream(svc.Name)] = u.keepOrMake(serviceUpstream(svc.Name), upstreamSettings{
 			Retry: set.Retry, Queues: set.Queues, Ejection: set.Ejection,
 		})
@@ -140,7 +140,7 @@
 
 // homeOf is the name of an endpoint's upstream.
 func homeOf(e settings.Endpoint) string {
-	if e.Engine() {
+	if e.IsEngine() {
 		return poolUpstream(e.Pool)
 	}
 	return serviceUpstream(e.Service)
--- a/entry/view.go
+++ b/entry/view.go
@@ -45,7 +45,7 @@
 		pools:    map[string]settings.Pool{},
 	}
 	for _, pool := range tree.Pools() {
-		for _, name := range pool.In(zone).Models {
+		for _, name := range pool.ForZone(zone).Models {
 			w.addModel(pool, name)
 		}
 	}
@@ -65,7 +65,7 @@
 		return
 	}
 	w.pools[name] = pool
-	set := pool.In(w.zone)
+	set := pool.ForZone(w.zone)
 	base := caller.Model{
 		Name: name, Base: name, Version: model.Version, MaxTokens: set.OutputLimit, MaxPrompt: set.PromptLimit,
 		Limits: w.limits(set.Deadlines, set.BodyLimit),
@@ -80,7 +80,7 @@
 }
 
 func (w *view) addService(s settings.Service) {
-	set := s.In(w.zone)
+	set := s.ForZone(w.zone)
 	w.services[s.Name] = caller.Service{
 		Name: s.Name, Repeatable: set.Repeatable,
 		Limits: w.limits(set.Deadlines, set.BodyLimit),
@@ -203,5 +203,5 @@
 		return 0
 	}
 	s, _ := w.tree.Service(service)
-	return s.In(w.zone).ClaimRetention
+	return s.ForZone(w.zone).ClaimRetention
 }
--- a/forward/peerstream.go
+++ b/forward/peerstream.go
@@ -72,8 +72,8 @@
 	if event.Error != nil {
 		return engine.Frame{}, peerFailure(*event.Error)
 	}
-	if event.Piece != nil {
-		s.version = event.Piece.Version
+	if event.HopChunk != nil {
+		s.version = event.HopChunk.Version
 	}
 	return toFrame(event.Response)
 }
@@ -82,12 +82,12 @@
 func (s *peerStream) Version() string { return s.version }
 
 func toFrame(r wire.Response) (engine.Frame, error) {
-	if r.Piece == nil || len(r.Choices) != 1 {
+	if r.HopChunk == nil || len(r.Choices) != 1 {
 		return engine.Frame{}, &failure.Request{
 			Code: failure.AnswerMismatch, Ran: failure.Unknown, Message: "an event of the other zone's entry has no place in the answer",
 		}
 	}
-	frame := engine.Frame{Attempt: r.Piece.Attempt, Position: r.Piece.Position, Tokens: r.Piece.Tokens}
+	frame := engine.Frame{Attempt: r.HopChunk.Attempt, Position: r.HopChunk.Position, Tokens: r.HopChunk.Tokens}
 	choice := r.Choices[0]
 	if choice.Text != nil {
 		frame.Text = *choice.Text
--- a/operator/cli/config.go
+++ b/operator/cli/config.go
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		list = append(list, effectiveReport{k.Name, v.Text(), origin.String(), origin.Line, k.Want(), k.Doc})
+		list = append(list, effectiveReport{k.Name, v.Text(), origin.String(), origin.Line, k.Expected(), k.Doc})
 	}
 	return a.print(list, func(w io.Writer) {
 		for _, r := range list {
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -106,7 +106,7 @@
 func staying(tree *settings.Tree, of settings.Endpoint) (left, floor int) {
 	floor = 1
 	if pool, found := tree.Pool(of.Pool); found {
-		floor = pool.In(of.Zone).Roles.Floor
+		floor = pool.ForZone(of.Zone).Roles.Floor
 	}
 	for _, e := range tree.Endpoints() {
 		if e.Pool == of.Pool && e.Service == of.Service && e.Zone == of.Zone && !e.Leaving() {
--- a/settings/check.go
+++ b/settings/check.go
@@ -46,11 +46,11 @@
 	}
 	v, ok := k.Parse(e.value)
 	if !ok {
-		d.problem(e.line, header, name, BadValue, fmt.Sprintf("%q", e.value), k.Want())
+		d.problem(e.line, header, name, BadValue, fmt.Sprintf("%q", e.value), k.Expected())
 		return
 	}
 	if !k.InRange(v) {
-		d.problem(e.line, header, name, OutOfRange, fmt.Sprintf("%q", e.value), k.Want())
+		d.problem(e.line, header, name, OutOfRange, fmt.Sprintf("%q", e.value), k.Expected())
 		return
 	}
 	e.parsed = v
@@ -77,7 +77,7 @@
 	}
 	for _, k := range KeysFor(b.section.Kind) {
 		if _, found := b.find(k.Name); k.Required && k.Own && !found {
-			d.problem(b.line, b.section.String(), k.Name, MissingKey, "the key is not set", k.Want())
+			d.problem(b.line, b.section.String(), k.Name, MissingKey, "the key is not set", k.Expected())
 		}
 	}
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -17,11 +17,11 @@
 	LogRate float64 `key:"log-rate"`
 	// PrefillShare is the part of a service's engines that prefill.
 	PrefillShare float64 `key:"prefill-share"`
-	// InTime is the part of a route's objective within which the first event must
+	// ObjectiveFraction is the part of a route's objective within which the first event must
 	// be predicted for a request to be taken.
-	InTime float64 `key:"in-time"`
-	// ComeBack is when a caller that was refused is told to try again, at the least.
-	ComeBack time.Duration `key:"come-back"`
+	ObjectiveFraction float64 `key:"in-time"`
+	// MinRetryAfter is when a caller that was refused is told to try again, at the least.
+	MinRetryAfter time.Duration `key:"come-back"`
 	// OrderEndpoints lets the system order how many endpoints there are of services that allow it.
 	OrderEndpoints bool `key:"order-endpoints"`
 }
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestGatewayDefaults(t *testing.T) {
-	want := &Gateway{MetricsPort: 9464, LogRate: 1500, PrefillShare: 0.6, InTime: 0.9, ComeBack: 100 * time.Millisecond, OrderEndpoints: true}
+	want := &Gateway{MetricsPort: 9464, LogRate: 1500, PrefillShare: 0.6, ObjectiveFraction: 0.9, MinRetryAfter: 100 * time.Millisecond, OrderEndpoints: true}
 	if diff := cmp.Diff(want, DefaultGateway()); diff != "" {
 		t.Error(diff)
 	}
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.PrefillShare != 0.5 || g.LogRate != 20 || g.ComeBack != time.Second || g.InTime != 0.9 {
+	if g.PrefillShare != 0.5 || g.LogRate != 20 || g.MinRetryAfter != time.Second || g.ObjectiveFraction != 0.9 {
 		t.Errorf("got %+v", g)
 	}
 }
--- a/settings/key.go
+++ b/settings/key.go
@@ -102,8 +102,8 @@
 	Version:   "a version (lower-case letters, digits, '.', '_', '-')",
 }
 
-// Want says what a right value is, range included.
-func (k *Key) Want() string {
+// Expected says what a right value is, range included.
+func (k *Key) Expected() string {
 	text := examples[k.Type]
 	if k.Type == Choice {
 		text = "one of " + strings.Join(k.Choices, ", ")
--- a/settings/model.go
+++ b/settings/model.go
@@ -60,8 +60,8 @@
 // Ejection sets when an endpoint is taken out for its failures.
 type Ejection struct {
 	Failures int `key:"eject-failures"`
-	// Silent is a number of requests in a row without any answer.
-	Silent int `key:"eject-silent"`
+	// Unresponsive is a number of requests in a row without any answer.
+	Unresponsive int `key:"eject-silent"`
 	// FailureRate is from 0 to 1.
 	FailureRate float64       `key:"eject-failure-rate"`
 	Time        time.Duration `key:"eject-time"`
@@ -79,7 +79,7 @@
 	// ChangeBudget is in changes a second.
 	ChangeBudget   float64       `key:"change-budget"`
 	ChangeBurst    int           `key:"change-burst"`
-	MaxAway        int           `key:"max-away"`
+	MaxUnavailable int           `key:"max-away"`
 	Floor          int           `key:"floor"`
 	FloorPrefill   int           `key:"floor-prefill"`
 	FloorDecode    int           `key:"floor-decode"`
@@ -120,8 +120,8 @@
 	byZone   map[string]PoolSettings
 }
 
-// In returns the pool's values in a zone.
-func (p Pool) In(zone string) PoolSettings {
+// ForZone returns the pool's values in a zone.
+func (p Pool) ForZone(zone string) PoolSettings {
 	if s, found := p.byZone[zone]; found {
 		return s
 	}
@@ -149,8 +149,8 @@
 	byZone   map[string]ServiceSettings
 }
 
-// In returns the service's values in a zone.
-func (s Service) In(zone string) ServiceSettings {
+// ForZone returns the service's values in a zone.
+func (s Service) ForZone(zone string) ServiceSettings {
 	if v, found := s.byZone[zone]; found {
 		return v
 	}
@@ -181,8 +181,8 @@
 	ReplaceBy string  `key:"replace-by"`
 }
 
-// Engine tells whether the endpoint is an engine.
-func (e Endpoint) Engine() bool { return e.Pool != "" }
+// IsEngine reports whether the endpoint is an engine.
+func (e Endpoint) IsEngine() bool { return e.Pool != "" }
 
 // Leaving tells whether the tree says that the endpoint gets no new work. One
 // to be replaced serves until its replacement has taken over and drain is set.
--- a/settings/process.go
+++ b/settings/process.go
@@ -53,7 +53,7 @@
 	for _, k := range KeysFor(kind) {
 		if _, origin := d.effective(k, chain); k.Required && origin.BuiltIn() && !d.hasProblem(k.Name) {
 			last := chain[len(chain)-1]
-			d.problem(d.headerLine(last), last.String(), k.Name, MissingKey, "the key is not set", k.Want())
+			d.problem(d.headerLine(last), last.String(), k.Name, MissingKey, "the key is not set", k.Expected())
 		}
 	}
 }
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -64,5 +64,5 @@
 	case k.AllZones:
 		places += " (same in all zones)"
 	}
-	return fmt.Sprintf("| `%s` | %s | %s | %s | %s |\n", k.Name, k.Want(), def, places, k.Doc)
+	return fmt.Sprintf("| `%s` | %s | %s | %s | %s |\n", k.Name, k.Expected(), def, places, k.Doc)
 }
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -61,8 +61,8 @@
 			t.Errorf("after layer %d: got %s, want %s", i, got, want[i])
 		}
 		p, _ := tree.Pool("p")
-		if p.In("a").Retry.Attempts != int(v.Int()) {
-			t.Errorf("after layer %d: typed value %d, explained %d", i, p.In("a").Retry.Attempts, v.Int())
+		if p.ForZone("a").Retry.Attempts != int(v.Int()) {
+			t.Errorf("after layer %d: typed value %d, explained %d", i, p.ForZone("a").Retry.Attempts, v.Int())
 		}
 	}
 }
@@ -79,15 +79,15 @@
 		name      string
 		got, want any
 	}{
-		{"parent's value", language.In("a").Retry.Budget, 0.2},
-		{"own value in general", language.In("a").Roles.MaxAway, 2},
-		{"own value in a zone", language.In("b").Roles.MaxAway, 1},
-		{"zone's value", language.In("b").Ejection.Share, 0.1},
-		{"region's value", language.In("c").Spill.Margin, 300 * time.Millisecond},
-		{"built-in in base unit", language.In("a").Roles.ChangeBudget, 2.0 / 60},
-		{"microseconds", language.In("a").Roles.DecodeStepSequence, 150 * time.Microsecond},
+		{"parent's value", language.ForZone("a").Retry.Budget, 0.2},
+		{"own value in general", language.ForZone("a").Roles.MaxUnavailable, 2},
+		{"own value in a zone", language.ForZone("b").Roles.MaxUnavailable, 1},
+		{"zone's value", language.ForZone("b").Ejection.Share, 0.1},
+		{"region's value", language.ForZone("c").Spill.Margin, 300 * time.Millisecond},
+		{"built-in in base unit", language.ForZone("a").Roles.ChangeBudget, 2.0 / 60},
+		{"microseconds", language.ForZone("a").Roles.DecodeStepSequence, 150 * time.Microsecond},
 		{"list", language.Settings.Models, []string{"permit-7b", "chat-3b"}},
-		{"service", slots.In("a").ClaimRetention, 48 * time.Hour},
+		{"service", slots.ForZone("a").ClaimRetention, 48 * time.Hour},
 		{"fencing set", engine1.Fencing, FencingChecked},
 		{"fencing unset", engine2.Fencing, FencingIgnored},
 		{"vm defaults to the name", engine2.VM, "engine-2"},
--- a/settings/tuning/tuning.go
+++ b/settings/tuning/tuning.go
@@ -20,7 +20,7 @@
 func Health(e settings.Ejection) health.Config {
 	c := health.DefaultConfig()
 	c.ConsecutiveFailures = e.Failures
-	c.ConsecutiveSilent = e.Silent
+	c.ConsecutiveSilent = e.Unresponsive
 	c.MinRate = e.FailureRate
 	c.BaseEjection = e.Time
 	c.MaxEjection = e.TimeLimit
@@ -107,7 +107,7 @@
 	s.MinimumStay = r.MinimumStay
 	s.BudgetBurst = r.ChangeBurst
 	s.BudgetInterval = time.Duration(float64(time.Second) / r.ChangeBudget)
-	s.MaxUnavailable = r.MaxAway
+	s.MaxUnavailable = r.MaxUnavailable
 	s.FloorPrefill = r.FloorPrefill
 	s.FloorDecode = r.FloorDecode
 	s.MaxReportAge = r.ReportAgeLimit
--- a/settings/tuning/tuning_test.go
+++ b/settings/tuning/tuning_test.go
@@ -47,13 +47,13 @@
 	tree := parse(t)
 	pool, _ := tree.Pool("p")
 	service, _ := tree.Service("s")
-	s := pool.In("a")
+	s := pool.ForZone("a")
 	rows := []struct {
 		name      string
 		want, got any
 	}{
 		{"health", health.DefaultConfig(), Health(s.Ejection)},
-		{"health of services", health.DefaultConfig(), Health(service.In("a").Ejection)},
+		{"health of services", health.DefaultConfig(), Health(service.ForZone("a").Ejection)},
 		{"retry budget", retry.DefaultLimits, RetryLimits(s.Retry)},
 		{"backoff", retry.DefaultBackoff, Backoff(s.Retry)},
 		{"attempts", forward.DefaultMaxAttempts, s.Retry.Attempts},
@@ -65,7 +65,7 @@
 		{"deadline limit", time.Duration(caller.DefaultMaxDeadline), s.Deadlines.Limit},
 		{"body", int64(caller.DefaultMaxBody), s.BodyLimit},
 		{"output", caller.DefaultMaxTokens, s.OutputLimit},
-		{"claims", claim.DefaultRetention, service.In("a").ClaimRetention},
+		{"claims", claim.DefaultRetention, service.ForZone("a").ClaimRetention},
 		{"roles", roles.Defaults(roles.Weights{Goodput: 1, Change: 1}), Roles(s.Roles)},
 	}
 	for _, r := range rows {
@@ -79,7 +79,7 @@
 	tree := parse(t)
 	pool, _ := tree.Pool("q")
 	organisation, _ := tree.Organisation("o")
-	s := pool.In("a")
+	s := pool.ForZone("a")
 	rows := []struct {
 		name      string
 		want, got any
