--- a/entry/admit.go
+++ b/entry/admit.go
@@ -9,10 +9,10 @@
 	"github.com/springweir/springweir/routing"
 )
 
-// serviceQueue begins the names of the queues of plain services.
-const serviceQueue = "service "
+// serviceQueuePrefix starts the names of the admission queues of plain services.
+const serviceQueuePrefix = "service "
 
-// admitter adapts package admission to package forward.
+// admitter connects package admission to package forward.
 type admitter struct {
 	d   *dispatcher
 	ctl *admission.Controller
@@ -35,8 +35,8 @@
 		Context:      w,
 	}
 	if w.Service == "" {
-		a.d.expected.arrived(w, a.d.cat.wanted(w), a.d.store.Snapshot())
-		work.OutputTokens = a.d.expected.output(w)
+		a.d.demand.recordArrival(w, a.d.cat.requiredArtifact(w), a.d.store.Snapshot())
+		work.OutputTokens = a.d.demand.expectedOutput(w)
 	}
 	if !w.Deadline.IsZero() {
 		work.Deadline = w.Deadline.Sub(a.d.start)
@@ -46,14 +46,14 @@
 		return nil, err
 	}
 	return func() {
-		a.d.provisional.drop(a.d.common, w.ID)
+		a.d.provisional.release(a.d.common, w.ID)
 		grant.Release()
 	}, nil
 }
 
 func queueName(w *forward.Work) string {
 	if w.Service != "" {
-		return serviceQueue + w.Service
+		return serviceQueuePrefix + w.Service
 	}
 	return w.Model
 }
@@ -63,10 +63,10 @@
 	return org.Weight
 }
 
-// predict implements admission.Predictor. A request that would wait longer at an
-// engine waits here, where fairness and priority decide who is next. None is ever
-// queueable: letting those that can spare no more time into the engines' queues
-// makes all of them late at an overload (docs/POLICY.md, round 9).
+// predict implements admission.Predictor. A request that would be queued at an engine waits
+// here instead, where fairness and priority decide which request is next. No request is
+// ever reported as queueable: admitting requests without slack into the engines' queues
+// makes all of them late under overload.
 func (a *admitter) predict(now time.Duration, work *admission.Work) (admission.Prediction, error) {
 	w := work.Context.(*forward.Work)
 	decision, err := a.d.decide(now, w, forward.Attempt{Emitted: w.ResumeFrom})
@@ -80,12 +80,12 @@
 	}, nil
 }
 
-// commit implements admission.Commit: the work is reserved where it is
-// expected to go, until the attempt itself reserves it.
+// commit implements admission.Commit. It reserves the work at the endpoint where it is
+// expected to run, until the attempt makes its own reservation.
 func (a *admitter) commit(now time.Duration, work *admission.Work, plan any) {
 	decision := plan.(routing.Decision)
 	if decision.Endpoint == nil {
 		return
 	}
-	a.d.provisional.make(a.d.common, now, work.Context.(*forward.Work), decision)
+	a.d.provisional.reserve(a.d.common, now, work.Context.(*forward.Work), decision)
 }
--- a/entry/admit_test.go
+++ b/entry/admit_test.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// decoding is the number of answers decoded beside the letter.
-const decoding = 3
+// decodingStreams is the number of responses being decoded when the long prompt arrives.
+const decodingStreams = 3
 
-// TestLetterBesideDecoding shows that a long letter is sent at once to an engine
-// on which an answer is being decoded: that slows its prefill, but nothing is
+// TestLongPromptSentBesideDecoding checks that a long prompt is sent immediately to an
+// engine that is decoding responses: decoding slows the prefill down, but no prompt is
 // queued before it.
-func TestLetterBesideDecoding(t *testing.T) {
+func TestLongPromptSentBesideDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
+		o := inMemoryOptions()
 		o.engines, o.speed = 1, slowEngines
-		s := newSite(t, o)
+		s := newTestZone(t, o)
 		defer s.shutDown()
-		ended := make(chan int, decoding+1)
-		ask := func(r request) {
+		ended := make(chan int, decodingStreams+1)
+		send := func(r request) {
 			status, _, _ := s.do(t.Context(), r)
 			ended <- status
 		}
-		for range decoding {
-			go ask(chatRequest(longPrompt(), 127, true))
+		for range decodingStreams {
+			go send(chatRequest(longPrompt(), 127, true))
 		}
 		time.Sleep(time.Second)
-		go ask(chatRequest(strings.Repeat("The permit of the municipality says. ", 1200), 8, false))
+		go send(chatRequest(strings.Repeat("The permit of the municipality says. ", 1200), 8, false))
 		time.Sleep(500 * time.Millisecond)
-		if s.entry.upstreams.waiting() != 0 || s.entry.gate.Streams("engine-0") != decoding+1 {
-			t.Errorf("%d requests wait and %d are at the engine, want none and all", s.entry.upstreams.waiting(), s.entry.gate.Streams("engine-0"))
+		if s.entry.upstreams.waiting() != 0 || s.entry.gate.Streams("engine-0") != decodingStreams+1 {
+			t.Errorf("%d requests are queued and %d are at the engine, want none and all", s.entry.upstreams.waiting(), s.entry.gate.Streams("engine-0"))
 		}
-		for range decoding + 1 {
+		for range decodingStreams + 1 {
 			if status := <-ended; status != http.StatusOK {
 				t.Errorf("a request ended with status %d", status)
 			}
--- a/entry/missed_test.go
+++ b/entry/announcement_test.go
@@ -18,31 +18,31 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// TestMissedAnnouncementIsShared loses every announcement that an engine says
-// it is leaving. In a zone that is too large for each entry to ask every
-// engine, the others then learn it from the shared reports, and route nothing
-// there after leaving.StopTime. No platform is there at all.
-func TestMissedAnnouncementIsShared(t *testing.T) {
-	const vms, engines = 5, directZone + 8
+// TestMissedAnnouncementReachesPeersByReports drops every announcement that an engine is
+// leaving. In a zone too large for each entry to poll every engine, the other entries then
+// get the leaving state from the shared reports, and send no new work to the engine after
+// leaving.MaxStopDelay. There is no platform at all.
+func TestMissedAnnouncementReachesPeersByReports(t *testing.T) {
+	const vms, engines = 5, directPollLimit + 8
 	for at := time.Duration(0); at < leaving.EndpointPollInterval; at += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			entries, stop := idleZone(t, vms, engines)
 			defer stop()
 			poller := entries[0].reports
 			entries[0].common.announce = func(context.Context, string, string) {}
-			began := time.Now()
+			start := time.Now()
 			var polls sync.WaitGroup
 			polls.Go(func() {
 				for n := range 8 {
-					said := time.Since(began) >= at+leaving.EndpointPollInterval
+					isLeaving := time.Since(start) >= at+leaving.EndpointPollInterval
 					state := engine.State{
-						Incarnation: "first", Role: engine.Mixed, Leaving: said,
+						Incarnation: "first", Role: engine.Mixed, Leaving: isLeaving,
 						Loaded: []weightstore.Artifact{{Model: "chat", Version: "1"}},
 						Load:   engine.Load{Sequence: uint64(n + 1)},
 					}
 					report := fleet.Report{Endpoint: engineName(0), State: state, MeasuredAt: entries[0].common.now()}
 					entries[0].common.store.ApplyReports(entries[0].common.now(), report)
-					poller.heard(report)
+					poller.recordPolled(report)
 					time.Sleep(leaving.EndpointPollInterval)
 				}
 			})
@@ -51,15 +51,15 @@
 			for i, e := range entries {
 				available := e.common.store.Snapshot().Engines(weightstore.Artifact{Model: "chat"}, engine.Mixed)
 				if len(available) != engines-1 {
-					t.Errorf("said at %v: entry %d may use %d engines, want %d", at, i, len(available), engines-1)
+					t.Errorf("leaving at %v: entry %d may use %d engines, want %d", at, i, len(available), engines-1)
 				}
 			}
 		})
 	}
 }
 
-// idleZone is a zone of entries that hold one roster and share what they read,
-// and that ask no engine themselves.
+// idleZone returns the entries of a zone, which have the same roster and share their
+// reports but poll no engine.
 func idleZone(t *testing.T, vms, engines int) (entries []*Entry, stop func()) {
 	n := pipenet.NewNetwork()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -80,7 +80,7 @@
 	for _, e := range entries {
 		e.member.Joined(roster, time.Now())
 		loops.Go(func() { e.exchanger.Run(ctx) })
-		loops.Go(func() { e.reports.share(ctx) })
+		loops.Go(func() { e.reports.runSharing(ctx) })
 	}
 	return entries, func() {
 		cancel()
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -11,7 +11,8 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// attempt is one attempt's hold on its endpoints. It implements forward.Observer.
+// attempt tracks what one attempt has acquired at its endpoints. It implements
+// forward.Observer.
 type attempt struct {
 	d        *dispatcher
 	id       string
@@ -19,81 +20,84 @@
 	acquired []acquisition
 }
 
-// acquisition is the hold on one endpoint. Its order of taking is the order of its
-// fields; it is given back in the opposite order.
+// acquisition is what an attempt holds at one endpoint. Fields are acquired in the order in
+// which they are declared and released in reverse order.
 type acquisition struct {
-	endpoint string
-	hold     withhold.Reservation
-	ticket   health.Ticket
-	released bool
+	endpoint    string
+	reservation withhold.Reservation
+	ticket      health.Ticket
+	released    bool
 }
 
-// acquire takes an endpoint for the attempt. busy is its name if it cannot be
-// taken: withheld or leaving since the snapshot, or on trial for another request.
-func (a *attempt) acquire(e *fleet.Endpoint, share fleet.Work) (busy string, err error) {
-	hold, err := a.d.gate.TryAcquire(e.Name)
-	var withheld *withhold.WithheldError
-	var leaves *withhold.LeavingError
+// acquire acquires an endpoint for the attempt. If it cannot, because the endpoint was
+// withheld or started to leave after the snapshot was taken, or because another request has
+// its trial, it returns the endpoint's name in unavailable.
+func (a *attempt) acquire(e *fleet.Endpoint, work fleet.Work) (unavailable string, err error) {
+	reservation, err := a.d.gate.TryAcquire(e.Name)
+	var withheldErr *withhold.WithheldError
+	var leavingErr *withhold.LeavingError
 	switch {
-	case errors.As(err, &withheld), errors.As(err, &leaves):
+	case errors.As(err, &withheldErr), errors.As(err, &leavingErr):
 		return e.Name, nil
 	case err != nil:
-		return "", notAllowed(err)
+		return "", newWorkForbidden(err)
 	}
 	now := a.d.now()
 	ticket, ok := a.d.health.begin(now, e.Name)
-	if !ok || ticket.Trial() && mayBeLost(a.work) {
+	if !ok || ticket.Trial() && notRepeatable(a.work) {
 		a.d.health.end(now, ticket, health.Abandoned)
-		hold.Release()
+		reservation.Release()
 		return e.Name, nil
 	}
-	a.d.store.Reserve(now, fleet.Reservation{Endpoint: e.Name, Attempt: a.id, Work: share})
-	a.acquired = append(a.acquired, acquisition{endpoint: e.Name, hold: hold, ticket: ticket})
+	a.d.store.Reserve(now, fleet.Reservation{Endpoint: e.Name, Attempt: a.id, Work: work})
+	a.acquired = append(a.acquired, acquisition{endpoint: e.Name, reservation: reservation, ticket: ticket})
 	return "", nil
 }
 
-// recheck tells why the endpoint that serves may no longer be sent to.
+// recheck returns the reason why work may no longer be sent to the serving endpoint, or
+// nil.
 func (a *attempt) recheck() *failure.Request {
 	err := a.d.gate.Recheck(a.acquired[len(a.acquired)-1].endpoint)
 	if err == nil {
 		return nil
 	}
-	return notAllowed(err)
+	return newWorkForbidden(err)
 }
 
-// abandon gives back what was taken for an attempt that is not made.
+// abandon releases everything acquired for an attempt that is not sent.
 func (a *attempt) abandon() { a.releaseAll(health.Abandoned) }
 
-// FirstToken implements forward.Observer. It tells that the prompt is computed.
+// FirstToken implements forward.Observer. The first token shows that the prompt is
+// prefilled.
 func (a *attempt) FirstToken(time.Duration) {
-	serve := &a.acquired[len(a.acquired)-1]
-	a.d.health.tracker.RecordActivity(serve.ticket)
-	a.d.store.MarkPrefilled(a.d.now(), serve.endpoint, a.id)
+	serving := &a.acquired[len(a.acquired)-1]
+	a.d.health.tracker.RecordActivity(serving.ticket)
+	a.d.store.MarkPrefilled(a.d.now(), serving.endpoint, a.id)
 }
 
-// Finished implements forward.Observer. A prefill engine that was taken and in
-// the end not used is not judged.
+// Finished implements forward.Observer. A prefill engine that was acquired but not used
+// gets no health result.
 func (a *attempt) Finished(r forward.Result) {
 	if r.Err == nil {
-		a.d.expected.learn(a.work, r.Tokens)
+		a.d.demand.recordOutput(a.work, r.Tokens)
 	}
 	last := len(a.acquired) - 1
 	if r.Leaving {
-		a.d.noteServiceLeaving(a.acquired[last].endpoint)
+		a.d.recordServiceLeaving(a.acquired[last].endpoint)
 	}
-	a.release(last, resultOf(r))
+	a.release(last, healthResultOf(r))
 	a.releaseAll(health.Abandoned)
 }
 
-// prefillObserver follows the prefill of an attempt whose prefill runs on an
-// engine of its own, which is the attempt's first acquisition.
+// prefillObserver observes the prefill of an attempt that prefills on a separate engine,
+// which is the attempt's first acquisition.
 type prefillObserver struct{ *attempt }
 
 // FirstToken implements forward.Observer.
 func (prefillObserver) FirstToken(time.Duration) {}
 
 // Finished implements forward.Observer.
-func (o prefillObserver) Finished(r forward.Result) { o.release(0, resultOf(r)) }
+func (o prefillObserver) Finished(r forward.Result) { o.release(0, healthResultOf(r)) }
 
 func (a *attempt) releaseAll(result health.Result) {
 	for i := len(a.acquired) - 1; i >= 0; i-- {
@@ -101,21 +105,21 @@
 	}
 }
 
-// release gives one acquisition back. Giving it back again does nothing.
+// release releases one acquisition. It is idempotent.
 func (a *attempt) release(i int, result health.Result) {
-	l := &a.acquired[i]
-	if l.released {
+	acq := &a.acquired[i]
+	if acq.released {
 		return
 	}
-	l.released = true
+	acq.released = true
 	now := a.d.now()
-	a.d.store.Release(now, l.endpoint, a.id)
-	a.d.health.end(now, l.ticket, result)
-	l.hold.Release()
+	a.d.store.Release(now, acq.endpoint, a.id)
+	a.d.health.end(now, acq.ticket, result)
+	acq.reservation.Release()
 }
 
-// resultOf tells what a result says of its endpoint.
-func resultOf(r forward.Result) health.Result {
+// healthResultOf maps the result of an attempt to a health result of its endpoint.
+func healthResultOf(r forward.Result) health.Result {
 	switch {
 	case r.Abandoned:
 		return health.Abandoned
--- a/entry/upkeep_test.go
+++ b/entry/background_test.go
@@ -16,11 +16,11 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// zoneSizes are today's pool, and a zone at the target size.
+// zoneSizes are the zone sizes in engines: a small pool and the target size.
 var zoneSizes = []int{12, 400}
 
-// idleEntry is an entry that knows so many engines, all of them with a report,
-// and does not run.
+// idleEntry returns an entry with the given number of engines, all of which have reported.
+// It does not run.
 func idleEntry(tb testing.TB, engines int) *Entry {
 	n := network.Network{Listen: func(string) (net.Listener, error) { return pipenet.Listen(), nil }}
 	return idleEntryOn(tb, n, &settings.Process{VM: "vm1", Zone: "a"}, engines)
@@ -47,8 +47,8 @@
 	return e
 }
 
-// BenchmarkRefreshSpecs is what an entry does four times a second while nothing
-// changes.
+// BenchmarkRefreshSpecs measures the refresh that an entry performs four times a second,
+// without any change.
 func BenchmarkRefreshSpecs(b *testing.B) {
 	for _, engines := range zoneSizes {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
@@ -61,9 +61,10 @@
 	}
 }
 
-// BenchmarkReservation is what the fleet's picture costs a request: a reservation when admitted,
-// an attempt, and the health after it, each of which makes a new snapshot.
-// share-at-1000/s is the part of a core at 1,000 requests a second.
+// BenchmarkReservation measures the overhead of the fleet's snapshots for one request: a
+// reservation at admission, one for the attempt, and the health update after it, each of
+// which creates a new snapshot. share-at-1000/s is the fraction of a core used at 1,000
+// requests a second.
 func BenchmarkReservation(b *testing.B) {
 	for _, engines := range zoneSizes {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestRefreshSpecs shows that a refresh takes over each change, and that one
-// without a change leaves the very snapshot as it is.
+// TestRefreshSpecs checks that a refresh applies each change, and that without a change it
+// keeps the same snapshot.
 func TestRefreshSpecs(t *testing.T) {
 	e := idleEntry(t, 3)
 	steps := []struct {
@@ -99,10 +100,10 @@
 		want   int
 	}{
 		{"all serve", func() {}, 3},
-		{"one says it is leaving", func() { e.common.leave.Record("engine-0", "first", true) }, 2},
-		{"it came back", func() { e.common.leave.Record("engine-0", "second", false) }, 3},
+		{"one reports that it is leaving", func() { e.common.leavingSet.Record("engine-0", "first", true) }, 2},
+		{"it restarted", func() { e.common.leavingSet.Record("engine-0", "second", false) }, 3},
 		{"one is withheld", func() { e.gate.Withhold("engine-1", 1) }, 2},
-		{"one is drained in the tree", func() { e.leave.SetTree([]string{"engine-2"}) }, 1},
+		{"one is drained in the tree", func() { e.leavingSet.SetTree([]string{"engine-2"}) }, 1},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
@@ -120,19 +121,19 @@
 	}
 }
 
-// BenchmarkShareTick is what an entry does four times a second with the reports
-// that its zone shares: here all of them, as if it polled every engine.
+// BenchmarkShareTick measures the sharing that an entry performs four times a second, here
+// for all engines of the zone, as if it polled every one.
 func BenchmarkShareTick(b *testing.B) {
 	for _, engines := range zoneSizes {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
 			e := idleEntry(b, engines)
 			for _, endpoint := range e.common.store.Snapshot().Endpoints() {
-				e.reports.heard(fleet.Report{Endpoint: endpoint.Name, State: engine.State{Incarnation: "first", Role: engine.Mixed}})
+				e.reports.recordPolled(fleet.Report{Endpoint: endpoint.Name, State: engine.State{Incarnation: "first", Role: engine.Mixed}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				e.reports.publish()
-				e.reports.takeShared()
+				e.reports.mergeShared()
 			}
 		})
 	}
--- a/entry/change_test.go
+++ b/entry/change_test.go
@@ -11,10 +11,10 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// TestConfigurationChangeCutsNothing shows that requests under way and requests
-// that wait end whole when a new version replaces the settings of their pool, and
-// when one takes an engine with a stream out of the tree.
-func TestConfigurationChangeCutsNothing(t *testing.T) {
+// TestConfigurationChangeInterruptsNothing checks that running and queued requests complete
+// when a new version replaces the settings of their pool, and when it removes or drains an
+// engine that has a stream.
+func TestConfigurationChangeInterruptsNothing(t *testing.T) {
 	changes := []struct {
 		name   string
 		change func(tree string) string
@@ -22,7 +22,7 @@
 		{"the pool's retries, queues and ejection", func(tree string) string {
 			return strings.Replace(tree, "models = chat\n", "models = chat\nretry-attempts = 2\nqueue-limit = 100\neject-failures = 9\n", 1)
 		}},
-		{"an engine goes", func(tree string) string {
+		{"an engine is removed", func(tree string) string {
 			return regexp.MustCompile(`\[endpoint "engine-0"\]\n.*\n.*\n.*\n`).ReplaceAllString(tree, "")
 		}},
 		{"an engine drains", func(tree string) string {
@@ -32,36 +32,36 @@
 	for _, tt := range changes {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := inMemory()
+				o := inMemoryOptions()
 				o.speed = slowEngines
-				s := newSite(t, o)
+				s := newTestZone(t, o)
 				defer s.shutDown()
 				next := tt.change(s.tree)
 				if next == s.tree {
 					t.Fatal("the tree does not change")
 				}
-				ended := make(chan string, waitingLetters)
-				letter := strings.Repeat("The permit of the municipality says. ", 100)
-				for n := range waitingLetters {
+				ended := make(chan string, queuedRequests)
+				prompt := strings.Repeat("The permit of the municipality says. ", 100)
+				for n := range queuedRequests {
 					go func() {
-						_, body, _ := s.do(t.Context(), chatRequest(fmt.Sprint(n, letter), 127, true))
+						_, body, _ := s.do(t.Context(), chatRequest(fmt.Sprint(n, prompt), 127, true))
 						ended <- body
 					}()
 				}
 				time.Sleep(300 * time.Millisecond)
 				if s.entry.upstreams.waiting() == 0 || s.entry.gate.Streams("engine-0") == 0 {
-					t.Fatal("nothing waits, or engine-0 has no stream, so the test shows nothing")
+					t.Fatal("nothing is queued, or engine-0 has no stream: the test is ineffective")
 				}
 				if err := s.entry.applier.Offer(rollout.NewDocument(2, []byte(next))); err != nil {
 					t.Fatal(err)
 				}
-				for range waitingLetters {
+				for range queuedRequests {
 					if body := <-ended; !strings.HasSuffix(body, "data: [DONE]\n\n") {
-						t.Errorf("an answer ended with %q", body[max(0, len(body)-200):])
+						t.Errorf("a response ended with %q", body[max(0, len(body)-200):])
 					}
 				}
 				time.Sleep(time.Second)
-				s.checkNothingHeld()
+				s.checkNothingReserved()
 			})
 		})
 	}
--- a/entry/clean_test.go
+++ b/entry/clean_test.go
@@ -11,13 +11,13 @@
 	"github.com/springweir/springweir/claim"
 )
 
-// TestClaimsAreCleaned shows that an entry drops claims once their service's
-// claim-retention is over, and keeps those of others.
+// TestClaimsAreCleaned checks that an entry deletes claims after the claim-retention of
+// their service, and keeps those of other services.
 func TestClaimsAreCleaned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
-		o.more = "[service \"brief\"]\nclaim-retention = 10m\n[endpoint \"brief-1\"]\nzone = a\nservice = brief\naddress = " + o.listenAt(2, 9600) + "\n"
-		s := newSite(t, o)
+		o := inMemoryOptions()
+		o.extraSettings = "[service \"brief\"]\nclaim-retention = 10m\n[endpoint \"brief-1\"]\nzone = a\nservice = brief\naddress = " + o.listenAt(2, 9600) + "\n"
+		s := newTestZone(t, o)
 		defer s.shutDown()
 		s.listenFor(s.services, o.listenAt(2, 9600))
 		claims := func() []string {
--- a/entry/demand.go
+++ b/entry/demand.go
@@ -13,57 +13,59 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// meterWindow is how far back the demand is measured.
-const meterWindow = 20 * time.Second
+// demandWindow is the period over which demand is measured.
+const demandWindow = 20 * time.Second
 
-// expectations meters the demand that this entry sees of each pool, and learns
-// how long answers are. It is safe for concurrent use; mu is a leaf.
-type expectations struct {
+// demandTracker measures the demand that this entry receives for each pool, and estimates
+// output lengths. It is safe for concurrent use; mu is a leaf lock.
+type demandTracker struct {
 	now func() time.Duration
-	// poolOf names the pool that serves a base model.
+	// poolOf returns the name of the pool that serves a base model.
 	poolOf func(model string) string
 
 	mu sync.Mutex
-	// meters are by pool. A pool that is gone keeps its meter, which fades.
+	// meters is keyed by pool. The meter of a removed pool is kept; its values decay.
 	meters map[string]*roles.Meter
-	// asked counts requests by what they need loaded, as decaying sums.
-	asked   map[weightstore.Artifact]float64
-	decayed time.Duration
+	// requestCounts holds the requests per required artifact, as exponentially decaying
+	// sums, which were last decayed at decayedAt.
+	requestCounts map[weightstore.Artifact]float64
+	decayedAt     time.Duration
 }
 
-// maxAsked bounds the artifacts counted; a request for one more is not counted.
-const maxAsked = 1024
+// maxCountedArtifacts bounds requestCounts. Requests for further artifacts are not counted.
+const maxCountedArtifacts = 1024
 
-// negligible is the decayed count below which an artifact is forgotten.
-const negligible = 0.01
+// minRequestCount is the decayed count below which an artifact is dropped.
+const minRequestCount = 0.01
 
-func newExpectations(now func() time.Duration, poolOf func(model string) string) *expectations {
-	return &expectations{
-		now: now, poolOf: poolOf, decayed: now(),
-		meters: map[string]*roles.Meter{},
-		asked:  map[weightstore.Artifact]float64{},
+func newDemandTracker(now func() time.Duration, poolOf func(model string) string) *demandTracker {
+	return &demandTracker{
+		now: now, poolOf: poolOf, decayedAt: now(),
+		meters:        map[string]*roles.Meter{},
+		requestCounts: map[weightstore.Artifact]float64{},
 	}
 }
 
-// meter returns the meter of a pool. The caller holds mu.
-func (x *expectations) meter(pool string) *roles.Meter {
-	m := x.meters[pool]
+// meter returns the meter of a pool, and creates it if needed. The caller holds mu.
+func (t *demandTracker) meter(pool string) *roles.Meter {
+	m := t.meters[pool]
 	if m == nil {
-		m = roles.NewMeter(x.now(), meterWindow)
-		x.meters[pool] = m
+		m = roles.NewMeter(t.now(), demandWindow)
+		t.meters[pool] = m
 	}
 	return m
 }
 
-// output is the expected number of tokens of w's answer.
-func (x *expectations) output(w *forward.Work) int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.meter(x.poolOf(w.Model)).ExpectedOutput(w.PromptTokens, w.Priority, w.MaxTokens)
+// expectedOutput returns the expected number of output tokens of w.
+func (t *demandTracker) expectedOutput(w *forward.Work) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.meter(t.poolOf(w.Model)).ExpectedOutput(w.PromptTokens, w.Priority, w.MaxTokens)
 }
 
-// arrived counts a request for a in the demand, whether or not it is admitted.
-func (x *expectations) arrived(w *forward.Work, a weightstore.Artifact, s *fleet.Snapshot) {
+// recordArrival counts a request, which requires artifact a, towards the demand, whether or
+// not it is admitted.
+func (t *demandTracker) recordArrival(w *forward.Work, a weightstore.Artifact, s *fleet.Snapshot) {
 	sample := roles.Sample{
 		Prompt:   w.PromptTokens,
 		Cached:   cachedTokens(w, s),
@@ -72,54 +74,55 @@
 	if !w.Deadline.IsZero() {
 		sample.Deadline = clock.Until(w.Deadline)
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	meter := x.meter(x.poolOf(w.Model))
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	meter := t.meter(t.poolOf(w.Model))
 	sample.Output = meter.ExpectedOutput(w.PromptTokens, w.Priority, w.MaxTokens)
-	meter.RecordArrival(x.now(), sample)
-	if _, known := x.asked[a]; known || len(x.asked) < maxAsked {
-		x.asked[a]++
+	meter.RecordArrival(t.now(), sample)
+	if _, known := t.requestCounts[a]; known || len(t.requestCounts) < maxCountedArtifacts {
+		t.requestCounts[a]++
 	}
 }
 
-// artifacts returns how often each artifact was asked for lately, in requests a
-// second. Counts fade over about meterWindow.
-func (x *expectations) artifacts() map[weightstore.Artifact]float64 {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	now := x.now()
-	keep := math.Exp(-(now - x.decayed).Seconds() / meterWindow.Seconds())
-	x.decayed = now
-	rates := make(map[weightstore.Artifact]float64, len(x.asked))
-	for a, n := range x.asked {
-		x.asked[a] = n * keep
-		if n*keep < negligible {
-			delete(x.asked, a)
+// artifactRates returns the recent request rate of each artifact, in requests per second.
+// Counts decay with the time constant demandWindow.
+func (t *demandTracker) artifactRates() map[weightstore.Artifact]float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	decay := math.Exp(-(now - t.decayedAt).Seconds() / demandWindow.Seconds())
+	t.decayedAt = now
+	rates := make(map[weightstore.Artifact]float64, len(t.requestCounts))
+	for a, n := range t.requestCounts {
+		t.requestCounts[a] = n * decay
+		if n*decay < minRequestCount {
+			delete(t.requestCounts, a)
 			continue
 		}
-		rates[a] = n * keep / meterWindow.Seconds()
+		rates[a] = n * decay / demandWindow.Seconds()
 	}
 	return rates
 }
 
-// learn takes in the length of a whole answer.
-func (x *expectations) learn(w *forward.Work, tokens int) {
+// recordOutput records the output length of a complete response.
+func (t *demandTracker) recordOutput(w *forward.Work, tokens int) {
 	if w.Service != "" {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.meter(x.poolOf(w.Model)).RecordOutput(w.PromptTokens, w.Priority, w.ResumeFrom+tokens)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.meter(t.poolOf(w.Model)).RecordOutput(w.PromptTokens, w.Priority, w.ResumeFrom+tokens)
 }
 
-// demand is what this entry was lately asked for of a pool.
-func (x *expectations) demand(pool string) roles.Demand {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.meter(pool).Demand(x.now())
+// poolDemand returns the recent demand for a pool at this entry.
+func (t *demandTracker) poolDemand(pool string) roles.Demand {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.meter(pool).Demand(t.now())
 }
 
-// cachedTokens is the longest part of w's prompt that an engine of the zone holds.
+// cachedTokens returns the length of the longest prefix of w's prompt that an engine of the
+// zone has cached.
 func cachedTokens(w *forward.Work, s *fleet.Snapshot) int {
 	var buf [1]prefix.Hit
 	hits := s.Prefix.Chain(w.PrefixHashes).Best(buf[:0], 1, 0)
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -18,84 +18,85 @@
 )
 
 const (
-	// maxRoutes bounds how often a decision is made anew because its endpoint
-	// was withheld, leaving or on trial by the time it was to be used.
-	maxRoutes = 8
-	// comeBack is when to try again after a refusal that passes by itself.
-	comeBack = time.Second
+	// maxDecisions bounds how often a routing decision is repeated because the chosen
+	// endpoint was withheld, leaving or on trial when it was to be acquired.
+	maxDecisions = 8
+	// defaultRetryAfter is the retry delay sent with rejections for transient reasons.
+	defaultRetryAfter = time.Second
 )
 
-// common is what the dispatchers of all pools and services share.
+// common holds the state that the dispatchers of all pools and services share.
 type common struct {
 	start       time.Time
 	cat         *catalogue
 	store       *fleet.Store
 	gate        *withhold.Gate
 	member      *contact.Member
-	leave       *leaving.Set
+	leavingSet  *leaving.Set
 	clients     *clients
-	zones       *zoneBook
-	expected    *expectations
-	provisional provisional
-	// announce tells the zone's other entries that an endpoint says it leaves.
+	zones       *remoteZones
+	demand      *demandTracker
+	provisional provisionalReservations
+	// announce informs the zone's other entries that an endpoint reported that it is
+	// leaving.
 	announce func(ctx context.Context, endpoint, incarnation string)
 }
 
-// dispatcher carries out routing decisions for package forward: it decides on
-// the newest snapshot, then takes what the decision needs (the gate's hold, the
-// health ticket, the reservation) in that order, and gives it back in the end.
-// It is safe for concurrent use and holds no lock of its own.
+// dispatcher executes routing decisions for package forward. It decides on the newest
+// snapshot, then acquires the gate's reservation, the health ticket and the load
+// reservation in that order, and releases them when the attempt ends. It is safe for
+// concurrent use and has no lock.
 type dispatcher struct {
 	*common
 	router *routing.Router
 	health *healthFeed
 }
 
-// now is the clock of snapshots and health.
-func (d *common) now() time.Duration { return clock.Since(d.start) }
+// now returns the time since start, which is the clock of snapshots and health.
+func (c *common) now() time.Duration { return clock.Since(c.start) }
 
 // Route implements forward.Router.
 func (d *dispatcher) Route(_ context.Context, w *forward.Work, a forward.Attempt) (forward.Plan, error) {
-	for range maxRoutes {
+	for range maxDecisions {
 		decision, err := d.decide(d.now(), w, a)
 		if err != nil {
 			return forward.Plan{}, err
 		}
 		if decision.Zone != "" {
-			return d.elsewhere(w, decision)
+			return d.planSpill(w, decision)
 		}
-		plan, busy, err := d.take(w, a, decision)
+		plan, unavailable, err := d.acquire(w, a, decision)
 		if err != nil {
 			return forward.Plan{}, err
 		}
-		if busy == "" {
-			d.provisional.drop(d.common, w.ID)
+		if unavailable == "" {
+			d.provisional.release(d.common, w.ID)
 			return plan, nil
 		}
-		a.Tried = append(a.Tried[:len(a.Tried):len(a.Tried)], busy)
+		a.Tried = append(a.Tried[:len(a.Tried):len(a.Tried)], unavailable)
 	}
 	return forward.Plan{}, noEndpoint(nil)
 }
 
-// artifactOf is what has to be loaded for an attempt. Once the caller holds
-// tokens it is the version that they were computed with.
+// artifactOf returns the artifact that an attempt requires. Once the caller has received
+// tokens, the version is the one that computed them.
 func artifactOf(w *forward.Work, a forward.Attempt) weightstore.Artifact {
 	return weightstore.Artifact{Model: w.Model, Adapter: w.Adapter, Version: cmp.Or(a.Version, w.Version)}
 }
 
-// decide asks the router.
+// decide gets a decision for w from the router.
 func (d *dispatcher) decide(now time.Duration, w *forward.Work, a forward.Attempt) (routing.Decision, error) {
 	r := &routing.Request{
 		Artifact:      artifactOf(w, a),
 		Service:       w.Service,
 		PromptTokens:  w.PromptTokens + a.Emitted,
-		OutputTokens:  max(1, d.expected.output(w)-a.Emitted),
+		OutputTokens:  max(1, d.demand.expectedOutput(w)-a.Emitted),
 		PrefixHashes:  w.PrefixHashes,
 		Priority:      w.Priority,
 		Now:           now,
 		Tried:         a.Tried,
 		FromOtherZone: w.FromOtherZone,
-		NoTrial:       mayBeLost(w),
+		NoTrial:       notRepeatable(w),
 		Prefilled:     a.Prefilled,
 	}
 	if !w.Deadline.IsZero() {
@@ -109,71 +110,71 @@
 	return decision, nil
 }
 
-// mayBeLost tells whether w is a call that cannot be sent anew once it has failed.
-func mayBeLost(w *forward.Work) bool { return w.Service != "" && !w.Repeatable }
+// notRepeatable reports whether w is a call that must not be sent again after a failure.
+func notRepeatable(w *forward.Work) bool { return w.Service != "" && !w.Repeatable }
 
 func noEndpoint(cause error) *failure.Request {
 	return &failure.Request{
-		Code: failure.NoEndpoint, Ran: failure.NotRun, RetryAfter: comeBack,
+		Code: failure.NoEndpoint, Ran: failure.NotRun, RetryAfter: defaultRetryAfter,
 		Message: "no endpoint can take the request now", Cause: cause,
 	}
 }
 
-// take acquires all that a decision needs. It returns the name of the endpoint
-// that could not be taken, or an error when this VM may take no work at all.
-func (d *dispatcher) take(w *forward.Work, a forward.Attempt, decision routing.Decision) (plan forward.Plan, busy string, err error) {
-	att := &attempt{d: d, id: a.ID, work: w}
+// acquire acquires everything that a decision requires. It returns the name of an endpoint
+// that could not be acquired in unavailable, or an error if this VM may not start any work.
+func (d *dispatcher) acquire(w *forward.Work, a forward.Attempt, decision routing.Decision) (plan forward.Plan, unavailable string, err error) {
+	newAttempt := &attempt{d: d, id: a.ID, work: w}
 	if decision.PrefillEndpoint != nil {
-		if busy, err = att.acquire(decision.PrefillEndpoint, prefillShare(w, decision)); busy != "" || err != nil {
-			att.abandon()
-			return forward.Plan{}, busy, err
+		if unavailable, err = newAttempt.acquire(decision.PrefillEndpoint, prefillWork(w, decision)); unavailable != "" || err != nil {
+			newAttempt.abandon()
+			return forward.Plan{}, unavailable, err
 		}
 	}
-	if busy, err = att.acquire(decision.Endpoint, d.serveShare(w, a.Emitted, decision)); busy != "" || err != nil {
-		att.abandon()
-		return forward.Plan{}, busy, err
+	if unavailable, err = newAttempt.acquire(decision.Endpoint, d.serveWork(w, a.Emitted, decision)); unavailable != "" || err != nil {
+		newAttempt.abandon()
+		return forward.Plan{}, unavailable, err
 	}
-	plan = forward.Plan{Target: d.target(decision.Endpoint), Version: versionOn(decision.Endpoint, artifactOf(w, a)), Observer: att, Recheck: att.recheck}
+	plan = forward.Plan{Target: d.target(decision.Endpoint), Version: versionFor(decision.Endpoint, artifactOf(w, a)), Observer: newAttempt, Recheck: newAttempt.recheck}
 	if decision.PrefillEndpoint != nil {
 		target := d.target(decision.PrefillEndpoint)
 		plan.PrefillTarget = &target
-		plan.PrefillObserver = prefillObserver{att}
+		plan.PrefillObserver = prefillObserver{newAttempt}
 	}
 	return plan, "", nil
 }
 
-// versionOn is the version that an endpoint is asked for: the one wanted, or the
-// one that it has where any will do.
-func versionOn(e *fleet.Endpoint, want weightstore.Artifact) string {
-	if want.Version != "" {
-		return want.Version
+// versionFor returns the version to request from an endpoint: the wanted one, or the loaded
+// one if any version is acceptable.
+func versionFor(e *fleet.Endpoint, wanted weightstore.Artifact) string {
+	if wanted.Version != "" {
+		return wanted.Version
 	}
-	for _, has := range e.Loaded {
-		if has.Model == want.Model && has.Adapter == want.Adapter {
-			return has.Version
+	for _, loaded := range e.Loaded {
+		if loaded.Model == wanted.Model && loaded.Adapter == wanted.Adapter {
+			return loaded.Version
 		}
 	}
 	return ""
 }
 
-// prefillShare is the work of a prefill engine for w.
-func prefillShare(w *forward.Work, decision routing.Decision) fleet.Work {
+// prefillWork returns the work of w at a prefill engine.
+func prefillWork(w *forward.Work, decision routing.Decision) fleet.Work {
 	return fleet.Work{Requests: 1, PromptTokens: max(0, w.PromptTokens-decision.CachedTokens)}
 }
 
-// serveShare is the work of the engine that answers w. The context grows with
-// the answer, so half of what is still expected of it counts.
-func (d *common) serveShare(w *forward.Work, emitted int, decision routing.Decision) fleet.Work {
-	left := max(0, d.expected.output(w)-emitted)
-	share := fleet.Work{Requests: 1, ContextTokens: w.PromptTokens + emitted + left/2}
+// serveWork returns the work of w at the engine that generates the response. The context
+// grows with the response, so half of the remaining expected output is included.
+func (c *common) serveWork(w *forward.Work, emitted int, decision routing.Decision) fleet.Work {
+	remaining := max(0, c.demand.expectedOutput(w)-emitted)
+	work := fleet.Work{Requests: 1, ContextTokens: w.PromptTokens + emitted + remaining/2}
 	if decision.PrefillEndpoint == nil {
-		share.PromptTokens = max(0, w.PromptTokens+emitted-decision.CachedTokens)
+		work.PromptTokens = max(0, w.PromptTokens+emitted-decision.CachedTokens)
 	}
-	return share
+	return work
 }
 
 func (d *dispatcher) target(e *fleet.Endpoint) forward.Target {
-	t := forward.Target{Name: e.Name, Pool: budgetName(e), Zone: e.Zone}
+	t := forward.Target{Name: e.Name, Pool: retryBudgetName(e), Zone: e.Zone}
 	if e.Kind == fleet.Engine {
 		t.Engine = d.clients.engine(e.Name, e.Address)
 	} else {
@@ -182,39 +183,40 @@
 	return t
 }
 
-// budgetName is the retry budget that an endpoint draws on.
-func budgetName(e *fleet.Endpoint) string {
+// retryBudgetName returns the name of the retry budget that attempts at an endpoint draw
+// on.
+func retryBudgetName(e *fleet.Endpoint) string {
 	if e.Kind == fleet.Engine {
 		return "pool " + e.Pool
 	}
 	return "service " + e.Service
 }
 
-// elsewhere plans an attempt at an entry of another zone.
-func (d *dispatcher) elsewhere(w *forward.Work, decision routing.Decision) (forward.Plan, error) {
+// planSpill plans an attempt at an entry of another zone.
+func (d *dispatcher) planSpill(w *forward.Work, decision routing.Decision) (forward.Plan, error) {
 	if err := d.member.Allow(); err != nil {
-		return forward.Plan{}, notAllowed(err)
+		return forward.Plan{}, newWorkForbidden(err)
 	}
-	peer, found := d.zones.entry(decision.Zone)
+	peer, found := d.zones.spillTarget(decision.Zone)
 	if !found {
 		return forward.Plan{}, noEndpoint(nil)
 	}
-	// Decisions see in the snapshot what is left of the room.
+	// Routing reads the remaining budget of the zone from the snapshot.
 	d.store.RecordSpill(decision.Zone, w.PromptTokens)
 	return forward.Plan{Target: forward.Target{
 		Name: peer.name, Pool: "zone " + decision.Zone, Zone: decision.Zone, Peer: peer.target,
 	}}, nil
 }
 
-// notAllowed is the refusal of a VM that may take no new work.
-func notAllowed(cause error) *failure.Request {
+// newWorkForbidden returns the rejection for when no new work may be started.
+func newWorkForbidden(cause error) *failure.Request {
 	return &failure.Request{
-		Code: failure.ReasonOf(cause), Ran: failure.NotRun, RetryAfter: comeBack,
+		Code: failure.ReasonOf(cause), Ran: failure.NotRun, RetryAfter: defaultRetryAfter,
 		Message: "no new work may be sent there now", Cause: cause,
 	}
 }
 
-// globalRand is the runtime's random source, which is safe for concurrent use.
+// globalRand is the random source of the runtime. It is safe for concurrent use.
 type globalRand struct{}
 
 // Uint64 implements routing.Rand.
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -14,10 +14,10 @@
 	"github.com/springweir/springweir/routing"
 )
 
-// TestFirstTokenEndsThePromptsWait checks that the first token takes the prompt,
-// and nothing else, out of the own work at the engine that answers: while its
-// reports are stale nothing else would before the whole answer is done.
-func TestFirstTokenEndsThePromptsWait(t *testing.T) {
+// TestFirstTokenReleasesPromptWork checks that the first token removes the prompt, and
+// nothing else, from the local work at the serving engine. While the engine's reports are
+// stale, the prompt would otherwise be counted until the response is complete.
+func TestFirstTokenReleasesPromptWork(t *testing.T) {
 	store := fleet.NewStore("a", fleet.NewMatchedLedger(fleet.DefaultReservationExpiry), prefix.NewViews(prefix.DefaultPairs))
 	store.SetSpecs([]fleet.Spec{{Name: "e", Kind: fleet.Engine, Zone: "a"}})
 	store.ApplyReports(0, fleet.Report{Endpoint: "e", State: engine.State{Incarnation: "i", Role: engine.Mixed}})
@@ -32,24 +32,23 @@
 
 	work.PromptTokens = 0
 	if diff := cmp.Diff(work, store.Snapshot().Endpoints()[0].LocalWork.InFlight); diff != "" {
-		t.Errorf("own work after the first token (-want +got):\n%s", diff)
+		t.Errorf("local work after the first token (-want +got):\n%s", diff)
 	}
 }
 
-// TestSharesOfAnAttempt shows what an attempt is taken to ask of its engines:
-// what is cached is not prefilled again, and half of the answer still expected
-// counts as context.
-func TestSharesOfAnAttempt(t *testing.T) {
-	x := newExpectations(func() time.Duration { return 0 }, func(string) string { return "language" })
-	c := &common{expected: x}
+// TestWorkOfAttempt checks the work that an attempt reserves at its engines: cached tokens
+// are not prefilled again, and half of the remaining expected output counts as context.
+func TestWorkOfAttempt(t *testing.T) {
+	tracker := newDemandTracker(func() time.Duration { return 0 }, func(string) string { return "language" })
+	c := &common{demand: tracker}
 	w := &forward.Work{Model: "chat", PromptTokens: 1000, MaxTokens: 100}
-	x.learn(w, 60)
+	tracker.recordOutput(w, 60)
 	pair := routing.Decision{PrefillEndpoint: &fleet.Endpoint{}, CachedTokens: 400}
 	got := []fleet.Work{
-		prefillShare(w, pair),
-		c.serveShare(w, 0, pair),
-		c.serveShare(w, 0, routing.Decision{CachedTokens: 400}),
-		c.serveShare(w, 20, routing.Decision{}),
+		prefillWork(w, pair),
+		c.serveWork(w, 0, pair),
+		c.serveWork(w, 0, routing.Decision{CachedTokens: 400}),
+		c.serveWork(w, 20, routing.Decision{}),
 	}
 	want := []fleet.Work{
 		{Requests: 1, PromptTokens: 600},
--- a/entry/endpoints.go
+++ b/entry/endpoints.go
@@ -13,8 +13,8 @@
 	"github.com/springweir/springweir/service"
 )
 
-// clients holds one client for each endpoint of the zone. It is safe for
-// concurrent use; mu is a leaf.
+// clients holds one client per endpoint of the zone. It is safe for concurrent use; mu is a
+// leaf lock.
 type clients struct {
 	network network.Network
 
@@ -37,8 +37,8 @@
 	return &clients{network: n, engines: map[string]*engineClient{}, services: map[string]*serviceClient{}}
 }
 
-// engine returns the client of an engine, made when first asked for. An
-// endpoint whose address changed gets a new client; streams on the old one go on.
+// engine returns the client of an engine, and creates it on first use. An endpoint whose
+// address changed gets a new client; open streams continue on the old one.
 func (c *clients) engine(name, address string) *engineClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +50,7 @@
 	return e
 }
 
-// service returns the client of a service endpoint, like engine.
+// service returns the client of a service endpoint, with the same rules as engine.
 func (c *clients) service(name, address string) *serviceClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,62 +62,62 @@
 	return s
 }
 
-// retain drops the clients of endpoints that are no longer named.
-func (c *clients) retain(named map[string]bool) {
+// retain drops the clients of all endpoints that are not in listed.
+func (c *clients) retain(listed map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name := range c.engines {
-		if !named[name] {
+		if !listed[name] {
 			delete(c.engines, name)
 		}
 	}
 	for name := range c.services {
-		if !named[name] {
+		if !listed[name] {
 			delete(c.services, name)
 		}
 	}
 }
 
-// serviceLeavingFor is how long a service that said it is leaving gets no new
-// work. Services have no incarnations, so after it one call finds out whether
-// the service came back.
-const serviceLeavingFor = time.Minute
+// serviceLeavingTTL is how long a service endpoint that reported that it is leaving gets no
+// new work. Services have no incarnations, so one call after this time finds out whether
+// the service is available again.
+const serviceLeavingTTL = time.Minute
 
-// The incarnations under which a service's own word is kept.
+// Incarnations under which the leaving state reported by a service endpoint is recorded.
 const (
 	incarnationLeaving = "leaving"
 	incarnationBack    = "back"
 )
 
-// noteServiceLeaving records that a service's answer said its endpoint leaves,
-// and tells the zone's other entries, which may have no call there soon.
-func (d *common) noteServiceLeaving(endpoint string) {
-	if !d.leave.Record(endpoint, incarnationLeaving, true) {
+// recordServiceLeaving records that a service endpoint reported in a response that it is
+// leaving. It also informs the zone's other entries, which may not call that endpoint soon.
+func (c *common) recordServiceLeaving(endpoint string) {
+	if !c.leavingSet.Record(endpoint, incarnationLeaving, true) {
 		return
 	}
-	klog.Infof("entry: service endpoint %s says it is leaving", endpoint)
-	go d.announce(context.Background(), endpoint, incarnationLeaving)
+	klog.Infof("entry: service endpoint %s reported that it is leaving", endpoint)
+	go c.announce(context.Background(), endpoint, incarnationLeaving)
 }
 
-// serviceWords holds since when service endpoints have been leaving by their own
-// word, whether it was given to this entry or to another one of the zone. It
-// belongs to the owner of a lock.
-type serviceWords map[string]time.Duration
+// serviceLeavingTimes holds the time since which each service endpoint has been leaving,
+// whether it reported this to this entry or to another entry of the zone. Access is guarded
+// by the owner's lock.
+type serviceLeavingTimes map[string]time.Duration
 
-// expire ends the word of an endpoint after serviceLeavingFor.
-func (words serviceWords) expire(d *common, endpoint string) {
-	signal, leaves := d.leave.Leaving(endpoint)
-	if !leaves || signal != leaving.SignalEndpoint {
-		delete(words, endpoint)
+// expire clears the leaving state of an endpoint after serviceLeavingTTL.
+func (times serviceLeavingTimes) expire(c *common, endpoint string) {
+	signal, isLeaving := c.leavingSet.Leaving(endpoint)
+	if !isLeaving || signal != leaving.SignalEndpoint {
+		delete(times, endpoint)
 		return
 	}
-	now := d.now()
-	since, known := words[endpoint]
+	now := c.now()
+	since, recorded := times[endpoint]
 	switch {
-	case !known:
-		words[endpoint] = now
-	case now-since >= serviceLeavingFor:
-		delete(words, endpoint)
-		d.leave.Record(endpoint, incarnationBack, false)
+	case !recorded:
+		times[endpoint] = now
+	case now-since >= serviceLeavingTTL:
+		delete(times, endpoint)
+		c.leavingSet.Record(endpoint, incarnationBack, false)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,9 +1,9 @@
-// Package entry is the data path of an entry VM: it takes callers' requests,
-// decides where they go, sends them to endpoints of its availability zone and
-// streams the answers back. It wires the packages that do the work.
+// Package entry implements the data path of an entry VM. It receives callers' requests,
+// routes them, forwards them to endpoints of its availability zone and streams the
+// responses back. It connects the packages that do this work.
 //
-// Nothing of the control path (leases, orders, plans) runs here, so a
-// controller that is killed, paused or upgraded cuts no stream.
+// No part of the control path (leases, orders, plans) runs here, so killing, pausing or
+// upgrading a controller interrupts no stream.
 package entry
 
 import (
@@ -39,72 +39,72 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// Platform is what the platform gives.
+// Platform holds the services that the platform provides.
 type Platform struct {
 	Rows    table.Service
 	Objects object.Store
 	Members membership.List
 }
 
-// prefixLimit bounds the view of the zone's prefix caches, in pairs of block
-// and engine. A pair takes about 16 bytes.
-const prefixLimit = 1 << 20
+// maxPrefixPairs bounds the view of the zone's prefix caches, in pairs of block and engine.
+// A pair takes about 16 bytes.
+const maxPrefixPairs = 1 << 20
 
-// reservationExpiry is when a reservation that no report has named counts as
-// seen: well over the lag of reports.
+// reservationExpiry is the age at which a reservation that no load report has confirmed is
+// assumed to be included in the reports. It is well above the lag of reports.
 const reservationExpiry = 5 * time.Second
 
-// cleanInterval is how often the zone's cleaner looks at 1,000 claims.
+// cleanInterval is the interval at which the zone's cleaner examines 1,000 claims.
 const cleanInterval = time.Minute
 
-// Entry is one entry process.
+// Entry is one entry process, with its listeners, servers and background loops.
 type Entry struct {
 	network  network.Network
 	process  *settings.Process
 	platform Platform
 
-	cat       *catalogue
-	leave     *leaving.Set
-	gate      *withhold.Gate
-	member    *contact.Member
-	applier   *rollout.Applier
-	syncer    *rollout.Syncer
-	exchanger *peer.Exchanger
-	server    *peer.Server
-	common    *common
-	upstreams *upstreams
-	specs     *specs
-	limits    *admission.Limits
-	cleaner   *claim.Cleaner
-	reports   *reports
-	handler   atomic.Pointer[caller.Handler]
-	// stopping is set once the health check fails on purpose, refusing once
-	// requests of other zones' entries are refused.
+	cat        *catalogue
+	leavingSet *leaving.Set
+	gate       *withhold.Gate
+	member     *contact.Member
+	applier    *rollout.Applier
+	syncer     *rollout.Syncer
+	exchanger  *peer.Exchanger
+	server     *peer.Server
+	common     *common
+	upstreams  *upstreams
+	specs      *specRefresher
+	limits     *admission.Limits
+	cleaner    *claim.Cleaner
+	reports    *reports
+	handler    atomic.Pointer[caller.Handler]
+	// stopping is set once the health check fails deliberately; refusing is set once
+	// requests forwarded by entries of other zones are rejected.
 	stopping, refusing atomic.Bool
 	requests           requestCount
-	warmth             warmth
+	warmup             warmup
 
 	listeners listeners
 }
 
-// listeners are the sockets of a process.
+// listeners holds the listening sockets of a process.
 type listeners struct{ callers, peers, metrics net.Listener }
 
-// New binds the addresses and wires the process. The error is of package net.
+// New binds the listening addresses and wires the process. Errors come from package net.
 func New(p *settings.Process, platform Platform) (*Entry, error) {
 	return NewWithNetwork(network.TCP(), p, platform)
 }
 
-// NewWithNetwork is New on a given network.
+// NewWithNetwork is like New but uses the given network.
 func NewWithNetwork(n network.Network, p *settings.Process, platform Platform) (*Entry, error) {
-	e := &Entry{network: n, process: p, platform: platform, cat: &catalogue{}, leave: leaving.NewSet()}
+	e := &Entry{network: n, process: p, platform: platform, cat: &catalogue{}, leavingSet: leaving.NewSet()}
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
-	e.gate = withhold.NewGate(e.leave)
-	e.member = contact.NewMember(p.Zone, p.VM, e.follow)
+	e.gate = withhold.NewGate(e.leavingSet)
+	e.member = contact.NewMember(p.Zone, p.VM, e.applyRoster)
 	e.gate.SetPermit(e.member)
-	e.applier = rollout.NewApplier(e.put)
+	e.applier = rollout.NewApplier(e.applyDocument)
 	e.wireRequests()
 	e.wirePeers()
 	return e, nil
@@ -128,25 +128,25 @@
 	return nil
 }
 
-// wireRequests puts together the path of a request.
+// wireRequests wires the request path.
 func (e *Entry) wireRequests() {
 	e.common = &common{
-		start:   clock.Now(),
-		cat:     e.cat,
-		store:   fleet.NewStore(e.process.Zone, fleet.NewMatchedLedger(reservationExpiry), prefix.NewViews(prefixLimit)),
-		gate:    e.gate,
-		member:  e.member,
-		leave:   e.leave,
-		clients: newClients(e.network),
+		start:      clock.Now(),
+		cat:        e.cat,
+		store:      fleet.NewStore(e.process.Zone, fleet.NewMatchedLedger(reservationExpiry), prefix.NewViews(maxPrefixPairs)),
+		gate:       e.gate,
+		member:     e.member,
+		leavingSet: e.leavingSet,
+		clients:    newClients(e.network),
 	}
 	e.cat.store = e.common.store
-	e.common.zones = newZoneBook(e.process.Zone, e.network, e.common.now)
-	e.common.expected = newExpectations(e.common.now, e.cat.poolOf)
+	e.common.zones = newRemoteZones(e.process.Zone, e.network, e.common.now)
+	e.common.demand = newDemandTracker(e.common.now, e.cat.poolOf)
 	e.limits = admission.NewLimits(admission.DefaultLimits(), e.organisationLimit)
 	claims := e.claims()
 	e.cleaner = claim.NewCleaner(claims)
 	e.upstreams = newUpstreams(e.common, e.limits, claims)
-	e.specs = &specs{common: e.common, upstreams: e.upstreams, words: serviceWords{}}
+	e.specs = &specRefresher{common: e.common, upstreams: e.upstreams, serviceLeaving: serviceLeavingTimes{}}
 }
 
 func (e *Entry) claims() *claim.Store {
@@ -154,83 +154,83 @@
 		Table:            table.NewBatcher(e.platform.Rows, table.BatcherConfig{}),
 		Objects:          e.platform.Objects,
 		Owner:            e.process.VM,
-		ServiceRetention: e.cat.retention,
+		ServiceRetention: e.cat.claimRetention,
 	})
 }
 
-// cleans tells whether this entry cleans the claims: one of each zone does.
-func (e *Entry) cleans() bool {
+// cleansClaims reports whether this entry cleans up claims: one entry of each zone does.
+func (e *Entry) cleansClaims() bool {
 	return share.Rank(e.member.Roster(), e.member.Name(), claim.Table) == 0
 }
 
-// cleanClaims deletes old claims until ctx ends.
-func (e *Entry) cleanClaims(ctx context.Context) { e.cleaner.Run(ctx, cleanInterval, e.cleans) }
+// cleanClaims deletes expired claims until ctx ends.
+func (e *Entry) cleanClaims(ctx context.Context) { e.cleaner.Run(ctx, cleanInterval, e.cleansClaims) }
 
-// wirePeers puts together what the zone's VMs say to each other.
+// wirePeers wires the communication between the zone's VMs.
 func (e *Entry) wirePeers() {
-	book := share.NewReportStore(e.process.VM)
+	reportStore := share.NewReportStore(e.process.VM)
 	e.server = peer.NewServer(peer.ServerConfig{
 		Instance: newInstance(),
 		Member:   e.member,
 		Applier:  e.applier,
 		Gate:     e.gate,
-		Reports:  book,
-		Leaving:  e.leave,
+		Reports:  reportStore,
+		Leaving:  e.leavingSet,
 	})
 	client := peer.NewClient(e.server, e.network.Over(peer.NewTransport()))
 	store := rollout.NewStore(e.platform.Rows, e.platform.Objects)
-	e.syncer = rollout.NewSyncer(e.member, e.applier, store, e.platform.Rows, client, e.advertise(), writeID)
+	e.syncer = rollout.NewSyncer(e.member, e.applier, store, e.platform.Rows, client, e.advertisedAddress(), writeID)
 	e.exchanger = peer.NewExchanger(e.member, e.syncer, client, e.process.Seeds)
 	e.common.announce = e.exchanger.AnnounceLeaving
-	e.reports = newReports(e.common, e.upstreams, book)
+	e.reports = newReports(e.common, e.upstreams, reportStore)
 }
 
-func (e *Entry) advertise() string {
+func (e *Entry) advertisedAddress() string {
 	if e.process.Advertise != "" {
 		return e.process.Advertise
 	}
 	return e.listeners.peers.Addr().String()
 }
 
-// newInstance returns a number unique for each start, and not zero.
+// newInstance returns a non-zero number that is unique for each start of the process.
 func newInstance() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, says crypto/rand
+	_, _ = rand.Read(b[:]) // documented never to fail
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// writeID returns a new id for a write to the table.
+// writeID returns a new ID for a table write.
 func writeID() string { return rand.Text() }
 
-// put makes a version of the tree take effect for every request taken after it
-// returns. It is the function of rollout.Applier.
-func (e *Entry) put(doc rollout.Document) error {
+// applyDocument makes a version of the settings tree effective for all requests received
+// after it returns. It is the callback of rollout.Applier.
+func (e *Entry) applyDocument(doc rollout.Document) error {
 	tree, err := settings.ParseTree("version", doc.Text)
 	if err != nil {
 		return err
 	}
-	v := newView(doc.Version, tree, e.process.Zone)
-	e.upstreams.follow(v)
+	v := newConfigView(doc.Version, tree, e.process.Zone)
+	e.upstreams.applyView(v)
 	e.cat.current.Store(v)
-	e.leave.SetTree(leavingByTree(v))
+	e.leavingSet.SetTree(drainedInTree(v))
 	e.specs.refresh()
 	e.handler.Store(caller.NewHandler(caller.Config{
 		Organisations: e.cat,
 		Catalogue:     e.cat,
 		Forwarder:     e.upstreams,
 		Hasher:        hasher{},
-		Limits:        v.widest,
+		Limits:        v.maxLimits,
 	}))
 	return nil
 }
 
-// hasher hashes prompts as the engines do.
+// hasher computes the same prefix hashes as the engines.
 type hasher struct{}
 
 // Hashes implements caller.Hasher.
 func (hasher) Hashes(namespace, prompt string) []uint64 { return prefix.Hashes(namespace, prompt) }
 
-func leavingByTree(v *view) []string {
+func drainedInTree(v *configView) []string {
 	var names []string
 	for _, e := range v.endpoints() {
 		if e.Leaving() {
@@ -240,19 +240,19 @@
 	return names
 }
 
-// follow takes over a roster. It is called by contact.Member under its lock.
-func (e *Entry) follow(r contact.Roster) { e.gate.ApplyRoster(r) }
+// applyRoster applies a roster to the gate. contact.Member calls it with its lock held.
+func (e *Entry) applyRoster(r contact.Roster) { e.gate.ApplyRoster(r) }
 
 func (e *Entry) organisationLimit(name string) admission.OrganisationLimit {
 	org, _ := e.cat.organisation(name)
 	return tuning.Organisation(org)
 }
 
-// ServeHTTP takes a caller's request.
+// ServeHTTP serves a caller's request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := e.handler.Load()
 	if handler == nil {
-		caller.Refuse(w, r, notAllowed(&contact.UnconfirmedError{Standing: contact.NotJoined}))
+		caller.Refuse(w, r, newWorkForbidden(&contact.UnconfirmedError{Standing: contact.NotJoined}))
 		return
 	}
 	e.requests.begin()
@@ -260,14 +260,14 @@
 	handler.ServeHTTP(w, r)
 }
 
-// Run serves until ctx ends and then stops by plan: the health check fails, the
-// balancer is given time to notice, open requests finish, for as long as
-// stop-grace allows, and the VM leaves its zone's roster. It stops in the same
-// way when one of its sockets breaks, and returns that error, of package net.
+// Run serves until ctx ends and then performs a planned stop: the health check fails, the
+// load balancer gets BalancerDelay to react, open requests get up to StopGrace to finish,
+// and the VM leaves its zone's roster. A failed listener causes the same stop, and its
+// error, from package net, is returned.
 func (e *Entry) Run(ctx context.Context) error {
 	background, stopBackground := context.WithCancel(context.Background())
 	defer stopBackground()
-	g, broken := errgroup.WithContext(context.Background())
+	g, failed := errgroup.WithContext(context.Background())
 	for _, loop := range e.loops() {
 		g.Go(func() error {
 			loop(background)
@@ -275,11 +275,11 @@
 		})
 	}
 	servers := e.serve(g)
-	klog.Infof("entry: %s of zone %s takes requests on %s", e.process.VM, e.process.Zone, e.listeners.callers.Addr())
+	klog.Infof("entry: %s in zone %s accepts requests on %s", e.process.VM, e.process.Zone, e.listeners.callers.Addr())
 	select {
 	case <-ctx.Done():
-	case <-broken.Done():
-		klog.Errorf("entry: a socket broke, stopping")
+	case <-failed.Done():
+		klog.Errorf("entry: a listener failed, stopping")
 	}
 	e.stop(servers)
 	stopBackground()
@@ -287,7 +287,7 @@
 	return g.Wait()
 }
 
-// loops are what runs beside requests.
+// loops returns the background loops.
 func (e *Entry) loops() []func(context.Context) {
 	return []func(context.Context){
 		e.syncer.RunTable,
@@ -295,15 +295,15 @@
 		e.reports.Run,
 		e.watchMembers,
 		e.specs.run,
-		e.watchZones,
+		e.pollZones,
 		e.cleanClaims,
-		(&prober{d: e.common, upstreams: e.upstreams}).run,
+		(&prober{common: e.common, upstreams: e.upstreams}).run,
 		func(ctx context.Context) { e.member.Run(ctx.Done()) },
 	}
 }
 
-// watchZones keeps the summaries of the other zones.
-func (e *Entry) watchZones(ctx context.Context) {
+// pollZones keeps the store's summaries of the other zones up to date.
+func (e *Entry) pollZones(ctx context.Context) {
 	e.common.zones.Run(ctx, func(zones []fleet.ZoneSummary) {
 		e.common.store.SetZones(zones, len(e.member.Roster().VMs))
 	})
--- a/entry/golden_test.go
+++ b/entry/golden_test.go
@@ -23,8 +23,8 @@
 // peerEntry is an entry of another zone.
 const peerEntry transcript.Party = "peer"
 
-// loggedClaims records what concerns claims, and leaves out the rest: rosters
-// and configuration are read all the time.
+// loggedClaims records the accesses to claims only: rosters and configuration are read
+// continuously.
 type loggedClaims struct {
 	table.Service
 	logged *transcript.Table
@@ -46,34 +46,35 @@
 	return c.logged.Commit(ctx, txn)
 }
 
-// logged records the work that an endpoint gets; polls of its state are left out.
-func logged(log *transcript.Log, from transcript.Party, h http.Handler) http.Handler {
+// logWork records the requests that carry work to an endpoint, but not the polls of its
+// state.
+func logWork(log *transcript.Log, from transcript.Party, h http.Handler) http.Handler {
 	if log == nil {
 		return h
 	}
 	work := log.Between(from, transcript.Endpoint, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			work.ServeHTTP(paced{w}, r)
+			work.ServeHTTP(pacedWriter{w}, r)
 			return
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// paced lets each piece of an answer reach the caller before the next is made,
-// so that a session has one order.
-type paced struct{ http.ResponseWriter }
+// pacedWriter lets each chunk of a response reach the caller before the next is written, so
+// that the order of a session is deterministic.
+type pacedWriter struct{ http.ResponseWriter }
 
-// FlushError is found by http.ResponseController.
-func (p paced) FlushError() error {
+// FlushError is called by http.ResponseController.
+func (p pacedWriter) FlushError() error {
 	err := http.NewResponseController(p.ResponseWriter).Flush()
 	time.Sleep(time.Millisecond)
 	return err
 }
 
-// farZone is zone b: an entry and an engine that has the model.
-func farZone(s *site, log *transcript.Log) {
+// startZoneB starts zone b: an entry and an engine that has the model.
+func startZoneB(s *testZone, log *transcript.Log) {
 	o := s.opts
 	e := standinengine.New(standinengine.Options{
 		Address: o.listenAt(9, 9000), Incarnation: "far", Role: engine.Mixed, Speed: 1, Params: enginemodel.DefaultParams(),
@@ -81,7 +82,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go e.Run(ctx)
-	s.listenFor(logged(log, peerEntry, e), o.listenAt(9, 9000))
+	s.listenFor(logWork(log, peerEntry, e), o.listenAt(9, 9000))
 	p := &settings.Process{VM: "vm9", Zone: "b", Callers: o.listenAt(9, 8080), Peers: o.listenAt(9, 7100), Metrics: o.listenAt(9, 7101)}
 	far, err := NewWithNetwork(o.network, p, s.entry.platform)
 	if err != nil {
@@ -92,22 +93,22 @@
 	s.close = append(s.close, func() {
 		cancel()
 		if err := <-ended; err != nil {
-			s.tb.Errorf("far: %v", err)
+			s.tb.Errorf("Run of zone b's entry: %v", err)
 		}
 	})
 	view := viewpb.NewViewServer(&viewServer{far})
 	mux := http.NewServeMux()
 	mux.Handle(view.PathPrefix(), view)
-	mux.Handle("/", log.Between(transcript.Entry, peerEntry, http.HandlerFunc(far.hopped)))
+	mux.Handle("/", log.Between(transcript.Entry, peerEntry, http.HandlerFunc(far.serveForwarded)))
 	s.listenFor(mux, o.listenAt(9, 7200))
-	s.await("zone b has room", func() bool {
-		zones := s.entry.common.zones.list()
+	s.waitFor("zone b offers capacity", func() bool {
+		zones := s.entry.common.zones.zoneSummaries()
 		return len(zones) > 0 && zones[0].Reachable && zones[0].PromptBudget > 0
 	})
 }
 
-// TestSessions records whole sessions through a real entry: what callers, the
-// entry, a peer entry, endpoints and the platform exchange, in order.
+// TestSessions records complete sessions through a real entry: what callers, the entry, a
+// peer entry, endpoints and the platform exchange, in order.
 func TestSessions(t *testing.T) {
 	confirm := request{
 		method: http.MethodPost, path: "/s/slots/confirm?day=3", body: `{"slot":7}`,
@@ -118,12 +119,12 @@
 		name     string
 		far      bool
 		requests []request
-		change   func(s *site)
+		change   func(s *testZone)
 	}{
 		{name: "chat", requests: []request{chat}},
 		{name: "stream", requests: []request{chatRequest("May a skip stand here?", 3, true)}},
 		{name: "call-and-repeat", requests: []request{confirm, confirm}},
-		{name: "refused-call", requests: []request{confirm}, change: func(s *site) { s.rows.SetDown(true) }},
+		{name: "refused-call", requests: []request{confirm}, change: func(s *testZone) { s.rows.SetDown(true) }},
 		{name: "spilled-chat", far: true, requests: []request{chat}},
 	}
 	for _, tt := range tests {
@@ -131,17 +132,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				log := new(transcript.Log)
 				maskSession(log)
-				o := inMemory()
+				o := inMemoryOptions()
 				o.engines, o.log = 1, log
 				if tt.far {
 					o.engines = 0
 					o.members = []membership.VM{{Name: "vm9", Kind: membership.Entry, Zone: "b", Address: o.listenAt(9, 7200)}}
-					o.more = fmt.Sprintf("[endpoint \"far-0\"]\nzone = b\npool = language\naddress = %s\n", o.listenAt(9, 9000))
+					o.extraSettings = fmt.Sprintf("[endpoint \"far-0\"]\nzone = b\npool = language\naddress = %s\n", o.listenAt(9, 9000))
 				}
-				s := newSite(t, o)
+				s := newTestZone(t, o)
 				defer s.shutDown()
 				if tt.far {
-					farZone(s, log)
+					startZoneB(s, log)
 				}
 				s.listenFor(log.Handler(s.entry), o.listenAt(1, 8088))
 				if tt.change != nil {
@@ -161,7 +162,7 @@
 	}
 }
 
-// maskSession hides what is drawn and what depends on the time of day.
+// maskSession masks random values and values that depend on the time of day.
 func maskSession(log *transcript.Log) {
 	log.Mask(`[A-Z2-7]{26}`, "<id>")
 	log.Mask(`"(created|at|until|deadline_ms)":\d+`, `"$1":"<time>"`)
--- a/entry/healthfeed.go
+++ b/entry/healthfeed.go
@@ -8,12 +8,12 @@
 	"github.com/springweir/springweir/health"
 )
 
-// healthFeed follows the health of an upstream's endpoints and gives each change to
-// the snapshots: a call about one endpoint may change another, since the last
-// one of a group is returned to work. It is safe for concurrent use.
+// healthFeed tracks the health of an upstream's endpoints and publishes changes to the
+// snapshots. Calls about one endpoint may also change another, because the last healthy
+// endpoint of a group is put back into service. It is safe for concurrent use.
 //
-// Lock order: mu, then the lock of the tracker or of the store. Changes are
-// taken and given under mu, so that an older status never comes last.
+// Lock order: mu, then the lock of the tracker or of the store. Changes are taken and
+// published under mu, so that an older status never overwrites a newer one.
 type healthFeed struct {
 	tracker *health.Tracker
 	store   *fleet.Store
--- a/entry/hop_test.go
+++ b/entry/hop_test.go
@@ -8,11 +8,11 @@
 	"github.com/springweir/springweir/caller/wire"
 )
 
-// TestCallersCannotPassForEntries shows that the mark of a request which another
-// zone's entry passed on means nothing at the callers' address.
-func TestCallersCannotPassForEntries(t *testing.T) {
+// TestHopHeaderIgnoredFromCallers checks that the header which marks a request as forwarded
+// by another zone's entry has no effect at the callers' address.
+func TestHopHeaderIgnoredFromCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, inMemory())
+		s := newTestZone(t, inMemoryOptions())
 		defer s.shutDown()
 		forged := request{
 			method: http.MethodPost, path: wire.PathCompletions,
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -12,19 +12,19 @@
 	"github.com/springweir/springweir/service"
 )
 
-// leaver is a service endpoint that says it leaves.
-type leaver struct {
+// leavingService is a service endpoint that reports that it is leaving.
+type leavingService struct {
 	http.Handler
-	// refuses tells whether it runs no call any more.
+	// refuses is set if the endpoint rejects all calls.
 	refuses bool
 	start   time.Time
-	// calls are the seconds at which it was called, rounded down to 20: which
-	// call is sent to it once it may be is drawn.
+	// calls holds the seconds at which it was called, rounded down to multiples of 20,
+	// because the call that is routed to it after the leaving state expires is random.
 	calls []int
 }
 
 // ServeHTTP implements http.Handler.
-func (l *leaver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *leavingService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.calls = append(l.calls, int(time.Since(l.start)/(20*time.Second))*20)
 	w.Header().Set(service.LeavingHeader, "true")
 	if l.refuses {
@@ -36,30 +36,30 @@
 	l.Handler.ServeHTTP(w, r)
 }
 
-// TestServiceThatLeavesGetsNoNewWork shows that a service endpoint which said so
-// in an answer, in a refusal, or to another entry gets no more calls, and that
-// after a minute a single one finds out whether it is back.
-func TestServiceThatLeavesGetsNoNewWork(t *testing.T) {
+// TestLeavingServiceGetsNoNewWork checks that a service endpoint which reported that it is
+// leaving, in a response, in a rejection or to another entry, gets no more calls, and that
+// after a minute a single call finds out whether it is available again.
+func TestLeavingServiceGetsNoNewWork(t *testing.T) {
 	tests := []struct {
-		name          string
-		refuses, told bool
-		want          []int
+		name               string
+		refuses, announced bool
+		want               []int
 	}{
-		{"in an answer", false, false, []int{0, 60, 120}},
-		{"in a refusal", true, false, []int{0, 60, 120}},
+		{"in a response", false, false, []int{0, 60, 120}},
+		{"in a rejection", true, false, []int{0, 60, 120}},
 		{"to another entry", true, true, []int{60, 120}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := inMemory()
-				o.more = "[endpoint \"slots-2\"]\nzone = a\nservice = slots\naddress = " + o.listenAt(2, 9600) + "\n"
-				s := newSite(t, o)
+				o := inMemoryOptions()
+				o.extraSettings = "[endpoint \"slots-2\"]\nzone = a\nservice = slots\naddress = " + o.listenAt(2, 9600) + "\n"
+				s := newTestZone(t, o)
 				defer s.shutDown()
-				l := &leaver{Handler: s.services, refuses: tt.refuses, start: time.Now()}
+				l := &leavingService{Handler: s.services, refuses: tt.refuses, start: time.Now()}
 				s.listenFor(l, o.listenAt(2, 9600))
-				if tt.told {
-					s.entry.leave.Record("slots-2", incarnationLeaving, true)
+				if tt.announced {
+					s.entry.leavingSet.Record("slots-2", incarnationLeaving, true)
 				}
 				for n := 0; time.Since(l.start) < 150*time.Second; n++ {
 					status, body, err := s.do(t.Context(), request{
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -11,8 +11,8 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// TestLimitsComeFromTheTree shows that models, services and organisations carry
-// the limits that the tree sets for them in the entry's zone.
+// TestLimitsComeFromTheTree checks that models, services and organisations get the limits
+// that the tree sets for them in the entry's zone.
 func TestLimitsComeFromTheTree(t *testing.T) {
 	tree, err := settings.ParseTree("test", []byte(`[defaults]
 deadline-interactive = 20s
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := newView(1, tree, "a")
+	v := newConfigView(1, tree, "a")
 	deadlines := func(batch time.Duration) map[engine.Priority]time.Duration {
 		return map[engine.Priority]time.Duration{engine.Interactive: 20 * time.Second, engine.Standard: 2 * time.Minute, engine.Batch: batch}
 	}
@@ -67,7 +67,7 @@
 	if diff := cmp.Diff(kliko, got); diff != "" {
 		t.Errorf("organisation (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(caller.Limits{MaxBody: 5 << 10, MaxDeadline: 2 * time.Hour}, v.widest); diff != "" {
-		t.Errorf("widest (-want +got):\n%s", diff)
+	if diff := cmp.Diff(caller.Limits{MaxBody: 5 << 10, MaxDeadline: 2 * time.Hour}, v.maxLimits); diff != "" {
+		t.Errorf("maximum limits (-want +got):\n%s", diff)
 	}
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -6,9 +6,9 @@
 	"github.com/springweir/springweir/membership"
 )
 
-// endpointList reads the platform's list, tells the rest of the entry what it
-// says of entry VMs, and gives endpoints by the names of the tree instead of
-// those of their VMs. It implements membership.List.
+// endpointList reads the platform's membership list and passes the state of entry VMs to
+// the rest of the entry. The list it returns names the endpoints of the settings tree in
+// place of their VMs. It implements membership.List.
 type endpointList struct{ entry *Entry }
 
 // VMs implements membership.List.
@@ -17,9 +17,9 @@
 	if err != nil {
 		return nil, err
 	}
-	l.entry.common.zones.setList(vms)
+	l.entry.common.zones.setMembers(vms)
 	l.entry.limits.SetNodes(l.entry.common.now(), countEntries(vms))
-	return l.entry.byEndpoint(vms), nil
+	return l.entry.byEndpointName(vms), nil
 }
 
 func countEntries(vms []membership.VM) int {
@@ -32,8 +32,9 @@
 	return n
 }
 
-// byEndpoint renames the VMs of the zone's endpoints; one VM may hold several.
-func (e *Entry) byEndpoint(vms []membership.VM) []membership.VM {
+// byEndpointName replaces the names of VMs by those of the zone's endpoints on them; one VM
+// may host several endpoints.
+func (e *Entry) byEndpointName(vms []membership.VM) []membership.VM {
 	v := e.cat.current.Load()
 	if v == nil {
 		return vms
@@ -49,9 +50,9 @@
 	var list []membership.VM
 	for _, vm := range vms {
 		for _, name := range names[vm.Name] {
-			named := vm
-			named.Name = name
-			list = append(list, named)
+			renamed := vm
+			renamed.Name = name
+			list = append(list, renamed)
 		}
 	}
 	return list
--- a/entry/overhead_test.go
+++ b/entry/overhead_test.go
@@ -22,49 +22,49 @@
 )
 
 const (
-	// benchEngines is today's pool: about a dozen engines.
+	// benchEngines is the size of a pool, in engines.
 	benchEngines = 12
-	// benchClients is the number of callers at once.
+	// benchClients is the number of concurrent callers.
 	benchClients = 8
-	// loneRequests is the number of requests whose latency is taken.
-	loneRequests = 300
-	// benchTokens is the length of an answer.
+	// latencyRequests is the number of requests whose latency is measured.
+	latencyRequests = 300
+	// benchTokens is the length of a response.
 	benchTokens = 64
-	// questionBytes is the size of a prompt of about 500 tokens, letterBytes that
-	// of one with a pasted letter, of about 10,000.
-	questionBytes = 2000
-	letterBytes   = 40000
+	// shortPromptBytes is the size of a prompt of about 500 tokens, longPromptBytes that of
+	// one of about 10,000 tokens.
+	shortPromptBytes = 2000
+	longPromptBytes  = 40000
 )
 
-// cost is what one request costs the process, which holds the caller and the
-// stand-in as well.
+// cost is the cost of one request in the process, which also contains the caller and the
+// stand-in.
 type cost struct {
-	cpu    time.Duration
-	allocs float64
-	took   *hdrhistogram.Histogram
+	cpu     time.Duration
+	allocs  float64
+	latency *hdrhistogram.Histogram
 }
 
-// BenchmarkOverhead measures a request made of an endpoint directly and through
-// an entry, in one run. The metrics of the entry's line are its ratio to and
-// difference from the direct line above it:
+// BenchmarkOverhead measures requests sent to an endpoint directly and through an entry, in
+// one run. The metrics of the entry's line are ratios to and differences from the direct
+// line above it:
 //
 //	cpu-ns/op        CPU time of caller, stand-in and entry
-//	added-p50-ns     latency that the entry adds to a lone caller, and added-p99-ns
+//	added-p50-ns     latency that the entry adds for a single caller; also added-p99-ns
 //	entry-cpu-ns/op  CPU time that the entry adds
-//	entry-allocs/op  allocations that it adds
-//	req/s/core       requests a second that one core of the entry carries
-//	core-ratio       requests per CPU time through the entry over direct ones
+//	entry-allocs/op  allocations that the entry adds
+//	req/s/core       requests per second that one core of the entry can serve
+//	core-ratio       requests per CPU time through the entry, relative to direct ones
 //	writes/op        commits to the table
 func BenchmarkOverhead(b *testing.B) {
-	s := newSite(b, onLoopback(benchEngines))
+	s := newTestZone(b, loopbackOptions(benchEngines))
 	defer s.shutDown()
 	for _, kind := range []struct {
 		name          string
 		direct, entry func(n uint64) error
 	}{
-		{"chat", s.directChat(b, questionBytes), s.entryChat(questionBytes, false)},
-		{"letter", s.directChat(b, letterBytes), s.entryChat(letterBytes, false)},
-		{"stream64", s.directChat(b, questionBytes), s.entryChat(questionBytes, true)},
+		{"chat", s.directChat(b, shortPromptBytes), s.entryChat(shortPromptBytes, false)},
+		{"letter", s.directChat(b, longPromptBytes), s.entryChat(longPromptBytes, false)},
+		{"stream64", s.directChat(b, shortPromptBytes), s.entryChat(shortPromptBytes, true)},
 		{"call", s.directCall(b, http.MethodGet, "rates-1"), s.entryCall(http.MethodGet, "rates")},
 		{"claimed", s.directCall(b, http.MethodPost, "slots-1"), s.entryCall(http.MethodPost, "slots")},
 	} {
@@ -75,35 +75,35 @@
 			})
 			b.Run("entry", func(b *testing.B) {
 				commits := s.rows.Counts().Commits
-				through := s.measure(b, kind.entry)
-				reportAdded(b, direct, through)
-				requests := b.N + benchClients + loneRequests
+				viaEntry := s.measure(b, kind.entry)
+				reportAdded(b, direct, viaEntry)
+				requests := b.N + benchClients + latencyRequests
 				b.ReportMetric(float64(s.rows.Counts().Commits-commits)/float64(requests), "writes/op")
 			})
 		})
 	}
 }
 
-func reportAdded(b *testing.B, direct, through cost) {
-	if direct.took == nil {
+func reportAdded(b *testing.B, direct, viaEntry cost) {
+	if direct.latency == nil {
 		return // the direct part was not selected
 	}
 	for _, q := range []float64{50, 99} {
-		added := through.took.ValueAtQuantile(q) - direct.took.ValueAtQuantile(q)
+		added := viaEntry.latency.ValueAtQuantile(q) - direct.latency.ValueAtQuantile(q)
 		b.ReportMetric(float64(added), fmt.Sprintf("added-p%.0f-ns", q))
 	}
-	added := through.cpu - direct.cpu
+	added := viaEntry.cpu - direct.cpu
 	b.ReportMetric(float64(added.Nanoseconds()), "entry-cpu-ns/op")
-	b.ReportMetric(through.allocs-direct.allocs, "entry-allocs/op")
+	b.ReportMetric(viaEntry.allocs-direct.allocs, "entry-allocs/op")
 	b.ReportMetric(float64(time.Second)/float64(added), "req/s/core")
-	b.ReportMetric(float64(direct.cpu)/float64(through.cpu), "core-ratio")
+	b.ReportMetric(float64(direct.cpu)/float64(viaEntry.cpu), "core-ratio")
 }
 
-// measure times loneRequests by a lone caller, and then makes b.N requests from
-// benchClients callers at once.
-func (s *site) measure(b *testing.B, send func(n uint64) error) cost {
+// measure measures the latency of latencyRequests sent one at a time, and then sends b.N
+// requests from benchClients concurrent callers.
+func (s *testZone) measure(b *testing.B, send func(n uint64) error) cost {
 	warmUp(b, send)
-	took := alone(b, send)
+	latency := measureLatency(b, send)
 	var next atomic.Uint64
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -125,21 +125,21 @@
 	b.StopTimer()
 	cpu = cpuTime(b) - cpu
 	runtime.ReadMemStats(&after)
-	c := cost{cpu: cpu / time.Duration(b.N), allocs: float64(after.Mallocs-before.Mallocs) / float64(b.N), took: took}
+	c := cost{cpu: cpu / time.Duration(b.N), allocs: float64(after.Mallocs-before.Mallocs) / float64(b.N), latency: latency}
 	b.ReportMetric(float64(c.cpu.Nanoseconds()), "cpu-ns/op")
 	return c
 }
 
-func alone(b *testing.B, send func(n uint64) error) *hdrhistogram.Histogram {
-	took := hdrhistogram.New(1, int64(time.Minute), 3)
-	for n := range uint64(loneRequests) {
-		began := time.Now()
+func measureLatency(b *testing.B, send func(n uint64) error) *hdrhistogram.Histogram {
+	latency := hdrhistogram.New(1, int64(time.Minute), 3)
+	for n := range uint64(latencyRequests) {
+		start := time.Now()
 		if err := send(n); err != nil {
 			b.Fatal(err)
 		}
-		_ = took.RecordValue(int64(time.Since(began))) // within a minute
+		_ = latency.RecordValue(int64(time.Since(start))) // within a minute
 	}
-	return took
+	return latency
 }
 
 // warmUp opens the connections.
@@ -155,7 +155,7 @@
 	clients.Wait()
 }
 
-// cpuTime is the CPU time that the process has used.
+// cpuTime returns the CPU time that the process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -164,16 +164,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchID numbers requests over all runs, so that no attempt or key comes twice.
+// benchID numbers requests over all runs, so that no attempt ID or key is reused.
 var benchID atomic.Uint64
 
-// benchPrompt is a prompt of about so many bytes whose answer is cut off at
+// benchPrompt returns a prompt of about the given size whose response is cut off at
 // benchTokens tokens.
 func benchPrompt(bytes int) string {
 	return strings.Repeat("May a container stand at the corner of the market? ", bytes/51) + "0"
 }
 
-func (s *site) endpointAddress(tb testing.TB, name string) string {
+func (s *testZone) endpointAddress(tb testing.TB, name string) string {
 	for _, e := range s.entry.common.store.Snapshot().Endpoints() {
 		if e.Name == name {
 			return e.Address
@@ -183,8 +183,8 @@
 	return ""
 }
 
-// directChat asks the engines in turn, in their own protocol.
-func (s *site) directChat(b *testing.B, bytes int) func(uint64) error {
+// directChat sends requests to the engines in turn, in the engine protocol.
+func (s *testZone) directChat(b *testing.B, bytes int) func(uint64) error {
 	prompt := "user: " + benchPrompt(bytes) + "\nassistant: "
 	var addresses []string
 	for i := range benchEngines {
@@ -204,24 +204,24 @@
 	}
 }
 
-func (s *site) entryChat(bytes int, stream bool) func(uint64) error {
+func (s *testZone) entryChat(bytes int, stream bool) func(uint64) error {
 	r := chatRequest(benchPrompt(bytes), benchTokens, stream)
 	want := `"finish_reason":"length"`
 	url := s.url(s.entry.listeners.callers) + r.path
 	return func(uint64) error { return s.exchange(r.method, url, []byte(r.body), nil, want) }
 }
 
-func (s *site) directCall(b *testing.B, method, name string) func(uint64) error {
+func (s *testZone) directCall(b *testing.B, method, name string) func(uint64) error {
 	url := "http://" + s.endpointAddress(b, name) + "/confirm"
 	return s.call(method, url)
 }
 
-func (s *site) entryCall(method, of string) func(uint64) error {
-	return s.call(method, s.url(s.entry.listeners.callers)+"/s/"+of+"/confirm")
+func (s *testZone) entryCall(method, service string) func(uint64) error {
+	return s.call(method, s.url(s.entry.listeners.callers)+"/s/"+service+"/confirm")
 }
 
-// call sends calls, each with a key of its own where the method may not be repeated.
-func (s *site) call(method, url string) func(uint64) error {
+// call sends calls, with a unique idempotency key if the method is not repeatable.
+func (s *testZone) call(method, url string) func(uint64) error {
 	return func(uint64) error {
 		id := fmt.Sprint("call-", benchID.Add(1))
 		header := http.Header{}
@@ -234,8 +234,8 @@
 	}
 }
 
-// exchange makes a request and checks that its whole answer holds want.
-func (s *site) exchange(method, url string, body []byte, header http.Header, want string) error {
+// exchange makes a request and checks that the complete response contains want.
+func (s *testZone) exchange(method, url string, body []byte, header http.Header, want string) error {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -249,12 +249,12 @@
 		return err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	response, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode != http.StatusOK || !bytes.Contains(answer, []byte(want)) {
-		return fmt.Errorf("status %d: %.300s", resp.StatusCode, answer)
+	if resp.StatusCode != http.StatusOK || !bytes.Contains(response, []byte(want)) {
+		return fmt.Errorf("status %d: %.300s", resp.StatusCode, response)
 	}
 	return nil
 }
--- a/entry/probe.go
+++ b/entry/probe.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// probeInterval is how often half-open endpoints are looked for.
+	// probeInterval is the interval at which half-open endpoints are searched for.
 	probeInterval = time.Second
-	// probeTimeout bounds one connection, probeWorkers those under way.
+	// probeTimeout bounds one connection attempt, probeWorkers the number of concurrent
+	// ones.
 	probeTimeout = time.Second
 	probeWorkers = 8
 )
 
-// prober brings ejected endpoints back whose calls may not be repeated. Such a
-// call is no trial: if the endpoint still fails, it may be lost. A connection
-// is tried in its place, which tells less, but runs nothing.
+// prober recovers ejected endpoints whose calls must not be repeated. Such a call cannot
+// serve as a trial: if the endpoint still fails, the call may be lost. The prober opens a
+// connection instead, which is weaker evidence but executes nothing.
 type prober struct {
-	d         *common
+	common    *common
 	upstreams *upstreams
 }
 
@@ -35,8 +36,8 @@
 func (p *prober) probeAll(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(probeWorkers)
-	for _, e := range p.d.store.Snapshot().Endpoints() {
-		if !p.wants(e) {
+	for _, e := range p.common.store.Snapshot().Endpoints() {
+		if !p.shouldProbe(e) {
 			continue
 		}
 		g.Go(func() error {
@@ -47,12 +48,12 @@
 	_ = g.Wait() // the probes return no error
 }
 
-// wants tells whether an endpoint gets its trial here.
-func (p *prober) wants(e *fleet.Endpoint) bool {
-	if e.Kind != fleet.Service || !e.Available() || !e.Health.HalfOpen(p.d.now()) {
+// shouldProbe reports whether the trial of an endpoint is made by the prober.
+func (p *prober) shouldProbe(e *fleet.Endpoint) bool {
+	if e.Kind != fleet.Service || !e.Available() || !e.Health.HalfOpen(p.common.now()) {
 		return false
 	}
-	service, found := p.d.cat.Service(e.Service)
+	service, found := p.common.cat.Service(e.Service)
 	return found && !service.Repeatable
 }
 
@@ -61,17 +62,17 @@
 	if feed == nil {
 		return
 	}
-	ticket, ok := feed.begin(p.d.now(), e.Name)
+	ticket, ok := feed.begin(p.common.now(), e.Name)
 	if !ok {
 		return
 	}
-	feed.end(p.d.now(), ticket, p.connect(ctx, e.Address))
+	feed.end(p.common.now(), ticket, p.connect(ctx, e.Address))
 }
 
 func (p *prober) connect(ctx context.Context, address string) health.Result {
-	within, cancel := context.WithTimeout(ctx, probeTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	conn, err := p.d.clients.network.Connect(within, address)
+	conn, err := p.common.clients.network.Connect(dialCtx, address)
 	switch {
 	case ctx.Err() != nil:
 		return health.Abandoned
--- a/entry/probe_test.go
+++ b/entry/probe_test.go
@@ -12,8 +12,8 @@
 	"github.com/springweir/springweir/health"
 )
 
-// phase is an endpoint's health as decisions see it.
-func (s *site) phase(name string) health.Phase {
+// phase returns the health phase of an endpoint in the current snapshot.
+func (s *testZone) phase(name string) health.Phase {
 	for _, e := range s.entry.common.store.Snapshot().Endpoints() {
 		if e.Name == name {
 			return e.Health.Phase
@@ -23,15 +23,15 @@
 	return 0
 }
 
-// TestEjectedServiceReturnsWithoutATrialCall shows that an endpoint whose calls
-// may not be repeated gets none before it has proved that it accepts connections,
-// and gets calls again after that.
-func TestEjectedServiceReturnsWithoutATrialCall(t *testing.T) {
+// TestEjectedServiceIsProbedBeforeCalls checks that an ejected endpoint whose calls must
+// not be repeated gets no call before it has accepted a connection, and gets calls again
+// after that.
+func TestEjectedServiceIsProbedBeforeCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
+		o := inMemoryOptions()
 		address := o.listenAt(2, 9600)
-		o.more = "[endpoint \"slots-2\"]\nzone = a\nservice = slots\naddress = " + address + "\n"
-		s := newSite(t, o)
+		o.extraSettings = "[endpoint \"slots-2\"]\nzone = a\nservice = slots\naddress = " + address + "\n"
+		s := newTestZone(t, o)
 		defer s.shutDown()
 		keys := 0
 		call := func(times int) {
@@ -50,7 +50,7 @@
 		if got := s.phase("slots-2"); got != health.Ejected {
 			t.Fatalf("nothing listens at slots-2, but its phase is %d", got)
 		}
-		// Its calls see the phase that they were sent in.
+		// Each call records the endpoint's phase at the time of the call.
 		during := map[health.Phase]bool{}
 		handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			during[s.phase("slots-2")] = true
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -18,55 +18,55 @@
 	"github.com/springweir/springweir/table"
 )
 
-// TestWarmth: an entry is not ready before its engines have reported, unless
-// they stay silent for warmLimit, and does not turn cold again.
-func TestWarmth(t *testing.T) {
-	store := fleet.NewStore("a", fleet.NewMatchedLedger(reservationExpiry), prefix.NewViews(prefixLimit))
+// TestReadyAfterWarmup checks that an entry is not ready before its engines have reported,
+// unless they stay unresponsive for warmupTimeout, and that it then remains ready.
+func TestReadyAfterWarmup(t *testing.T) {
+	store := fleet.NewStore("a", fleet.NewMatchedLedger(reservationExpiry), prefix.NewViews(maxPrefixPairs))
 	spec := func(name string) fleet.Spec { return fleet.Spec{Name: name, Kind: fleet.Engine, Zone: "a"} }
 	report := func(name string) fleet.Report {
 		return fleet.Report{Endpoint: name, State: engine.State{Incarnation: "i", Role: engine.Mixed}}
 	}
 	store.SetSpecs([]fleet.Spec{spec("e1"), spec("e2"), {Name: "s1", Kind: fleet.Service, Zone: "a"}})
-	var reported, silent warmth
-	ask := func(now time.Duration) []bool {
-		return []bool{reported.warm(now, store.Snapshot()), silent.warm(now, store.Snapshot())}
+	var reported, unresponsive warmup
+	isReady := func(now time.Duration) []bool {
+		return []bool{reported.isWarm(now, store.Snapshot()), unresponsive.isWarm(now, store.Snapshot())}
 	}
 	var got [][]bool
-	got = append(got, ask(0))
+	got = append(got, isReady(0))
 	store.ApplyReports(0, report("e1"))
-	got = append(got, ask(warmLimit-1))
-	got = append(got, []bool{true, silent.warm(warmLimit, store.Snapshot())})
-	store.ApplyReports(warmLimit, report("e2"))
-	got = append(got, []bool{reported.warm(warmLimit-1, store.Snapshot()), true})
+	got = append(got, isReady(warmupTimeout-1))
+	got = append(got, []bool{true, unresponsive.isWarm(warmupTimeout, store.Snapshot())})
+	store.ApplyReports(warmupTimeout, report("e2"))
+	got = append(got, []bool{reported.isWarm(warmupTimeout-1, store.Snapshot()), true})
 	store.SetSpecs([]fleet.Spec{spec("e1"), spec("e2"), spec("e3")})
-	got = append(got, ask(2*warmLimit))
+	got = append(got, isReady(2*warmupTimeout))
 	want := [][]bool{{false, false}, {false, false}, {true, true}, {true, true}, {true, true}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestWithoutContact shows that a VM of a zone of three which has reached
-// neither the table nor a peer for contact.Lapse is not ready, and refuses calls
-// of callers and of other zones' entries as not run.
-func TestWithoutContact(t *testing.T) {
+// TestNotReadyWithoutContact checks that a VM in a zone of three which has reached neither
+// the table nor a peer for contact.Lapse is not ready, and rejects requests of callers and
+// of other zones' entries as not run.
+func TestNotReadyWithoutContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, inMemory())
+		s := newTestZone(t, inMemoryOptions())
 		defer s.shutDown()
-		s.joinByHand("vm2", "vm3")
+		s.addUnresponsiveVMs("vm2", "vm3")
 		time.Sleep(2 * contact.Lapse)
 		hop := map[string]string{wire.HeaderHop: "b", wire.HeaderAttempt: "hop.1"}
 		requests := map[string]request{
-			"call":        {method: http.MethodPost, path: "/s/slots/confirm"},
-			"passed call": {method: http.MethodPost, path: "/s/slots/confirm", to: s.entry.listeners.peers, header: hop},
-			"passed chat": chatRequest("May it?", 5, true),
+			"call":           {method: http.MethodPost, path: "/s/slots/confirm"},
+			"forwarded call": {method: http.MethodPost, path: "/s/slots/confirm", to: s.entry.listeners.peers, header: hop},
+			"forwarded chat": chatRequest("May it?", 5, true),
 		}
-		chat := requests["passed chat"]
+		chat := requests["forwarded chat"]
 		chat.to, chat.header = s.entry.listeners.peers, hop
-		requests["passed chat"] = chat
+		requests["forwarded chat"] = chat
 		check := func(when string, status int, reason failure.Reason) {
 			if got := s.get(s.entry.listeners.metrics, "/readyz"); got != status {
-				t.Errorf("%s: health check says %d, want %d", when, got, status)
+				t.Errorf("%s: health check returned %d, want %d", when, got, status)
 			}
 			for name, r := range requests {
 				got, body, _ := s.do(t.Context(), r)
@@ -79,18 +79,18 @@
 		s.rows.SetDown(true)
 		time.Sleep(contact.Lapse + time.Second)
 		ran := len(s.services.Runs())
-		check("cut off", http.StatusServiceUnavailable, failure.ConfigUnconfirmed)
+		check("without contact", http.StatusServiceUnavailable, failure.ConfigUnconfirmed)
 		if got := len(s.services.Runs()); got != ran {
 			t.Errorf("%d calls ran, %d before", got, ran)
 		}
 		s.rows.SetDown(false)
 		time.Sleep(contact.Lapse)
-		check("back", http.StatusOK, "")
+		check("contact restored", http.StatusOK, "")
 	})
 }
 
-// joinByHand puts VMs that answer no one on the zone's roster.
-func (s *site) joinByHand(names ...string) {
+// addUnresponsiveVMs adds VMs that never respond to the zone's roster.
+func (s *testZone) addUnresponsiveVMs(names ...string) {
 	s.tb.Helper()
 	rows, err := s.rows.Get(s.tb.Context(), contact.Key("a"))
 	if err != nil {
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -16,192 +16,194 @@
 )
 
 const (
-	// directZone is the number of endpoints up to which each entry asks every
-	// engine of its zone itself. In a larger zone an entry asks its share, and
-	// takes the rest from its peers.
-	directZone = 32
-	// askAgain is the time between two questions to an engine that a peer sees
-	// otherwise, so that entries which never agree do not ask without end.
-	askAgain = 30 * time.Second
-	// keepOwn is how long the last own report of an engine is kept.
-	keepOwn = time.Minute
-	// shareFor is how long an own report is shared after it was read.
-	shareFor = 3 * leaving.EndpointPollInterval
-	// shareTick is how often the own reports are put together for the peers,
-	// and what the peers read is taken in.
-	shareTick = 250 * time.Millisecond
-	// pollTimeout and pollWorkers bound the questions to engines.
+	// directPollLimit is the zone size, in endpoints, up to which each entry polls every
+	// engine itself. In a larger zone an entry polls its share and gets the other reports
+	// from its peers.
+	directPollLimit = 32
+	// repollInterval is the minimum time between two polls of an engine whose state differs
+	// from what a peer read, so that entries that never agree do not poll continuously.
+	repollInterval = 30 * time.Second
+	// localReportTTL is how long the last report that this entry read from an engine is
+	// kept.
+	localReportTTL = time.Minute
+	// sharedReportAge is the age up to which a local report is shared.
+	sharedReportAge = 3 * leaving.EndpointPollInterval
+	// shareInterval is how often local reports are considered for publication and the
+	// peers' reports are merged.
+	shareInterval = 250 * time.Millisecond
+	// pollTimeout and pollWorkers bound the duration and the concurrency of engine polls.
 	pollTimeout = 2 * time.Second
 	pollWorkers = 16
 )
 
-// reports keeps what the zone's engines say of themselves: read by this entry,
-// or by its peers. It is safe for concurrent use; mu is a leaf.
+// reports collects the state reported by the zone's engines, read by this entry or by its
+// peers. It is safe for concurrent use; mu is a leaf lock.
 type reports struct {
-	d         *common
-	upstreams *upstreams
-	book      *share.ReportStore
-	poller    *fleet.Poller
+	common      *common
+	upstreams   *upstreams
+	reportStore *share.ReportStore
+	poller      *fleet.Poller
 
 	mu sync.Mutex
-	// own holds the newest report that this entry itself read of each engine.
-	own map[string]ownReport
-	// unlike holds the engines that are not as this entry knows them, by what a
-	// peer read: started anew, or with other weights loaded. It is replaced as a
-	// whole.
-	unlike map[string]bool
-	// published is when the own reports were last put together for the peers.
-	published time.Time
+	// local holds the newest report of each engine that this entry read itself.
+	local map[string]localReport
+	// mismatched holds the engines whose state differs from this entry's record according
+	// to a peer's report: they restarted, or have other weights loaded. The map is
+	// replaced, never modified.
+	mismatched map[string]bool
+	// publishedAt is when the local reports were last published to the peers.
+	publishedAt time.Time
 }
 
-// ownReport is a report that this entry itself read.
-type ownReport struct {
+// localReport is a report that this entry read itself.
+type localReport struct {
 	state engine.State
 	at    time.Time
 }
 
-func newReports(d *common, u *upstreams, book *share.ReportStore) *reports {
-	r := &reports{d: d, upstreams: u, book: book, own: map[string]ownReport{}}
+func newReports(c *common, u *upstreams, reportStore *share.ReportStore) *reports {
+	r := &reports{common: c, upstreams: u, reportStore: reportStore, local: map[string]localReport{}}
 	cfg := fleet.PollerConfig{Interval: leaving.EndpointPollInterval, Timeout: pollTimeout, Workers: pollWorkers}
-	r.poller = fleet.NewPoller(cfg, d.store, d.now, r.open, r.mine, r.heard)
+	r.poller = fleet.NewPoller(cfg, c.store, c.now, r.source, r.pollScope, r.recordPolled)
 	return r
 }
 
-// Run polls and shares until ctx ends.
+// Run polls and shares reports until ctx ends.
 func (r *reports) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.share(ctx)
+		r.runSharing(ctx)
 	}()
 	if err := r.poller.Run(ctx); err != nil {
-		klog.Errorf("entry: polling ended: %v", err)
+		klog.Errorf("entry: polling stopped: %v", err)
 	}
 	<-done
 }
 
-func (r *reports) open(e *fleet.Endpoint) fleet.Source {
-	return r.d.clients.engine(e.Name, e.Address)
+func (r *reports) source(e *fleet.Endpoint) fleet.Source {
+	return r.common.clients.engine(e.Name, e.Address)
 }
 
-// mine tells what this entry asks an engine now. In a larger zone it asks the
-// others only when it has to, and never for their caches: a snapshot of one is
+// pollScope returns what this entry polls from an engine now. In a larger zone it polls the
+// engines of other entries only when needed, and never their caches: a cache snapshot has
 // some hundreds of kilobytes.
-func (r *reports) mine(e *fleet.Endpoint) fleet.PollScope {
-	if r.d.store.Snapshot().Len() <= directZone {
+func (r *reports) pollScope(e *fleet.Endpoint) fleet.PollScope {
+	if r.common.store.Snapshot().Len() <= directPollLimit {
 		return fleet.PollStateAndCache
 	}
-	if share.ShouldPoll(r.d.member.Roster(), r.d.member.Name(), e.Name, e.Age(r.d.now())) {
+	if share.ShouldPoll(r.common.member.Roster(), r.common.member.Name(), e.Name, e.Age(r.common.now())) {
 		return fleet.PollStateAndCache
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.unlike[e.Name] && clock.Since(r.own[e.Name].at) >= askAgain {
+	if r.mismatched[e.Name] && clock.Since(r.local[e.Name].at) >= repollInterval {
 		return fleet.PollState
 	}
 	return fleet.PollNothing
 }
 
-// heard takes in what an engine said when this entry asked it.
-func (r *reports) heard(report fleet.Report) {
+// recordPolled records a report that this entry polled from an engine.
+func (r *reports) recordPolled(report fleet.Report) {
 	name, state := report.Endpoint, report.State
 	r.mu.Lock()
-	r.own[name] = ownReport{state: state, at: clock.Now()}
+	r.local[name] = localReport{state: state, at: clock.Now()}
 	r.mu.Unlock()
-	r.upstreams.track(name, state.Incarnation, state.Role)
-	if r.d.leave.Record(name, state.Incarnation, state.Leaving) {
-		klog.Infof("entry: engine %s says it is leaving", name)
-		r.d.announce(context.Background(), name, state.Incarnation)
+	r.upstreams.recordIncarnation(name, state.Incarnation, state.Role)
+	if r.common.leavingSet.Record(name, state.Incarnation, state.Leaving) {
+		klog.Infof("entry: engine %s reported that it is leaving", name)
+		r.common.announce(context.Background(), name, state.Incarnation)
 	}
 }
 
-// share passes reports on between this entry and its peers until ctx ends.
-func (r *reports) share(ctx context.Context) {
-	loop.Every(ctx, shareTick, func() {
-		if r.publishes(clock.Now()) {
+// runSharing exchanges reports between this entry and its peers until ctx ends.
+func (r *reports) runSharing(ctx context.Context) {
+	loop.Every(ctx, shareInterval, func() {
+		if r.publishDue(clock.Now()) {
 			r.publish()
 		}
-		r.takeShared()
+		r.mergeShared()
 	})
 }
 
-// publishes tells whether the own reports are due. In a larger zone a batch
-// takes a whole round of exchanges to reach all, and one that is replaced
-// meanwhile is sent to many twice.
-func (r *reports) publishes(now time.Time) bool {
+// publishDue reports whether the local reports are due for publication. In a larger zone a
+// batch takes a full round of exchanges to reach all entries, and one that is replaced
+// before that is sent to many of them twice.
+func (r *reports) publishDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.published) < share.PublishInterval(len(r.d.member.Roster().VMs)) {
+	if now.Sub(r.publishedAt) < share.PublishInterval(len(r.common.member.Roster().VMs)) {
 		return false
 	}
-	r.published = now
+	r.publishedAt = now
 	return true
 }
 
-// publish gives the peers what this entry itself has read lately.
+// publish publishes the recent local reports to the peers.
 func (r *reports) publish() {
 	now := clock.Now()
 	r.mu.Lock()
-	list := make([]share.Report, 0, len(r.own))
-	for name, own := range r.own {
-		age := now.Sub(own.at)
-		if age > keepOwn {
-			delete(r.own, name)
+	list := make([]share.Report, 0, len(r.local))
+	for name, report := range r.local {
+		age := now.Sub(report.at)
+		if age > localReportTTL {
+			delete(r.local, name)
 		}
-		if age <= shareFor {
-			list = append(list, sharedForm(name, own, age))
+		if age <= sharedReportAge {
+			list = append(list, toShared(name, report, age))
 		}
 	}
 	r.mu.Unlock()
-	r.book.Publish(list)
+	r.reportStore.Publish(list)
 }
 
-func sharedForm(name string, own ownReport, age time.Duration) share.Report {
-	load := own.state.Load
+func toShared(name string, report localReport, age time.Duration) share.Report {
+	load := report.state.Load
 	load.AgeMillis += age.Milliseconds()
 	return share.Report{
 		Endpoint: share.Hash(name),
-		Identity: share.Identity(own.state.Incarnation, own.state.Loaded),
-		Role:     own.state.Role,
-		Leaving:  own.state.Leaving,
+		Identity: share.Identity(report.state.Incarnation, report.state.Loaded),
+		Role:     report.state.Role,
+		Leaving:  report.state.Leaving,
 		Load:     load,
 	}
 }
 
-// takeShared takes in what the peers have read of engines that this entry does
-// not ask itself. What is not shared stays as this entry last read it; an
-// engine of which that has changed is asked in the next round.
-func (r *reports) takeShared() {
-	now := r.d.now()
-	shared := r.book.Reports()
-	var news []fleet.Report
-	unlike := map[string]bool{}
-	for _, e := range r.d.store.Snapshot().Endpoints() {
+// mergeShared applies the peers' reports of engines that this entry does not poll. Fields
+// that are not shared keep the values that this entry last read; an engine for which they
+// have changed is polled in the next round.
+func (r *reports) mergeShared() {
+	now := r.common.now()
+	shared := r.reportStore.Reports()
+	var updates []fleet.Report
+	mismatched := map[string]bool{}
+	for _, e := range r.common.store.Snapshot().Endpoints() {
 		s, found := shared[share.Hash(e.Name)]
 		switch {
 		case !found:
 		case e.Reported && s.Identity == share.Identity(e.Incarnation, e.Loaded):
 			if s.Load.Sequence > e.Load.Sequence {
-				news = append(news, merged(e, s, now))
+				updates = append(updates, fromShared(e, s, now))
 			}
 		default:
-			unlike[e.Name] = measuredAfter(e, s, now)
+			mismatched[e.Name] = measuredAfter(e, s, now)
 		}
 	}
 	r.mu.Lock()
-	r.unlike = unlike
+	r.mismatched = mismatched
 	r.mu.Unlock()
-	r.d.store.ApplyReports(now, news...)
+	r.common.store.ApplyReports(now, updates...)
 }
 
-// measuredAfter tells whether a shared report was measured after what is known
-// of e. Sequences say nothing across incarnations, so the ages decide.
+// measuredAfter reports whether a shared report was measured after the recorded state of e.
+// Sequence numbers are not comparable across incarnations, so the ages decide.
 func measuredAfter(e *fleet.Endpoint, s share.Report, now time.Duration) bool {
 	return !e.Reported || now-time.Duration(s.Load.AgeMillis)*time.Millisecond > e.MeasuredAt
 }
 
-// merged is a shared report of e, with what is not shared as it was last read.
-func merged(e *fleet.Endpoint, s share.Report, now time.Duration) fleet.Report {
+// fromShared converts a shared report of e, and fills in the fields that are not shared
+// from the last local read.
+func fromShared(e *fleet.Endpoint, s share.Report, now time.Duration) fleet.Report {
 	load := s.Load
 	load.KVTotal = e.Load.KVTotal
 	return fleet.Report{
--- a/entry/reports_test.go
+++ b/entry/reports_test.go
@@ -18,8 +18,8 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// largeZone are the reports of an entry that polls none of its zone's engines,
-// because it is not on the roster yet, and the book of the VM that polls them.
+// largeZone returns the reports of an entry that polls none of its zone's engines, because
+// it is not on the roster yet, and the report store of the VM that polls them.
 func largeZone(engines int) (r *reports, poller *share.ReportStore, roster contact.Roster) {
 	var specs []fleet.Spec
 	for i := range engines {
@@ -30,9 +30,9 @@
 	member := contact.NewMember("a", "vm1", func(contact.Roster) {})
 	roster = roster.Join("a", "vm2", "10.0.0.2:7100")
 	member.Adopt(roster)
-	d := &common{start: time.Now(), store: store, member: member, leave: leaving.NewSet()}
-	d.announce = func(context.Context, string, string) {}
-	r = newReports(d, newUpstreams(d, nil, nil), share.NewReportStore("vm1"))
+	c := &common{start: time.Now(), store: store, member: member, leavingSet: leaving.NewSet()}
+	c.announce = func(context.Context, string, string) {}
+	r = newReports(c, newUpstreams(c, nil, nil), share.NewReportStore("vm1"))
 	return r, share.NewReportStore("vm2"), roster
 }
 
@@ -44,20 +44,20 @@
 	return s
 }
 
-// TestOnlyUnlikeEnginesAreAsked shows what an entry of a large zone asks of the
+// TestMismatchedEnginesArePolled checks what an entry of a large zone polls from the
 // engines that other entries poll.
-func TestOnlyUnlikeEnginesAreAsked(t *testing.T) {
+func TestMismatchedEnginesArePolled(t *testing.T) {
 	restarted := stateWith(1, 0, "chat")
 	restarted.Incarnation = "later"
 	for _, c := range []struct {
 		name string
-		// known is what the entry last read itself; nil is nothing.
-		known *engine.State
-		// readAgo is how long ago it read that; zero is long ago.
+		// local is what the entry last read itself; nil means nothing.
+		local *engine.State
+		// readAgo is the age of that report; zero means very old.
 		readAgo time.Duration
 		shared  engine.State
 		want    fleet.PollScope
-		// running is what the entry then believes.
+		// running is the number of running requests that the entry then has recorded.
 		running int
 	}{
 		{"newer load", state(stateWith(5, 0, "chat")), 0, stateWith(6, 0, "chat"), fleet.PollNothing, 6},
@@ -65,38 +65,38 @@
 		{"never read", nil, 0, stateWith(6, 0, "chat"), fleet.PollState, 0},
 		{"another model", state(stateWith(5, 0, "chat")), 0, stateWith(6, 0, "chat", "code"), fleet.PollState, 5},
 		{"restarted", state(stateWith(5, 0, "chat")), 0, restarted, fleet.PollState, 5},
-		{"another model, but before what was read", state(stateWith(5, 0, "chat")), 0, stateWith(4, 2*time.Second, "code"), fleet.PollNothing, 5},
+		{"another model, but older than the local report", state(stateWith(5, 0, "chat")), 0, stateWith(4, 2*time.Second, "code"), fleet.PollNothing, 5},
 		{"other weights in another order", state(stateWith(5, 0, "chat", "code")), 0, stateWith(6, 0, "code", "chat"), fleet.PollNothing, 6},
-		{"still another model", state(stateWith(5, 0, "chat")), askAgain / 2, stateWith(6, 0, "code"), fleet.PollNothing, 5},
+		{"still another model", state(stateWith(5, 0, "chat")), repollInterval / 2, stateWith(6, 0, "code"), fleet.PollNothing, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r, poller, roster := largeZone(directZone + 1)
+				r, poller, roster := largeZone(directPollLimit + 1)
 				time.Sleep(time.Minute)
 				if c.readAgo != 0 {
-					r.own["e0"] = ownReport{state: *c.known, at: time.Now().Add(-c.readAgo)}
+					r.local["e0"] = localReport{state: *c.local, at: time.Now().Add(-c.readAgo)}
 				}
-				if c.known != nil {
-					r.d.store.ApplyReports(r.d.now(), fleet.Report{Endpoint: "e0", State: *c.known, MeasuredAt: r.d.now()})
+				if c.local != nil {
+					r.common.store.ApplyReports(r.common.now(), fleet.Report{Endpoint: "e0", State: *c.local, MeasuredAt: r.common.now()})
 				}
 				time.Sleep(time.Second)
-				poller.Publish([]share.Report{sharedForm("e0", ownReport{state: c.shared}, 0)})
-				r.book.Merge(roster, poller.NewerBatches(roster, nil))
-				r.takeShared()
-				asked := map[string]fleet.PollScope{}
-				for _, e := range r.d.store.Snapshot().Endpoints() {
-					if q := r.mine(e); q != fleet.PollNothing {
-						asked[e.Name] = q
+				poller.Publish([]share.Report{toShared("e0", localReport{state: c.shared}, 0)})
+				r.reportStore.Merge(roster, poller.NewerBatches(roster, nil))
+				r.mergeShared()
+				polled := map[string]fleet.PollScope{}
+				for _, e := range r.common.store.Snapshot().Endpoints() {
+					if scope := r.pollScope(e); scope != fleet.PollNothing {
+						polled[e.Name] = scope
 					}
 				}
 				want := map[string]fleet.PollScope{}
 				if c.want != fleet.PollNothing {
 					want["e0"] = c.want
 				}
-				if diff := cmp.Diff(want, asked); diff != "" {
-					t.Errorf("asked (-want +got):\n%s", diff)
+				if diff := cmp.Diff(want, polled); diff != "" {
+					t.Errorf("polled (-want +got):\n%s", diff)
 				}
-				if got := r.d.store.Snapshot().Endpoints()[0].Load.Running; got != c.running {
+				if got := r.common.store.Snapshot().Endpoints()[0].Load.Running; got != c.running {
 					t.Errorf("%d running, want %d", got, c.running)
 				}
 			})
--- a/entry/room_test.go
+++ b/entry/room_test.go
@@ -15,13 +15,13 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// roomStub is an entry of another zone.
+// roomStub is a stub of an entry of another zone.
 type roomStub struct {
 	viewpb.View
 	models []weightstore.Artifact
 	down   bool
-	// listed counts the answers that held the models.
-	listed int
+	// modelLists counts the responses that contained the models.
+	modelLists int
 }
 
 // Room implements viewpb.View.
@@ -31,7 +31,7 @@
 	}
 	resp := roomResponse(fleet.ZoneSummary{PromptBudget: 1000, Models: s.models}, req.Held)
 	if len(resp.Models) > 0 {
-		s.listed++
+		s.modelLists++
 	}
 	return resp, nil
 }
@@ -42,7 +42,7 @@
 	stub := &roomStub{}
 	server := httptest.NewServer(viewpb.NewViewServer(stub))
 	defer server.Close()
-	z := newZoneBook("a", network.TCP(), func() time.Duration { return 0 })
+	z := newRemoteZones("a", network.TCP(), func() time.Duration { return 0 })
 	from := remoteEntry{name: "vm", address: server.Listener.Addr().String()}
 	for _, c := range []struct {
 		name   string
@@ -56,21 +56,21 @@
 		{"changed", both, false, both, 2},
 		{"none left", nil, false, nil, 2},
 		{"unreachable", both, true, nil, 2},
-		{"back", both, false, both, 3},
-		{"back, unchanged", both, false, both, 3},
+		{"available again", both, false, both, 3},
+		{"available again, unchanged", both, false, both, 3},
 	} {
 		stub.models, stub.down = c.models, c.down
-		z.ask(t.Context(), "b", from)
-		got := z.list()[0]
-		if diff := cmp.Diff(c.want, got.Models); diff != "" || got.Reachable == c.down || stub.listed != c.listed {
-			t.Errorf("%s: reachable %t, listed %d, models (-want +got):\n%s", c.name, got.Reachable, stub.listed, diff)
+		z.poll(t.Context(), "b", from)
+		got := z.zoneSummaries()[0]
+		if diff := cmp.Diff(c.want, got.Models); diff != "" || got.Reachable == c.down || stub.modelLists != c.listed {
+			t.Errorf("%s: reachable %t, listed %d, models (-want +got):\n%s", c.name, got.Reachable, stub.modelLists, diff)
 		}
 	}
 }
 
-func TestZonesAreAskedLessOftenWhereThereAreMany(t *testing.T) {
+func TestZonePollInterval(t *testing.T) {
 	for zones, want := range map[int]time.Duration{0: time.Second, 2: time.Second, 5: 2 * time.Second} {
-		if got := roomEvery(zones); got != want {
+		if got := pollIntervalFor(zones); got != want {
 			t.Errorf("%d zones: every %v, want %v", zones, got, want)
 		}
 	}
--- a/entry/server.go
+++ b/entry/server.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// readHeaderTimeout bounds how long a caller may take over its headers.
+	// readHeaderTimeout bounds the time that a caller may take to send its headers.
 	readHeaderTimeout = 10 * time.Second
-	// leaveTimeout bounds the end of a planned stop, when all requests have
-	// ended: the wait to be taken off the roster, and for answers to be kept.
+	// leaveTimeout bounds the end of a planned stop, after all requests have ended: the
+	// wait for removal from the roster and for responses to be stored.
 	leaveTimeout = 10 * time.Second
-	// drainPoll is the time between two looks at what other zones still wait for.
-	drainPoll = 50 * time.Millisecond
+	// drainPollInterval is the interval at which open requests of other zones are checked.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// requestCount counts requests under way.
+// requestCount counts open requests.
 type requestCount struct{ open atomic.Int64 }
 
 func (c *requestCount) begin() { c.open.Add(1) }
@@ -45,19 +45,19 @@
 	mux.Handle(path, peers)
 	view := viewpb.NewViewServer(&viewServer{e})
 	mux.Handle(view.PathPrefix(), view)
-	// Entries of other zones pass requests on to this address.
-	mux.HandleFunc("/", e.hopped)
+	// Entries of other zones forward requests to this address.
+	mux.HandleFunc("/", e.serveForwarded)
 	s := &servers{
-		callers: newServer(fromCallers(e)),
+		callers: newServer(withoutHopHeader(e)),
 		peers:   newServer(mux),
 		metrics: newServer(e.admin()),
 	}
-	for _, pair := range []struct {
+	for _, binding := range []struct {
 		server *http.Server
 		socket net.Listener
 	}{{s.callers, e.listeners.callers}, {s.peers, e.listeners.peers}, {s.metrics, e.listeners.metrics}} {
 		g.Go(func() error {
-			if err := pair.server.Serve(pair.socket); !errors.Is(err, http.ErrServerClosed) {
+			if err := binding.server.Serve(binding.socket); !errors.Is(err, http.ErrServerClosed) {
 				return err
 			}
 			return nil
@@ -66,9 +66,9 @@
 	return s
 }
 
-// fromCallers takes away the mark of a request that another zone's entry has
-// passed on: only entries, which use the peers' address, may set it.
-func fromCallers(h http.Handler) http.Handler {
+// withoutHopHeader removes the header that marks a request as forwarded by another zone's
+// entry. Only entries, which use the peer address, may set it.
+func withoutHopHeader(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Del(wire.HeaderHop)
 		h.ServeHTTP(w, r)
@@ -85,7 +85,7 @@
 	}
 }
 
-// admin serves the balancer's health check and the metrics.
+// admin serves the load balancer's health check and the metrics.
 //
 //	GET /healthz  200 while the process runs
 //	GET /readyz   200 while the balancer should send callers here, else 503
@@ -98,23 +98,23 @@
 	return mux
 }
 
-// hopped takes a request of another zone's entry, until a planned stop refuses
-// it as not run: that entry then chooses anew.
-func (e *Entry) hopped(w http.ResponseWriter, r *http.Request) {
+// serveForwarded serves a request forwarded by another zone's entry. During a planned stop
+// it rejects the request as not run, so that the other entry chooses another target.
+func (e *Entry) serveForwarded(w http.ResponseWriter, r *http.Request) {
 	if e.refusing.Load() {
 		caller.Refuse(w, r, &failure.Request{
-			Code: failure.Stopping, Ran: failure.NotRun, RetryAfter: comeBack, Message: "this VM is stopping",
+			Code: failure.Stopping, Ran: failure.NotRun, RetryAfter: defaultRetryAfter, Message: "this VM is stopping",
 		})
 		return
 	}
 	e.ServeHTTP(w, r)
 }
 
-// stop carries out a planned stop. The order matters: callers must have been
-// sent elsewhere before this VM refuses them. It leaves the roster last, since
-// from then on it may start nothing: requests that still wait for an endpoint
-// would be refused, and streams that have to go on elsewhere cut. Until it has
-// left it answers its peers, so that it holds up no change.
+// stop performs a planned stop. The order matters: callers must have been directed to other
+// VMs before this VM rejects them. It leaves the roster last, since it may start nothing
+// afterwards: requests still waiting for an endpoint would be rejected, and streams that
+// need to continue on another endpoint would be interrupted. Until it has left it responds
+// to its peers, so that it delays no configuration change.
 func (e *Entry) stop(s *servers) {
 	klog.Infof("entry: stopping, %d requests open", e.requests.open.Load())
 	e.stopping.Store(true)
@@ -123,48 +123,48 @@
 	grace, cancel := context.WithTimeout(context.Background(), e.process.StopGrace)
 	defer cancel()
 	if err := s.callers.Shutdown(grace); err != nil {
-		klog.Warningf("entry: %d requests were still open after the grace time", e.requests.open.Load())
+		klog.Warningf("entry: %d requests were still open after the grace period", e.requests.open.Load())
 	}
-	e.drainPeers(grace)
+	e.drainForwarded(grace)
 	e.upstreams.wait()
-	last, cancelLast := context.WithTimeout(context.Background(), leaveTimeout)
-	defer cancelLast()
-	kept := e.keepAnswers()
-	e.leaveRoster(last)
+	finalCtx, cancelFinal := context.WithTimeout(context.Background(), leaveTimeout)
+	defer cancelFinal()
+	stored := e.storeResponses()
+	e.leaveRoster(finalCtx)
 	select {
-	case <-kept:
-	case <-last.Done():
-		klog.Warningf("entry: answers of calls that ran are not all kept; repeats of those are told unknown")
+	case <-stored:
+	case <-finalCtx.Done():
+		klog.Warningf("entry: not all responses of completed calls were stored; repeats of those calls get an unknown outcome")
 	}
 }
 
-// leaveRoster also ends the permission to start anything.
+// leaveRoster removes the VM from the roster, which also ends its permission to start work.
 func (e *Entry) leaveRoster(ctx context.Context) {
 	if err := e.syncer.Leave(ctx); err != nil {
-		klog.Warningf("entry: still on the roster: %v", err)
+		klog.Warningf("entry: VM was not removed from the roster: %v", err)
 	}
 }
 
-// keepAnswers waits for the claims' writes in the background. The channel is
-// closed once there is none.
-func (e *Entry) keepAnswers() <-chan struct{} {
-	kept := make(chan struct{})
+// storeResponses waits in the background until all pending writes of claims are done, and
+// then closes the channel.
+func (e *Entry) storeResponses() <-chan struct{} {
+	stored := make(chan struct{})
 	go func() {
-		defer close(kept)
+		defer close(stored)
 		e.upstreams.claims.Wait()
 	}()
-	return kept
+	return stored
 }
 
-// drainPeers waits until requests that came through other zones have ended.
-func (e *Entry) drainPeers(grace context.Context) {
-	alive := true
-	for alive && e.requests.open.Load() > 0 {
-		alive = loop.Sleep(grace, drainPoll)
+// drainForwarded waits until requests forwarded by other zones have ended, or grace ends.
+func (e *Entry) drainForwarded(grace context.Context) {
+	withinGrace := true
+	for withinGrace && e.requests.open.Load() > 0 {
+		withinGrace = loop.Sleep(grace, drainPollInterval)
 	}
 }
 
-// watchMembers reads the platform's list until ctx ends.
+// watchMembers reads the platform's membership list until ctx ends.
 func (e *Entry) watchMembers(ctx context.Context) {
-	e.leave.WatchList(ctx, &endpointList{entry: e})
+	e.leavingSet.WatchList(ctx, &endpointList{entry: e})
 }
--- a/entry/specs.go
+++ b/entry/specs.go
@@ -12,75 +12,75 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// specRefresh is how often the endpoints' specs are compared with the signals
-// that an endpoint leaves. It is part of the 3 s in which new work must stop.
-const specRefresh = 250 * time.Millisecond
+// specRefreshInterval is how often the endpoints' specs are updated with the leaving
+// signals. It is part of the 3 s within which new work to a leaving endpoint must stop.
+const specRefreshInterval = 250 * time.Millisecond
 
-// specs gives the fleet the endpoints of the tree in force, with the newest
-// signals that they leave. It is safe for concurrent use.
+// specRefresher supplies the fleet with the endpoints of the active settings tree and their
+// newest leaving signals. It is safe for concurrent use.
 //
-// Lock order: mu, then the locks of the fleet's store, the upstreams and the
-// clients. The view is read under mu, so that an older one never comes last.
-type specs struct {
+// Lock order: mu, then the locks of the fleet's store, the upstreams and the clients. The
+// view is read under mu, so that an older view never overwrites a newer one.
+type specRefresher struct {
 	common    *common
 	upstreams *upstreams
 
 	mu sync.Mutex
-	// from and list are the view and the specs that were given last.
-	from *view
-	list []fleet.Spec
-	// words are the services' own.
-	words serviceWords
+	// applied and appliedSpecs are the view and the specs that were last applied.
+	applied      *configView
+	appliedSpecs []fleet.Spec
+	// serviceLeaving holds the leaving times reported by service endpoints.
+	serviceLeaving serviceLeavingTimes
 }
 
 // run refreshes until ctx ends.
-func (s *specs) run(ctx context.Context) {
-	loop.Every(ctx, specRefresh, s.refresh)
+func (s *specRefresher) run(ctx context.Context) {
+	loop.Every(ctx, specRefreshInterval, s.refresh)
 }
 
-// refresh takes over what has changed.
-func (s *specs) refresh() {
+// refresh applies changes of the view, the leaving signals and the withheld endpoints.
+func (s *specRefresher) refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.common.cat.current.Load()
 	if v == nil {
 		return
 	}
-	list := s.list
-	if v != s.from {
+	list := s.appliedSpecs
+	if v != s.applied {
 		list = specsOf(v)
 	}
 	for _, spec := range list {
 		if spec.Kind == fleet.Service {
-			s.words.expire(s.common, spec.Name)
+			s.serviceLeaving.expire(s.common, spec.Name)
 		}
 	}
-	list = signalled(list, s.common.leave)
-	if v != s.from || !slices.Equal(list, s.list) {
-		s.give(list)
-		s.from, s.list = v, list
+	list = withLeaving(list, s.common.leavingSet)
+	if v != s.applied || !slices.Equal(list, s.appliedSpecs) {
+		s.apply(list)
+		s.applied, s.appliedSpecs = v, list
 	}
-	for _, spec := range s.list {
+	for _, spec := range s.appliedSpecs {
 		s.common.store.SetWithheld(spec.Name, s.common.gate.Withheld(spec.Name))
 	}
 }
 
-// give hands over a changed list. An upstream that a new view made has to be told of
-// its services here; it hears of engines from their reports.
-func (s *specs) give(list []fleet.Spec) {
-	named := make(map[string]bool, len(list))
+// apply applies a changed list. The upstreams of a new view must be given their service
+// endpoints here; they receive those of engines from the engines' reports.
+func (s *specRefresher) apply(list []fleet.Spec) {
+	listed := make(map[string]bool, len(list))
 	for _, spec := range list {
-		named[spec.Name] = true
+		listed[spec.Name] = true
 		if spec.Kind == fleet.Service {
-			s.upstreams.track(spec.Name, spec.Address, "")
+			s.upstreams.recordIncarnation(spec.Name, spec.Address, "")
 		}
 	}
 	s.common.store.SetSpecs(list)
-	s.common.clients.retain(named)
+	s.common.clients.retain(listed)
 }
 
-// specsOf returns the zone's endpoints by name, as the tree has them.
-func specsOf(v *view) []fleet.Spec {
+// specsOf returns the specs of the zone's endpoints in the tree, ordered by name.
+func specsOf(v *configView) []fleet.Spec {
 	var list []fleet.Spec
 	for _, e := range v.endpoints() {
 		list = append(list, specOf(e))
@@ -103,19 +103,19 @@
 	return s
 }
 
-// signalled returns the list with the newest signals. It is the same list if
-// they are as before. The tree's own signal is in leave as well.
-func signalled(list []fleet.Spec, leave *leaving.Set) []fleet.Spec {
-	next := list
+// withLeaving returns the list with the newest leaving signals, which include the tree's
+// own. It returns the same slice if nothing changed.
+func withLeaving(list []fleet.Spec, leavingSet *leaving.Set) []fleet.Spec {
+	updated := list
 	for i, spec := range list {
-		_, leaves := leave.Leaving(spec.Name)
-		if leaves == spec.Leaving {
+		_, isLeaving := leavingSet.Leaving(spec.Name)
+		if isLeaving == spec.Leaving {
 			continue
 		}
-		if &next[0] == &list[0] {
-			next = slices.Clone(list)
+		if &updated[0] == &list[0] {
+			updated = slices.Clone(list)
 		}
-		next[i].Leaving = leaves
+		updated[i].Leaving = isLeaving
 	}
-	return next
+	return updated
 }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -22,10 +22,10 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// slowEngines makes the longest answer take about ten seconds.
+// slowEngines makes the longest response take about ten seconds.
 const slowEngines = 0.2
 
-// longPrompt is a prompt to which the stand-in has a long answer.
+// longPrompt returns a prompt for which the stand-in generates a long response.
 func longPrompt() string {
 	for n := 0; ; n++ {
 		prompt := fmt.Sprint("How tall may the container be? ", n)
@@ -35,21 +35,21 @@
 	}
 }
 
-// stopSample is what can be seen from outside at a moment of a planned stop.
+// stopSample is the externally visible state at one point of a planned stop.
 type stopSample struct {
-	// Ready is the health check's answer, Call that of a new call, and Hop that
-	// of one through another zone's entry; zero is none.
+	// Ready is the status of the health check, Call that of a new call, and Hop that of a
+	// call forwarded by another zone's entry; zero means no response.
 	Ready, Call, Hop int
-	// Room tells whether other zones are offered any.
+	// Room reports whether capacity is offered to other zones.
 	Room bool
-	// Left tells whether the VM is off the roster, or marked as leaving it.
+	// Left reports whether the VM is off the roster, or marked as leaving it.
 	Left bool
-	// Open tells whether the stream still runs.
+	// Open reports whether the stream is still running.
 	Open bool
 }
 
-// sample looks from outside. The roster is read from the table.
-func (s *site) sample(stream <-chan string) stopSample {
+// sample collects the state from outside. The roster is read from the table.
+func (s *testZone) sample(stream <-chan string) stopSample {
 	s.tb.Helper()
 	rows, err := s.rows.Get(s.tb.Context(), contact.Key("a"))
 	if err != nil {
@@ -79,14 +79,14 @@
 	}
 }
 
-// TestPlannedStop shows the order of a planned stop: the health check fails
-// first, requests that the balancer still sends are served, then no new one is
-// taken, the open stream ends whole, and the VM leaves the roster.
+// TestPlannedStop checks the order of a planned stop: the health check fails first,
+// requests that the load balancer still sends are served, then no new request is accepted,
+// the open stream completes, and the VM leaves the roster.
 func TestPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
+		o := inMemoryOptions()
 		o.speed = slowEngines
-		s := newSite(t, o)
+		s := newTestZone(t, o)
 		stream := make(chan string, 1)
 		go func() {
 			_, body, _ := s.do(t.Context(), chatRequest(longPrompt(), 127, true))
@@ -96,11 +96,11 @@
 		s.checkSample("serving", stream, stopSample{Room: true, Ready: 200, Call: 200, Hop: 200, Open: true})
 		s.stop()
 		time.Sleep(100 * time.Millisecond)
-		s.checkSample("just told to stop", stream, stopSample{Ready: 503, Call: 200, Hop: 200, Open: true})
+		s.checkSample("just after the stop began", stream, stopSample{Ready: 503, Call: 200, Hop: 200, Open: true})
 		time.Sleep(o.balancerDelay - 200*time.Millisecond)
 		s.checkSample("within the balancer's delay", stream, stopSample{Ready: 503, Call: 200, Hop: 200, Open: true})
 		time.Sleep(200 * time.Millisecond)
-		s.checkSample("after it", stream, stopSample{Ready: 503, Hop: 503, Open: true})
+		s.checkSample("after the balancer's delay", stream, stopSample{Ready: 503, Hop: 503, Open: true})
 		body := <-stream
 		time.Sleep(time.Second)
 		stream <- body
@@ -109,30 +109,30 @@
 			t.Errorf("the stream ended with %q", body[max(0, len(body)-100):])
 		}
 		s.shutDown()
-		s.checkNothingHeld()
+		s.checkNothingReserved()
 	})
 }
 
-func (s *site) checkSample(when string, stream <-chan string, want stopSample) {
+func (s *testZone) checkSample(when string, stream <-chan string, want stopSample) {
 	s.tb.Helper()
 	if diff := cmp.Diff(want, s.sample(stream)); diff != "" {
 		s.tb.Errorf("%s (-want +got):\n%s", when, diff)
 	}
 }
 
-// TestPlannedStopCutsNoWaitingRequest shows that requests which still wait for
-// an engine when the balancer's delay is over are answered as well.
-func TestPlannedStopCutsNoWaitingRequest(t *testing.T) {
+// TestPlannedStopServesQueuedRequests checks that requests which are still queued for an
+// engine when the load balancer's delay has passed are served.
+func TestPlannedStopServesQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
+		o := inMemoryOptions()
 		o.engines = 1
 		o.balancerDelay = time.Second
-		s := newSite(t, o)
-		letter := strings.Repeat("The permit of the municipality says. ", 220)
-		statuses := make(chan int, waitingLetters)
-		for n := range waitingLetters {
+		s := newTestZone(t, o)
+		prompt := strings.Repeat("The permit of the municipality says. ", 220)
+		statuses := make(chan int, queuedRequests)
+		for n := range queuedRequests {
 			go func() {
-				status, _, _ := s.do(t.Context(), chatRequest(fmt.Sprint(n, letter), 16, false))
+				status, _, _ := s.do(t.Context(), chatRequest(fmt.Sprint(n, prompt), 16, false))
 				statuses <- status
 			}()
 		}
@@ -140,26 +140,26 @@
 		s.stop()
 		time.Sleep(o.balancerDelay + 100*time.Millisecond)
 		if s.entry.upstreams.waiting() == 0 {
-			t.Error("nothing waits after the balancer's delay, so the test shows nothing")
+			t.Error("nothing is queued after the balancer's delay: the test is ineffective")
 		}
 		got := map[int]int{}
-		for range waitingLetters {
+		for range queuedRequests {
 			got[<-statuses]++
 		}
-		if diff := cmp.Diff(map[int]int{http.StatusOK: waitingLetters}, got); diff != "" {
-			t.Errorf("answers by status (-want +got):\n%s", diff)
+		if diff := cmp.Diff(map[int]int{http.StatusOK: queuedRequests}, got); diff != "" {
+			t.Errorf("responses by status (-want +got):\n%s", diff)
 		}
 		s.shutDown()
-		s.checkNothingHeld()
+		s.checkNothingReserved()
 	})
 }
 
-// waitingLetters are as many long prompts as take one engine several seconds.
-const waitingLetters = 20
+// queuedRequests is a number of long prompts that takes one engine several seconds.
+const queuedRequests = 20
 
-// dropLeaving takes VMs that are leaving off the roster at once, in place of
-// the zone's controller.
-func (s *site) dropLeaving(ctx context.Context) {
+// removeLeavingVMs immediately removes leaving VMs from the roster, in place of the zone's
+// controller.
+func (s *testZone) removeLeavingVMs(ctx context.Context) {
 	for ; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		rows, err := s.rows.Get(ctx, contact.Key("a"))
 		if err != nil {
@@ -174,18 +174,18 @@
 		_, _ = s.rows.Commit(ctx, table.Txn{
 			Checks: []table.Check{{Key: rows[0].Key, Version: rows[0].Version}},
 			Writes: []table.Write{{Key: rows[0].Key, Value: roster.Encode()}},
-		}) // the next round tries again
+		}) // retried in the next round
 	}
 }
 
-// TestPlannedStopKeepsAnswers shows that a planned stop waits until the answer
-// of a call that ran once is kept, though the table was down when it came, and
-// takes writes of claims only once the VM is off the roster.
-func TestPlannedStopKeepsAnswers(t *testing.T) {
+// TestPlannedStopStoresResponses checks that a planned stop waits until the response of a
+// completed call is stored, although the table was down when the call completed and accepts
+// writes of claims only after the VM has left the roster.
+func TestPlannedStopStoresResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, inMemory())
+		s := newTestZone(t, inMemoryOptions())
 		ctx, cancel := context.WithCancel(t.Context())
-		go s.dropLeaving(ctx)
+		go s.removeLeavingVMs(ctx)
 		s.services.Set(standinservice.Slow, 300*time.Millisecond, 0)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
@@ -193,10 +193,10 @@
 			time.Sleep(2 * time.Second)
 			s.rows.SetDown(false)
 		}()
-		began := time.Now()
+		start := time.Now()
 		s.rows.SetHook(func(c memtable.Call) memtable.Fault {
 			claims := c.Op == memtable.OpCommit && c.Txn.Writes[0].Key.Table == claim.Table
-			down := time.Since(began) > 100*time.Millisecond && time.Since(began) < 6*time.Second
+			down := time.Since(start) > 100*time.Millisecond && time.Since(start) < 6*time.Second
 			return memtable.Fault{Fail: claims && down}
 		})
 		status, _, err := s.do(t.Context(), request{
@@ -208,22 +208,22 @@
 		}
 		s.shutDown()
 		cancel()
-		rows, err := s.rows.Scan(t.Context(), claim.Table, "", "", 10) // the process is gone now
+		rows, err := s.rows.Scan(t.Context(), claim.Table, "", "", 10) // the process has exited
 		defer time.Sleep(time.Minute)
 		if err != nil || len(rows) != 1 {
 			t.Fatalf("%d claims, error %v", len(rows), err)
 		}
 		if !strings.Contains(string(rows[0].Value), `"done"`) {
-			t.Errorf("the claim says %s", rows[0].Value)
+			t.Errorf("the claim is %s, want it done", rows[0].Value)
 		}
 	})
 }
 
-// TestBrokenSocketEndsRun shows that an entry which can no longer take callers
-// stops and says so, instead of living on without being of use.
-func TestBrokenSocketEndsRun(t *testing.T) {
+// TestSocketErrorEndsRun checks that an entry whose callers' listener has failed stops and
+// returns the error, instead of continuing without serving callers.
+func TestSocketErrorEndsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, inMemory())
+		s := newTestZone(t, inMemoryOptions())
 		_ = s.entry.listeners.callers.Close()
 		time.Sleep(time.Minute)
 		select {
@@ -233,7 +233,7 @@
 			}
 			s.ended <- nil
 		default:
-			t.Error("Run goes on")
+			t.Error("Run has not returned")
 		}
 		s.shutDown()
 	})
--- a/entry/site_test.go
+++ b/entry/testzone_test.go
@@ -32,32 +32,32 @@
 
 const apiKey = "trial-key"
 
-// siteOptions describe a zone with one entry.
-type siteOptions struct {
+// testZoneOptions configure a testZone.
+type testZoneOptions struct {
 	engines int
-	// roles are those of the engines in turn; none makes all mixed.
+	// roles are assigned to the engines in turn; if empty all engines are mixed.
 	roles []engine.Role
-	// speed is model seconds a second.
+	// speed is the simulated engine time per second of clock time.
 	speed                float64
 	balancerDelay, grace time.Duration
 	network              network.Network
 	listenAt             func(host, port int) string
 	members              []membership.VM
-	// versions are those that the engines in turn have loaded; none makes all 1.
+	// versions are the loaded versions, assigned to the engines in turn; if empty all have
+	// version 1.
 	versions []string
-	// wanted is the version that the tree names; empty is 1.
-	wanted string
-	// log, if set, records what goes to endpoints and to the claims' table.
+	// treeVersion is the model's version in the settings tree; empty means 1.
+	treeVersion string
+	// log, if set, records the traffic to endpoints and to the claims' table.
 	log *transcript.Log
-	// more is appended to the tree.
-	more string
+	// extraSettings is appended to the settings tree.
+	extraSettings string
 }
 
-// site is a zone with one entry, stand-ins as its endpoints, and fakes as its
-// platform.
-type site struct {
+// testZone is a zone with one entry, stand-in endpoints and a fake platform.
+type testZone struct {
 	tb       testing.TB
-	opts     siteOptions
+	opts     testZoneOptions
 	rows     *memtable.Table
 	tree     string
 	list     *fakelist.List
@@ -65,33 +65,34 @@
 	services *standinservice.Server
 	entry    *Entry
 	client   *http.Client
-	// stop ends Run, whose result comes on ended.
+	// stop ends Run, whose result is sent on ended.
 	stop  context.CancelFunc
 	ended chan error
 	close []func()
 }
 
-// inMemory is a site for virtual time.
-func inMemory() siteOptions {
+// inMemoryOptions returns options for a zone in virtual time.
+func inMemoryOptions() testZoneOptions {
 	n := pipenet.NewNetwork()
-	return siteOptions{
+	return testZoneOptions{
 		engines: 2, speed: 1, balancerDelay: 3 * time.Second, grace: time.Minute,
 		network:  n.Network(),
 		listenAt: func(host, port int) string { return fmt.Sprintf("10.0.0.%d:%d", host, port) },
 	}
 }
 
-// onLoopback is a site on sockets, with engines that take no time.
-func onLoopback(engines int) siteOptions {
-	return siteOptions{
+// loopbackOptions returns options for a zone on sockets, whose engines respond without
+// delay.
+func loopbackOptions(engines int) testZoneOptions {
+	return testZoneOptions{
 		engines: engines, speed: 1e6, grace: 50 * time.Millisecond, network: network.TCP(),
 		listenAt: func(int, int) string { return "127.0.0.1:0" },
 	}
 }
 
-// newSite starts a site and waits until its entry is ready.
-func newSite(tb testing.TB, o siteOptions) *site {
-	s := &site{
+// newTestZone starts a zone and waits until its entry is ready.
+func newTestZone(tb testing.TB, o testZoneOptions) *testZone {
+	s := &testZone{
 		tb: tb, opts: o, rows: memtable.New(),
 		list:     fakelist.New(o.members...),
 		services: standinservice.New(standinservice.Normal, 0),
@@ -118,12 +119,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	go func() { s.ended <- e.Run(ctx) }()
-	s.await("the entry is ready", func() bool { return s.get(e.listeners.metrics, "/readyz") == http.StatusOK && s.known() })
+	s.waitFor("the entry is ready", func() bool { return s.get(e.listeners.metrics, "/readyz") == http.StatusOK && s.allReported() })
 	return s
 }
 
-// platformRows is the table as the entry gets it.
-func (s *site) platformRows() table.Service {
+// platformRows returns the table that the entry uses.
+func (s *testZone) platformRows() table.Service {
 	if s.opts.log == nil {
 		return s.rows
 	}
@@ -131,7 +132,7 @@
 }
 
 // startEndpoints starts the endpoints and returns the settings tree.
-func (s *site) startEndpoints() string {
+func (s *testZone) startEndpoints() string {
 	var tree strings.Builder
 	fmt.Fprintf(&tree, `[zone "a"]
 [zone "b"]
@@ -146,9 +147,9 @@
 key-hashes = %s
 token-rate = 0/s
 concurrency = 100000
-`, cmp.Or(s.opts.wanted, "1"), keyHash())
-	add := func(name, of string, port int, h http.Handler) {
-		fmt.Fprintf(&tree, "[endpoint %q]\nzone = a\n%s\naddress = %s\n", name, of, s.listenFor(h, s.opts.listenAt(2, port)))
+`, cmp.Or(s.opts.treeVersion, "1"), keyHash())
+	add := func(name, owner string, port int, h http.Handler) {
+		fmt.Fprintf(&tree, "[endpoint %q]\nzone = a\n%s\naddress = %s\n", name, owner, s.listenFor(h, s.opts.listenAt(2, port)))
 	}
 	for i := range s.opts.engines {
 		e := standinengine.New(s.engineOptions(i))
@@ -156,15 +157,15 @@
 		go e.Run(ctx)
 		s.close = append(s.close, cancel)
 		s.engines = append(s.engines, e)
-		add(engineName(i), "pool = language", 9000+i, logged(s.opts.log, transcript.Entry, e))
+		add(engineName(i), "pool = language", 9000+i, logWork(s.opts.log, transcript.Entry, e))
 	}
-	add("slots-1", "service = slots", 9500, logged(s.opts.log, transcript.Entry, s.services))
+	add("slots-1", "service = slots", 9500, logWork(s.opts.log, transcript.Entry, s.services))
 	add("rates-1", "service = rates", 9501, s.services)
-	tree.WriteString(s.opts.more)
+	tree.WriteString(s.opts.extraSettings)
 	return tree.String()
 }
 
-func (s *site) engineOptions(i int) standinengine.Options {
+func (s *testZone) engineOptions(i int) standinengine.Options {
 	o := standinengine.Options{
 		Address: s.opts.listenAt(2, 9000+i), Incarnation: fmt.Sprint("life", i),
 		Role: engine.Mixed, Speed: s.opts.speed, Params: enginemodel.DefaultParams(),
@@ -179,7 +180,7 @@
 	return o
 }
 
-func (s *site) listenFor(h http.Handler, address string) string {
+func (s *testZone) listenFor(h http.Handler, address string) string {
 	l, err := s.opts.network.Listen(address)
 	if err != nil {
 		s.tb.Fatal(err)
@@ -190,12 +191,13 @@
 	return s.addressOf(l, address)
 }
 
-// addressOf is where a listener is reached: a socket says so itself.
-func (s *site) addressOf(l net.Listener, asked string) string {
+// addressOf returns the address of a listener: the bound address of a socket, or the
+// requested one.
+func (s *testZone) addressOf(l net.Listener, requested string) string {
 	if s.opts.network.Dial == nil {
 		return l.Addr().String()
 	}
-	return asked
+	return requested
 }
 
 func keyHash() string {
@@ -203,8 +205,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// known tells whether every engine has reported.
-func (s *site) known() bool {
+// allReported reports whether all endpoints are in the snapshot and available.
+func (s *testZone) allReported() bool {
 	all := s.entry.common.store.Snapshot().Endpoints()
 	for _, e := range all {
 		if !e.Available() {
@@ -214,20 +216,20 @@
 	return len(all) == len(s.entry.cat.current.Load().endpoints())
 }
 
-// await waits for a condition. Its limit is far beyond anything that is right.
-func (s *site) await(what string, holds func() bool) {
+// waitFor waits for a condition. Its limit of a minute is far beyond any regular delay.
+func (s *testZone) waitFor(what string, condition func() bool) {
 	s.tb.Helper()
 	for range 3000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.tb.Fatalf("gave up waiting until %s", what)
+	s.tb.Fatalf("timed out waiting until %s", what)
 }
 
-// shutDown stops the entry by plan and then all else.
-func (s *site) shutDown() {
+// shutDown performs a planned stop of the entry and then stops everything else.
+func (s *testZone) shutDown() {
 	s.tb.Helper()
 	s.stop()
 	if err := <-s.ended; err != nil {
@@ -238,23 +240,23 @@
 	}
 }
 
-// url is where a listener of the entry is reached.
-func (s *site) url(l net.Listener) string {
-	for _, pair := range []struct {
+// url returns the base URL of a listener of the entry.
+func (s *testZone) url(l net.Listener) string {
+	for _, binding := range []struct {
 		l       net.Listener
 		address string
 	}{
 		{s.entry.listeners.callers, s.entry.process.Callers},
 		{s.entry.listeners.peers, s.entry.process.Peers},
 	} {
-		if pair.l == l {
-			return "http://" + s.addressOf(l, pair.address)
+		if binding.l == l {
+			return "http://" + s.addressOf(l, binding.address)
 		}
 	}
 	return "http://" + s.addressOf(l, s.entry.process.Metrics)
 }
 
-func (s *site) get(l net.Listener, path string) int {
+func (s *testZone) get(l net.Listener, path string) int {
 	resp, err := s.client.Get(s.url(l) + path)
 	if err != nil {
 		return 0
@@ -268,14 +270,14 @@
 type request struct {
 	method, path, body string
 	header             map[string]string
-	// to is where it is sent; nil is where callers send.
+	// to is the listener that it is sent to; nil means the callers' listener.
 	to net.Listener
-	// at, if set, is an address to send it to instead.
+	// at, if set, is an address that overrides to.
 	at string
 }
 
-// do makes a request and reads the answer, as far as it comes.
-func (s *site) do(ctx context.Context, r request) (status int, body string, err error) {
+// do makes a request and reads as much of the response as arrives.
+func (s *testZone) do(ctx context.Context, r request) (status int, body string, err error) {
 	to := s.entry.listeners.callers
 	if r.to != nil {
 		to = r.to
--- a/entry/upstreams.go
+++ b/entry/upstreams.go
@@ -18,40 +18,40 @@
 	"github.com/springweir/springweir/settings/tuning"
 )
 
-// upstream is all that is set for one pool or service: its queue, its router, its
-// retries and the health of its endpoints.
+// upstream holds the components of one pool or service: its queue, its router, its retries
+// and the health of its endpoints.
 type upstream struct {
-	// from is the settings that it was made from.
-	from      upstreamSettings
+	// settings are the settings that the upstream was created from.
+	settings  upstreamSettings
 	dispatch  *dispatcher
 	admitter  *admitter
 	forwarder *forward.Forwarder
-	// open counts the requests that it has taken. It grows under upstreams.mu, and
-	// only while the upstream is the newest of its name.
+	// open counts the accepted requests. It is incremented under upstreams.mu, and only
+	// while the upstream is the newest of its name.
 	open sync.WaitGroup
 }
 
-// upstreamSettings are the settings of a pool or a service that make up an upstream.
+// upstreamSettings are the settings of a pool or service that an upstream depends on.
 type upstreamSettings struct {
 	Retry    settings.Retry
 	Queues   settings.Queues
 	Spill    settings.Spill
 	Ejection settings.Ejection
-	// Engine is the assumed speeds of a pool's engines; zero for a service.
+	// Engine holds the assumed speeds of a pool's engines; zero for a service.
 	Engine costs.Engine
-	// FirstToken and BetweenTokens are how long an engine may be silent; zero
-	// takes the defaults.
+	// FirstToken and BetweenTokens are the timeouts for an engine's first token and between
+	// tokens; zero selects the defaults.
 	FirstToken, BetweenTokens time.Duration
 }
 
-// upstreams holds an upstream for each pool and service of the tree in force. It
+// upstreams holds an upstream for each pool and service of the active settings tree. It
 // implements caller.Forwarder and is safe for concurrent use.
 //
-// Lock order: mu, then those of the upstreams' health.
+// Lock order: mu, then the locks of the upstreams' health.
 //
-// An upstream whose settings change is replaced. Requests that it has taken finish
-// there, while new ones take the new upstream, which goes on with the same health:
-// what is known of the endpoints is not lost by a change of settings.
+// An upstream whose settings change is replaced. Requests that it has accepted finish on
+// it, while new ones use the new upstream. Both share the same health state, so that a
+// change of settings does not discard what was observed about the endpoints.
 type upstreams struct {
 	common *common
 	limits *admission.Limits
@@ -59,62 +59,63 @@
 
 	mu     sync.RWMutex
 	byName map[string]*upstream
-	// retired holds the replaced upstreams that have requests.
+	// retired holds the replaced upstreams that still have requests.
 	retired map[*upstream]bool
-	// homes maps each endpoint to the name of its upstream.
-	homes map[string]string
-	// pools maps a base model to its pool's upstream.
-	pools map[string]*upstream
+	// upstreamNames maps each endpoint to the name of its upstream.
+	upstreamNames map[string]string
+	// byModel maps a base model to its pool's upstream.
+	byModel map[string]*upstream
 }
 
 func newUpstreams(c *common, limits *admission.Limits, claims *claim.Store) *upstreams {
 	return &upstreams{common: c, limits: limits, claims: claims, byName: map[string]*upstream{}, retired: map[*upstream]bool{}}
 }
 
-// poolUpstream and serviceUpstream name the upstreams.
+// poolUpstream and serviceUpstream return the names of upstreams.
 func poolUpstream(pool string) string       { return "pool " + pool }
-func serviceUpstream(service string) string { return serviceQueue + service }
+func serviceUpstream(service string) string { return serviceQueuePrefix + service }
 
-// follow makes the upstreams those of a view. Upstreams whose settings stay the same stay.
-func (u *upstreams) follow(v *view) {
+// applyView replaces the upstreams by those of a view. Upstreams with unchanged settings
+// are reused.
+func (u *upstreams) applyView(v *configView) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	next := map[string]*upstream{}
 	for _, pool := range v.tree.Pools() {
-		set := pool.In(v.zone)
-		next[poolUpstream(pool.Name)] = u.keepOrMake(poolUpstream(pool.Name), upstreamSettings{
-			Retry: set.Retry, Queues: set.Queues, Spill: set.Spill, Ejection: set.Ejection,
-			Engine: tuning.Engine(set.Roles), FirstToken: set.FirstTokenTimeout, BetweenTokens: set.BetweenTokensTimeout,
+		zoneSettings := pool.In(v.zone)
+		next[poolUpstream(pool.Name)] = u.reuseOrCreate(poolUpstream(pool.Name), upstreamSettings{
+			Retry: zoneSettings.Retry, Queues: zoneSettings.Queues, Spill: zoneSettings.Spill, Ejection: zoneSettings.Ejection,
+			Engine: tuning.Engine(zoneSettings.Roles), FirstToken: zoneSettings.FirstTokenTimeout, BetweenTokens: zoneSettings.BetweenTokensTimeout,
 		})
 	}
 	for _, svc := range v.tree.Services() {
-		set := svc.In(v.zone)
-		next[serviceUpstream(svc.Name)] = u.keepOrMake(serviceUpstream(svc.Name), upstreamSettings{
-			Retry: set.Retry, Queues: set.Queues, Ejection: set.Ejection,
+		zoneSettings := svc.In(v.zone)
+		next[serviceUpstream(svc.Name)] = u.reuseOrCreate(serviceUpstream(svc.Name), upstreamSettings{
+			Retry: zoneSettings.Retry, Queues: zoneSettings.Queues, Ejection: zoneSettings.Ejection,
 		})
 	}
 	u.retire(next)
-	u.settle(v, next)
+	u.removeMovedEndpoints(v, next)
 	u.byName = next
-	u.pools = map[string]*upstream{}
+	u.byModel = map[string]*upstream{}
 	for model, pool := range v.pools {
-		u.pools[model] = next[poolUpstream(pool.Name)]
+		u.byModel[model] = next[poolUpstream(pool.Name)]
 	}
 }
 
-// retire keeps the upstreams that are replaced until they are idle. The caller holds mu.
+// retire retains the replaced upstreams until they are idle. The caller holds mu.
 func (u *upstreams) retire(next map[string]*upstream) {
 	for name, old := range u.byName {
 		if next[name] == old {
 			continue
 		}
 		u.retired[old] = true
-		go u.forget(old)
+		go u.dropWhenIdle(old)
 	}
 }
 
-// forget drops a replaced upstream once its requests have ended.
-func (u *upstreams) forget(old *upstream) {
+// dropWhenIdle drops a replaced upstream once its requests have ended.
+func (u *upstreams) dropWhenIdle(old *upstream) {
 	old.open.Wait()
 	old.forwarder.Wait()
 	u.mu.Lock()
@@ -122,35 +123,35 @@
 	delete(u.retired, old)
 }
 
-// settle takes endpoints out of the health of upstreams that they have left: one
-// that is gone must not count as a healthy peer of those that stay. The caller
-// holds mu.
-func (u *upstreams) settle(v *view, next map[string]*upstream) {
-	homes := map[string]string{}
+// removeMovedEndpoints removes endpoints from the health of upstreams that they no longer
+// belong to: a removed endpoint must not count as a healthy peer of the remaining ones. The
+// caller holds mu.
+func (u *upstreams) removeMovedEndpoints(v *configView, next map[string]*upstream) {
+	upstreamNames := map[string]string{}
 	for _, e := range v.endpoints() {
-		homes[e.Name] = homeOf(e)
+		upstreamNames[e.Name] = upstreamNameOf(e)
 	}
-	for name, home := range u.homes {
-		if upstream := next[home]; upstream != nil && homes[name] != home {
+	for name, upstreamName := range u.upstreamNames {
+		if upstream := next[upstreamName]; upstream != nil && upstreamNames[name] != upstreamName {
 			upstream.dispatch.health.remove(name)
 		}
 	}
-	u.homes = homes
+	u.upstreamNames = upstreamNames
 }
 
-// homeOf is the name of an endpoint's upstream.
-func homeOf(e settings.Endpoint) string {
+// upstreamNameOf returns the name of an endpoint's upstream.
+func upstreamNameOf(e settings.Endpoint) string {
 	if e.Engine() {
 		return poolUpstream(e.Pool)
 	}
 	return serviceUpstream(e.Service)
 }
 
-// keepOrMake returns the upstream of that name, made anew if its settings changed.
-// The caller holds mu.
-func (u *upstreams) keepOrMake(name string, set upstreamSettings) *upstream {
+// reuseOrCreate returns the existing upstream of that name, or a new one if its settings
+// changed. The caller holds mu.
+func (u *upstreams) reuseOrCreate(name string, set upstreamSettings) *upstream {
 	old := u.byName[name]
-	if old != nil && reflect.DeepEqual(old.from, set) {
+	if old != nil && reflect.DeepEqual(old.settings, set) {
 		return old
 	}
 	cfg := routing.DefaultConfig()
@@ -158,9 +159,9 @@
 	if set.Engine != (costs.Engine{}) {
 		cfg.Costs.Engine = set.Engine
 	}
-	d := &dispatcher{common: u.common, router: routing.New(cfg), health: u.health(old, set.Ejection)}
+	d := &dispatcher{common: u.common, router: routing.New(cfg), health: u.healthFor(old, set.Ejection)}
 	admitter := newAdmitter(d, tuning.Admission(set.Queues), u.limits)
-	return &upstream{from: set, dispatch: d, admitter: admitter, forwarder: forward.New(forward.Config{
+	return &upstream{settings: set, dispatch: d, admitter: admitter, forwarder: forward.New(forward.Config{
 		Router:            d,
 		Admitter:          admitter,
 		Claims:            u.claims,
@@ -172,8 +173,8 @@
 	})}
 }
 
-// health is the health of an upstream that takes old's place; old may be nil.
-func (u *upstreams) health(old *upstream, set settings.Ejection) *healthFeed {
+// healthFor returns the health of the upstream that replaces old, which may be nil.
+func (u *upstreams) healthFor(old *upstream, set settings.Ejection) *healthFeed {
 	if old == nil {
 		return newHealthFeed(u.common.store, tuning.Health(set))
 	}
@@ -182,12 +183,12 @@
 	return feed
 }
 
-// take returns the upstream that w takes, or nil. Its open count must be lowered
-// when the request has ended.
-func (u *upstreams) take(w *forward.Work) *upstream {
+// acquire returns the upstream for w, or nil. The caller must call open.Done when the
+// request has ended.
+func (u *upstreams) acquire(w *forward.Work) *upstream {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
-	upstream := u.pools[w.Model]
+	upstream := u.byModel[w.Model]
 	if w.Service != "" {
 		upstream = u.byName[serviceUpstream(w.Service)]
 	}
@@ -197,7 +198,8 @@
 	return upstream
 }
 
-// noUpstream refuses a request for what the newest tree no longer has.
+// noUpstream returns the rejection of a request for a model or service that the newest tree
+// no longer contains.
 func noUpstream(w *forward.Work) *failure.Request {
 	f := &failure.Request{Code: failure.NoSuchModel, Ran: failure.NotRun, Message: "no pool serves the model any more"}
 	if w.Service != "" {
@@ -208,7 +210,7 @@
 
 // Generate implements caller.Forwarder.
 func (u *upstreams) Generate(ctx context.Context, w *forward.Work, sink forward.Sink) (forward.Summary, error) {
-	upstream := u.take(w)
+	upstream := u.acquire(w)
 	if upstream == nil {
 		return forward.Summary{}, noUpstream(w)
 	}
@@ -218,7 +220,7 @@
 
 // Call implements caller.Forwarder.
 func (u *upstreams) Call(ctx context.Context, w *forward.Work) (*forward.Response, error) {
-	upstream := u.take(w)
+	upstream := u.acquire(w)
 	if upstream == nil {
 		return nil, noUpstream(w)
 	}
@@ -226,9 +228,9 @@
 	return upstream.forwarder.Call(ctx, w)
 }
 
-// track tells an endpoint's health tracker of the endpoint's incarnation. Its
-// group, within which it may not be the last ejected, is its upstream and role.
-func (u *upstreams) track(name, incarnation string, role engine.Role) {
+// recordIncarnation sets an endpoint's incarnation in its health tracker. The endpoint's
+// group, whose last member is never ejected, is its upstream and role.
+func (u *upstreams) recordIncarnation(name, incarnation string, role engine.Role) {
 	v := u.common.cat.current.Load()
 	if v == nil {
 		return
@@ -237,7 +239,7 @@
 	if !found {
 		return
 	}
-	if feed := u.healthOf(homeOf(e)); feed != nil {
+	if feed := u.healthOf(upstreamNameOf(e)); feed != nil {
 		feed.set(name, incarnation, string(role))
 	}
 }
@@ -253,7 +255,7 @@
 	return upstream.dispatch.health
 }
 
-// all returns the upstreams, replaced ones that have requests included.
+// all returns the upstreams, including replaced ones that still have requests.
 func (u *upstreams) all() []*upstream {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
@@ -267,7 +269,7 @@
 	return list
 }
 
-// waiting is the number of requests that wait in all queues.
+// waiting returns the number of requests waiting in all queues.
 func (u *upstreams) waiting() int {
 	n := 0
 	for _, upstream := range u.all() {
@@ -276,7 +278,7 @@
 	return n
 }
 
-// wait returns once no message of the forwarders is under way.
+// wait blocks until the forwarders have no messages in flight.
 func (u *upstreams) wait() {
 	for _, upstream := range u.all() {
 		upstream.forwarder.Wait()
--- a/entry/version_test.go
+++ b/entry/version_test.go
@@ -11,19 +11,19 @@
 	"github.com/springweir/springweir/forward"
 )
 
-// TestOldVersionServesUntilTheNewIsLoaded shows that requests are answered, and
-// counted as wanting the new version, while all engines still have the old one.
+// TestOldVersionServesUntilTheNewIsLoaded checks that requests are served, and counted as
+// demand for the new version, while all engines still have the old one loaded.
 func TestOldVersionServesUntilTheNewIsLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
-		o.wanted = "2"
-		s := newSite(t, o)
+		o := inMemoryOptions()
+		o.treeVersion = "2"
+		s := newTestZone(t, o)
 		defer s.shutDown()
 		status, body, err := s.do(t.Context(), chatRequest("May it?", 5, false))
 		if status != http.StatusOK || err != nil {
 			t.Errorf("status %d, error %v: %s", status, err, body)
 		}
-		for a := range s.entry.common.expected.artifacts() {
+		for a := range s.entry.common.demand.artifactRates() {
 			if a.Version != "2" {
 				t.Errorf("the demand is for %+v, want version 2", a)
 			}
@@ -31,13 +31,13 @@
 	})
 }
 
-// TestStreamKeepsItsVersion shows that a stream whose engine froze is not gone on
-// with by an engine that has another version: its caller is told.
+// TestStreamKeepsItsVersion checks that a stream whose engine froze is not continued by an
+// engine with another version; its caller gets an error event.
 func TestStreamKeepsItsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
-		o.speed, o.wanted, o.versions = slowEngines, "3", []string{"1", "2"}
-		s := newSite(t, o)
+		o := inMemoryOptions()
+		o.speed, o.treeVersion, o.versions = slowEngines, "3", []string{"1", "2"}
+		s := newTestZone(t, o)
 		defer s.shutDown()
 		for range 20 {
 			plan, err := s.entry.upstreams.byName[poolUpstream("language")].dispatch.Route(t.Context(),
@@ -69,7 +69,7 @@
 			attempts -= len(e.History().Attempts)
 		}
 		if attempts != 0 {
-			t.Error("the other version was asked to go on")
+			t.Error("the stream was sent to an engine with another version")
 		}
 	})
 }
--- a/entry/view.go
+++ b/entry/view.go
@@ -15,29 +15,30 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// adapterSeparator stands between a model's name and an adapter's in the name
-// that callers use: "permit-7b:brabant".
+// adapterSeparator separates the model's name from the adapter's in the names that callers
+// use: "permit-7b:brabant".
 const adapterSeparator = ":"
 
-// view is one version of the operators' tree, prepared for requests of one
-// availability zone. It is immutable.
-type view struct {
+// configView is one version of the operators' settings tree, prepared for the requests of
+// one availability zone. It is immutable.
+type configView struct {
 	version rollout.Version
 	tree    *settings.Tree
 	zone    string
 	models  map[string]caller.Model
 	names   []string
-	// services are the plain services.
+	// services holds the plain services.
 	services map[string]caller.Service
-	// pools is the pool that serves a base model: the first by name that lists it.
+	// pools maps a base model to the pool that serves it: the first pool by name that lists
+	// it.
 	pools map[string]settings.Pool
-	// widest are limits that no model's or service's go beyond.
-	widest caller.Limits
+	// maxLimits holds the maximum of each limit over all models and services.
+	maxLimits caller.Limits
 }
 
-func newView(v rollout.Version, tree *settings.Tree, zone string) *view {
-	w := &view{
-		version:  v,
+func newConfigView(version rollout.Version, tree *settings.Tree, zone string) *configView {
+	view := &configView{
+		version:  version,
 		tree:     tree,
 		zone:     zone,
 		models:   map[string]caller.Model{},
@@ -46,79 +47,79 @@
 	}
 	for _, pool := range tree.Pools() {
 		for _, name := range pool.In(zone).Models {
-			w.addModel(pool, name)
+			view.addModel(pool, name)
 		}
 	}
 	for _, s := range tree.Services() {
-		w.addService(s)
+		view.addService(s)
 	}
-	for name := range w.models {
-		w.names = append(w.names, name)
+	for name := range view.models {
+		view.names = append(view.names, name)
 	}
-	slices.Sort(w.names)
-	return w
+	slices.Sort(view.names)
+	return view
 }
 
-func (w *view) addModel(pool settings.Pool, name string) {
-	model, found := w.tree.Model(name)
-	if _, taken := w.pools[name]; taken || !found {
+func (v *configView) addModel(pool settings.Pool, name string) {
+	model, found := v.tree.Model(name)
+	if _, assigned := v.pools[name]; assigned || !found {
 		return
 	}
-	w.pools[name] = pool
-	set := pool.In(w.zone)
+	v.pools[name] = pool
+	zoneSettings := pool.In(v.zone)
 	base := caller.Model{
-		Name: name, Base: name, Version: model.Version, MaxTokens: set.OutputLimit, MaxPrompt: set.PromptLimit,
-		Limits: w.limits(set.Deadlines, set.BodyLimit),
+		Name: name, Base: name, Version: model.Version, MaxTokens: zoneSettings.OutputLimit, MaxPrompt: zoneSettings.PromptLimit,
+		Limits: v.limits(zoneSettings.Deadlines, zoneSettings.BodyLimit),
 	}
-	w.models[name] = base
+	v.models[name] = base
 	for _, a := range model.Adapters {
 		adapted := base
 		adapted.Name = name + adapterSeparator + a.Name
 		adapted.Adapter, adapted.Version = a.Name, a.Version
-		w.models[adapted.Name] = adapted
+		v.models[adapted.Name] = adapted
 	}
 }
 
-func (w *view) addService(s settings.Service) {
-	set := s.In(w.zone)
-	w.services[s.Name] = caller.Service{
-		Name: s.Name, Repeatable: set.Repeatable,
-		Limits: w.limits(set.Deadlines, set.BodyLimit),
+func (v *configView) addService(s settings.Service) {
+	zoneSettings := s.In(v.zone)
+	v.services[s.Name] = caller.Service{
+		Name: s.Name, Repeatable: zoneSettings.Repeatable,
+		Limits: v.limits(zoneSettings.Deadlines, zoneSettings.BodyLimit),
 	}
 }
 
-// limits returns the limits of a pool or service, and widens w.widest to them.
-func (w *view) limits(d settings.Deadlines, body int64) caller.Limits {
-	w.widest.MaxBody = max(w.widest.MaxBody, body)
-	w.widest.MaxDeadline = max(w.widest.MaxDeadline, d.Limit)
+// limits returns the limits of a pool or service, and raises v.maxLimits to them.
+func (v *configView) limits(d settings.Deadlines, body int64) caller.Limits {
+	v.maxLimits.MaxBody = max(v.maxLimits.MaxBody, body)
+	v.maxLimits.MaxDeadline = max(v.maxLimits.MaxDeadline, d.Limit)
 	return caller.Limits{MaxBody: body, Deadlines: tuning.Deadlines(d), MaxDeadline: d.Limit}
 }
 
 // endpoints returns the zone's endpoints.
-func (w *view) endpoints() []settings.Endpoint {
-	var own []settings.Endpoint
-	for _, e := range w.tree.Endpoints() {
-		if e.Zone == w.zone {
-			own = append(own, e)
+func (v *configView) endpoints() []settings.Endpoint {
+	var local []settings.Endpoint
+	for _, e := range v.tree.Endpoints() {
+		if e.Zone == v.zone {
+			local = append(local, e)
 		}
 	}
-	return own
+	return local
 }
 
-// catalogue is what callers may ask for, by the newest view. It implements
-// caller.Organisations and caller.Catalogue.
+// catalogue provides the organisations, models and services of the newest view. It
+// implements caller.Organisations and caller.Catalogue.
 type catalogue struct {
-	current atomic.Pointer[view]
+	current atomic.Pointer[configView]
 	store   *fleet.Store
 }
 
 // Organisation implements caller.Organisations.
 func (c *catalogue) Organisation(apiKey string) (caller.Organisation, bool) {
-	w := c.current.Load()
-	if w == nil {
+	v := c.current.Load()
+	if v == nil {
 		return caller.Organisation{}, false
 	}
-	org, found := w.tree.OrganisationOf(apiKey)
+	org, found := v.tree.OrganisationOf(apiKey)
 	return caller.Organisation{
 		Name: org.Name, Models: org.Models, Services: org.Services,
 		Priority: tuning.Priority(org.Priority), PriorityLimit: tuning.Priority(org.PriorityLimit),
@@ -127,58 +128,59 @@
 
 // organisation returns an organisation's settings, by name.
 func (c *catalogue) organisation(name string) (settings.Organisation, bool) {
-	w := c.current.Load()
-	if w == nil {
+	v := c.current.Load()
+	if v == nil {
 		return settings.Organisation{}, false
 	}
-	return w.tree.Organisation(name)
+	return v.tree.Organisation(name)
 }
 
 // poolOf returns the name of the pool that serves a base model, or "".
 func (c *catalogue) poolOf(model string) string {
-	w := c.current.Load()
-	if w == nil {
+	v := c.current.Load()
+	if v == nil {
 		return ""
 	}
-	return w.pools[model].Name
+	return v.pools[model].Name
 }
 
 // Models implements caller.Catalogue.
 func (c *catalogue) Models() []caller.Model {
-	w := c.current.Load()
-	if w == nil {
+	v := c.current.Load()
+	if v == nil {
 		return nil
 	}
-	models := make([]caller.Model, 0, len(w.names))
-	for _, name := range w.names {
-		models = append(models, w.models[name])
+	models := make([]caller.Model, 0, len(v.names))
+	for _, name := range v.names {
+		models = append(models, v.models[name])
 	}
 	return models
 }
 
-// Model implements caller.Catalogue. While no engine of the zone has the version
-// that the tree names (its load takes a while), any version that one has will do.
+// Model implements caller.Catalogue. While no engine of the zone has loaded the version
+// that the tree names, any loaded version is accepted.
 func (c *catalogue) Model(name string) (caller.Model, bool) {
-	w := c.current.Load()
-	if w == nil {
+	v := c.current.Load()
+	if v == nil {
 		return caller.Model{}, false
 	}
-	m, found := w.models[name]
+	m, found := v.models[name]
 	a := weightstore.Artifact{Model: m.Base, Adapter: m.Adapter, Version: m.Version}
-	if found && !c.served(a) && c.served(weightstore.Artifact{Model: m.Base, Adapter: m.Adapter}) {
+	if found && !c.hasEngine(a) && c.hasEngine(weightstore.Artifact{Model: m.Base, Adapter: m.Adapter}) {
 		m.Version = ""
 	}
 	return m, found
 }
 
-// served tells whether an engine of the zone can answer with a.
-func (c *catalogue) served(a weightstore.Artifact) bool {
+// hasEngine reports whether an engine of the zone can generate with a.
+func (c *catalogue) hasEngine(a weightstore.Artifact) bool {
 	s := c.store.Snapshot()
 	return len(s.Engines(a, engine.Mixed)) > 0 || len(s.Engines(a, engine.Decode)) > 0
 }
 
-// wanted is what the tree says should be loaded for w.
-func (c *catalogue) wanted(w *forward.Work) weightstore.Artifact {
+// requiredArtifact returns the artifact that, according to the tree, should be loaded for
+// w.
+func (c *catalogue) requiredArtifact(w *forward.Work) weightstore.Artifact {
 	a := weightstore.Artifact{Model: w.Model, Adapter: w.Adapter, Version: w.Version}
 	if v := c.current.Load(); v != nil && a.Version == "" {
 		a.Version = v.models[w.ModelName].Version
@@ -188,20 +190,20 @@
 
 // Service implements caller.Catalogue.
 func (c *catalogue) Service(name string) (caller.Service, bool) {
-	w := c.current.Load()
-	if w == nil {
+	v := c.current.Load()
+	if v == nil {
 		return caller.Service{}, false
 	}
-	s, found := w.services[name]
+	s, found := v.services[name]
 	return s, found
 }
 
-// retention is how long answers to calls of a service are kept, or zero.
-func (c *catalogue) retention(service string) time.Duration {
-	w := c.current.Load()
-	if w == nil {
+// claimRetention returns how long responses to calls of a service are kept, or zero.
+func (c *catalogue) claimRetention(service string) time.Duration {
+	v := c.current.Load()
+	if v == nil {
 		return 0
 	}
-	s, _ := w.tree.Service(service)
-	return s.In(w.zone).ClaimRetention
+	s, _ := v.tree.Service(service)
+	return s.In(v.zone).ClaimRetention
 }
--- a/entry/view_test.go
+++ b/entry/view_test.go
@@ -15,22 +15,21 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// seen is what a test asks of an endpoint's view.
-type seen struct {
+// endpointState holds the checked fields of an endpoint's view.
+type endpointState struct {
 	Pool, Service, Role string
 	Streams             uint32
 	Known, Withheld     bool
 	Leaving             bool
 }
 
-// TestView shows what an entry tells controllers and other zones' entries of
-// itself, over its peer address: with a stream open, one engine withheld and one
-// that says it is leaving.
+// TestView checks the view that an entry serves to controllers and other zones' entries at
+// its peer address, with an open stream, a withheld engine and an engine that is leaving.
 func TestView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
+		o := inMemoryOptions()
 		o.engines = 3
-		s := newSite(t, o)
+		s := newTestZone(t, o)
 		defer s.shutDown()
 		s.entry.gate.Withhold("engine-1", 100)
 		s.engines[2].Leave()
@@ -44,14 +43,14 @@
 		view := peer.ViewAt(s.entry.process.Peers, s.client.Transport)
 		s.checkFleet(view)
 		s.checkDemand(view)
-		s.checkRoom(view)
+		s.checkOffer(view)
 		if status := <-ended; status != http.StatusOK {
 			t.Errorf("the stream ended with status %d", status)
 		}
 	})
 }
 
-func (s *site) checkFleet(view viewpb.View) {
+func (s *testZone) checkFleet(view viewpb.View) {
 	s.tb.Helper()
 	f, err := view.Fleet(s.tb.Context(), &viewpb.FleetRequest{})
 	if err != nil {
@@ -60,11 +59,11 @@
 	if f.Vm != "vm1" || f.Zone != "a" || f.Config != 1 || f.Standing != "in-force" {
 		s.tb.Errorf("got VM %s of zone %s with version %d, %s", f.Vm, f.Zone, f.Config, f.Standing)
 	}
-	got := map[string]seen{}
+	got := map[string]endpointState{}
 	for _, e := range f.Endpoints {
-		got[e.Name] = seen{Pool: e.Pool, Service: e.Service, Role: e.Role, Streams: e.Streams, Known: e.Known, Withheld: e.Withheld, Leaving: e.Leaving}
+		got[e.Name] = endpointState{Pool: e.Pool, Service: e.Service, Role: e.Role, Streams: e.Streams, Known: e.Known, Withheld: e.Withheld, Leaving: e.Leaving}
 	}
-	want := map[string]seen{
+	want := map[string]endpointState{
 		"engine-0": {Pool: "language", Role: "mixed", Known: true, Streams: 1},
 		"engine-1": {Pool: "language", Role: "mixed", Known: true, Withheld: true},
 		"engine-2": {Pool: "language", Role: "mixed", Known: true, Leaving: true},
@@ -76,7 +75,7 @@
 	}
 }
 
-func (s *site) checkDemand(view viewpb.View) {
+func (s *testZone) checkDemand(view viewpb.View) {
 	s.tb.Helper()
 	d, err := view.Demand(s.tb.Context(), &viewpb.DemandRequest{Pool: "language"})
 	if err != nil {
@@ -87,37 +86,37 @@
 	}
 }
 
-func (s *site) checkRoom(view viewpb.View) {
+func (s *testZone) checkOffer(view viewpb.View) {
 	s.tb.Helper()
 	r, err := view.Room(s.tb.Context(), &viewpb.RoomRequest{})
 	if err != nil {
 		s.tb.Fatal(err)
 	}
 	if len(r.Models) != 1 || r.Models[0].Model != "chat" || r.Tokens <= 0 {
-		s.tb.Errorf("room is %v, want some for chat", r)
+		s.tb.Errorf("offered capacity is %v, want some for chat", r)
 	}
 }
 
-// TestRoomOf works the room of a zone out: the engines' backlog up to the
-// horizon, half of what is free over the entries of other zones, and none while
-// anything waits.
-func TestRoomOf(t *testing.T) {
+// TestZoneSummary checks the capacity offered by a zone: it shrinks with the engines'
+// backlog up to the horizon, half of what remains is divided among the entries of other
+// zones, and nothing is offered while requests are queued.
+func TestZoneSummary(t *testing.T) {
 	chat := []weightstore.Artifact{{Model: "chat", Version: "1"}}
-	const horizon = 8000 // prompt tokens that an engine prefills in routing.SpillConfig.Horizon
+	const horizon = 8000 // prompt tokens that an engine prefills within routing.SpillConfig.Horizon
 	tests := []struct {
-		name    string
-		backlog []int
-		unseen  int
-		senders int
-		waiting int
-		want    int
+		name       string
+		backlog    []int
+		unreported int
+		senders    int
+		waiting    int
+		want       int
 	}{
 		{name: "no engine"},
 		{name: "idle", backlog: []int{0, 0}, senders: 1, want: horizon},
 		{name: "shared by the senders", backlog: []int{0, 0}, senders: 4, want: horizon / 4},
 		{name: "one is full", backlog: []int{0, 3 * horizon}, senders: 1, want: horizon / 2},
-		{name: "own work counts", backlog: []int{0}, unseen: horizon / 2, senders: 1, want: horizon / 4},
-		{name: "requests wait", backlog: []int{0, 0}, senders: 1, waiting: 1},
+		{name: "local work counts", backlog: []int{0}, unreported: horizon / 2, senders: 1, want: horizon / 4},
+		{name: "requests are queued", backlog: []int{0, 0}, senders: 1, waiting: 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -128,12 +127,12 @@
 					Load: engine.Load{Sequence: 1, WaitingTokens: tokens},
 				}})
 			}
-			if tt.unseen > 0 {
-				work := fleet.Work{Requests: 1, PromptTokens: tt.unseen}
+			if tt.unreported > 0 {
+				work := fleet.Work{Requests: 1, PromptTokens: tt.unreported}
 				e.common.store.Reserve(0, fleet.Reservation{Endpoint: engineName(0), Attempt: "a", Work: work})
 			}
-			if got := roomOf(e.common.store.Snapshot(), 0, tt.waiting, tt.senders).PromptBudget; got != tt.want {
-				t.Errorf("room is %d tokens, want %d", got, tt.want)
+			if got := zoneSummaryOf(e.common.store.Snapshot(), 0, tt.waiting, tt.senders).PromptBudget; got != tt.want {
+				t.Errorf("offered budget is %d tokens, want %d", got, tt.want)
 			}
 		})
 	}
--- a/entry/viewserver.go
+++ b/entry/viewserver.go
@@ -13,13 +13,13 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// viewServer implements viewpb.View: what this entry sees, for the controllers
-// of its zone and for the entries of other zones. It only reads.
-type viewServer struct{ e *Entry }
+// viewServer implements viewpb.View: it serves this entry's view of its zone to the
+// controllers of the zone and to the entries of other zones. It is read-only.
+type viewServer struct{ entry *Entry }
 
 // Demand implements viewpb.View.
 func (s *viewServer) Demand(_ context.Context, req *viewpb.DemandRequest) (*viewpb.DemandResponse, error) {
-	d := s.e.common.expected.demand(req.Pool)
+	d := s.entry.common.demand.poolDemand(req.Pool)
 	resp := &viewpb.DemandResponse{WindowMs: d.Window.Milliseconds()}
 	for _, c := range d.Classes {
 		resp.Classes = append(resp.Classes, &viewpb.DemandClass{
@@ -27,8 +27,8 @@
 			DeadlineMs: c.Deadline.Milliseconds(),
 		})
 	}
-	for a, rate := range s.e.common.expected.artifacts() {
-		if s.e.cat.poolOf(a.Model) != req.Pool {
+	for a, rate := range s.entry.common.demand.artifactRates() {
+		if s.entry.cat.poolOf(a.Model) != req.Pool {
 			continue
 		}
 		resp.Artifacts = append(resp.Artifacts, &viewpb.ArtifactDemand{
@@ -41,32 +41,32 @@
 // Fleet implements viewpb.View.
 func (s *viewServer) Fleet(_ context.Context, req *viewpb.FleetRequest) (*viewpb.FleetResponse, error) {
 	resp := &viewpb.FleetResponse{
-		Vm:       s.e.process.VM,
-		Zone:     s.e.process.Zone,
-		Config:   uint64(s.e.applier.Current().Version),
-		Standing: string(s.e.member.Standing()),
+		Vm:       s.entry.process.VM,
+		Zone:     s.entry.process.Zone,
+		Config:   uint64(s.entry.applier.Current().Version),
+		Standing: string(s.entry.member.Standing()),
 	}
 	if req.Brief {
 		return resp, nil
 	}
-	resp.Roster = s.e.member.Roster().Encode()
-	now := s.e.common.now()
-	for _, endpoint := range s.e.common.store.Snapshot().Endpoints() {
-		resp.Endpoints = append(resp.Endpoints, s.view(endpoint, now))
+	resp.Roster = s.entry.member.Roster().Encode()
+	now := s.entry.common.now()
+	for _, endpoint := range s.entry.common.store.Snapshot().Endpoints() {
+		resp.Endpoints = append(resp.Endpoints, s.endpointView(endpoint, now))
 	}
 	return resp, nil
 }
 
-func (s *viewServer) view(e *fleet.Endpoint, now time.Duration) *viewpb.EndpointView {
+func (s *viewServer) endpointView(e *fleet.Endpoint, now time.Duration) *viewpb.EndpointView {
 	return &viewpb.EndpointView{
 		Name:          e.Name,
 		Pool:          e.Pool,
 		Service:       e.Service,
 		Role:          string(e.Role),
 		Incarnation:   e.Incarnation,
-		Streams:       uint32(s.e.gate.Streams(e.Name)),
+		Streams:       uint32(s.entry.gate.Streams(e.Name)),
 		Leaving:       e.Leaving || e.SelfLeaving,
-		Withheld:      s.e.gate.Withheld(e.Name),
+		Withheld:      s.entry.gate.Withheld(e.Name),
 		Ejected:       e.Health.Phase != health.Healthy,
 		Known:         e.Reported || e.Kind == fleet.Service,
 		AgeMs:         e.Age(now).Milliseconds(),
@@ -88,47 +88,47 @@
 	return out
 }
 
-// Room implements viewpb.View. An entry that is about to stop has none, and
-// neither has one with requests of its own waiting.
+// Room implements viewpb.View. An entry that is stopping, or whose own requests are queued,
+// offers no capacity.
 func (s *viewServer) Room(_ context.Context, req *viewpb.RoomRequest) (*viewpb.RoomResponse, error) {
-	if s.e.stopping.Load() {
+	if s.entry.stopping.Load() {
 		return &viewpb.RoomResponse{}, nil
 	}
-	c := s.e.common
-	return roomResponse(roomOf(c.store.Snapshot(), c.now(), s.e.upstreams.waiting(), c.zones.entriesElsewhere()), req.Held), nil
+	c := s.entry.common
+	return roomResponse(zoneSummaryOf(c.store.Snapshot(), c.now(), s.entry.upstreams.waiting(), c.zones.entryCount()), req.Held), nil
 }
 
-// roomOf is the room that this entry offers an entry of another zone, of which
-// there are so many senders. The speeds are the default ones: the zone's pools
-// may have several.
-func roomOf(s *fleet.Snapshot, now time.Duration, waiting, senders int) fleet.ZoneSummary {
+// zoneSummaryOf returns the capacity that this entry offers to one entry of another zone,
+// of which there are senders. It assumes the default engine speeds, since the zone's pools
+// may differ in theirs.
+func zoneSummaryOf(s *fleet.Snapshot, now time.Duration, waiting, senders int) fleet.ZoneSummary {
 	if waiting > 0 {
 		return fleet.ZoneSummary{Zone: s.Zone, Reachable: true}
 	}
 	return routing.New(routing.DefaultConfig()).Summary(s, now, senders)
 }
 
-// roomResponse tells of a zone's room, and of its models unless they have the
-// digest held.
-func roomResponse(r fleet.ZoneSummary, held uint64) *viewpb.RoomResponse {
+// roomResponse encodes a zone's offered capacity. It omits the models if their digest is
+// heldDigest.
+func roomResponse(r fleet.ZoneSummary, heldDigest uint64) *viewpb.RoomResponse {
 	resp := &viewpb.RoomResponse{
 		Tokens:     int64(r.PromptBudget),
 		TtftUs:     r.TTFT.Microseconds(),
 		PerTokenUs: r.PerToken.Microseconds(),
 		Digest:     modelsDigest(r.Models),
 	}
-	if resp.Digest != held {
+	if resp.Digest != heldDigest {
 		resp.Models = loadedArtifacts(r.Models)
 	}
 	return resp
 }
 
-// modelsDigest is never zero, which stands for no list.
+// modelsDigest returns a digest of the list. It is never zero, which stands for no list.
 func modelsDigest(models []weightstore.Artifact) uint64 {
 	d := xxhash.New()
 	for _, a := range models {
 		for _, part := range []string{a.Model, a.Adapter, a.Version} {
-			_, _ = d.WriteString(part) // a digest takes all
+			_, _ = d.WriteString(part) // never fails
 			_, _ = d.Write([]byte{0})
 		}
 	}
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -23,29 +23,29 @@
 )
 
 const (
-	// roomInterval is how often one entry of each other zone is asked for room,
-	// and roomPerZone the time between two questions where there are many zones.
-	// At six zones a summary is 2 s old before it is replaced, of the 3 s for
-	// which routing believes it (routing.SpillConfig).
-	roomInterval = time.Second
-	roomPerZone  = 400 * time.Millisecond
-	// roomTimeout bounds one question.
-	roomTimeout = 500 * time.Millisecond
-	// roomAskers bounds the zones asked at the same time.
-	roomAskers = 8
+	// roomPollInterval is how often one entry of each other zone is polled for its offered
+	// capacity, and roomPollPerZone the interval per zone where there are many. With six
+	// zones a summary is up to 2 s old before it is replaced; routing uses it for 3 s
+	// (routing.SpillConfig).
+	roomPollInterval = time.Second
+	roomPollPerZone  = 400 * time.Millisecond
+	// roomPollTimeout bounds one poll.
+	roomPollTimeout = 500 * time.Millisecond
+	// roomPollWorkers bounds the number of zones polled concurrently.
+	roomPollWorkers = 8
 )
 
-// zoneBook knows the entries of the other availability zones, from the
-// membership list, and how much room each zone last said it has. It is safe for
-// concurrent use; mu is a leaf and is not held while an entry is asked.
-type zoneBook struct {
-	own       string
+// remoteZones holds the entries of the other availability zones, from the membership list,
+// and the capacity that each zone last offered. It is safe for concurrent use; mu is a leaf
+// lock and is not held during polls.
+type remoteZones struct {
+	localZone string
 	transport *http.Transport
 	now       func() time.Duration
 
 	mu        sync.Mutex
 	entries   map[string][]remoteEntry
-	summaries map[string]*zoneRoom
+	summaries map[string]*zoneOffer
 }
 
 // remoteEntry is an entry of another zone.
@@ -55,33 +55,33 @@
 	target  forward.Peer
 }
 
-// zoneRoom is the last summary of a zone and the entry that gave it: what the
-// zone offered is sent to that entry.
-type zoneRoom struct {
+// zoneOffer is the last summary of a zone and the entry that sent it. Requests spilled into
+// the zone are sent to that entry.
+type zoneOffer struct {
 	summary fleet.ZoneSummary
 	from    remoteEntry
-	// digest is that of the summary's models, as the zone gave it.
+	// digest is the digest of the summary's models, as received from the zone.
 	digest uint64
 }
 
-// roomEvery is how often each zone is asked when there are so many others.
-func roomEvery(zones int) time.Duration {
-	return max(roomInterval, time.Duration(zones)*roomPerZone)
+// pollIntervalFor returns the interval at which each of so many other zones is polled.
+func pollIntervalFor(zones int) time.Duration {
+	return max(roomPollInterval, time.Duration(zones)*roomPollPerZone)
 }
 
-func newZoneBook(own string, n network.Network, now func() time.Duration) *zoneBook {
-	return &zoneBook{
-		own: own, now: now, transport: n.Over(forward.NewPeerTransport()),
+func newRemoteZones(localZone string, n network.Network, now func() time.Duration) *remoteZones {
+	return &remoteZones{
+		localZone: localZone, now: now, transport: n.Over(forward.NewPeerTransport()),
 		entries:   map[string][]remoteEntry{},
-		summaries: map[string]*zoneRoom{},
+		summaries: map[string]*zoneOffer{},
 	}
 }
 
-// setList takes over a membership list.
-func (z *zoneBook) setList(vms []membership.VM) {
+// setMembers applies a membership list.
+func (z *remoteZones) setMembers(vms []membership.VM) {
 	next := map[string][]remoteEntry{}
 	for _, vm := range vms {
-		if vm.Kind != membership.Entry || vm.Zone == z.own || vm.Leaving {
+		if vm.Kind != membership.Entry || vm.Zone == z.localZone || vm.Leaving {
 			continue
 		}
 		next[vm.Zone] = append(next[vm.Zone], remoteEntry{
@@ -94,8 +94,8 @@
 	z.entries = next
 }
 
-// entriesElsewhere is the number of entries of the other zones.
-func (z *zoneBook) entriesElsewhere() int {
+// entryCount returns the number of entries in the other zones.
+func (z *remoteZones) entryCount() int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	n := 0
@@ -105,52 +105,52 @@
 	return n
 }
 
-// entry returns the entry of the zone that offered the room.
-func (z *zoneBook) entry(zone string) (remoteEntry, bool) {
+// spillTarget returns the entry of the zone that offered the capacity.
+func (z *remoteZones) spillTarget(zone string) (remoteEntry, bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	room := z.summaries[zone]
-	if room == nil || !room.summary.Reachable {
+	offer := z.summaries[zone]
+	if offer == nil || !offer.summary.Reachable {
 		return remoteEntry{}, false
 	}
-	return room.from, true
+	return offer.from, true
 }
 
-// list returns the summaries, by zone.
-func (z *zoneBook) list() []fleet.ZoneSummary {
+// zoneSummaries returns the summaries, ordered by zone.
+func (z *remoteZones) zoneSummaries() []fleet.ZoneSummary {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	all := make([]fleet.ZoneSummary, 0, len(z.summaries))
-	for _, room := range z.summaries {
-		all = append(all, room.summary)
+	for _, offer := range z.summaries {
+		all = append(all, offer.summary)
 	}
 	slices.SortFunc(all, func(a, b fleet.ZoneSummary) int { return strings.Compare(a.Zone, b.Zone) })
 	return all
 }
 
-// Run asks for room until ctx ends and gives the summaries to tell.
-func (z *zoneBook) Run(ctx context.Context, tell func([]fleet.ZoneSummary)) {
-	for loop.Sleep(ctx, roomEvery(len(z.partners()))) {
-		z.askAll(ctx)
-		tell(z.list())
+// Run polls the zones until ctx ends and calls publish with the summaries after each round.
+func (z *remoteZones) Run(ctx context.Context, publish func([]fleet.ZoneSummary)) {
+	for loop.Sleep(ctx, pollIntervalFor(len(z.sampleEntries()))) {
+		z.pollAll(ctx)
+		publish(z.zoneSummaries())
 	}
 }
 
-// askAll asks one entry of each zone.
-func (z *zoneBook) askAll(ctx context.Context) {
+// pollAll polls one entry of each zone.
+func (z *remoteZones) pollAll(ctx context.Context) {
 	var g errgroup.Group
-	g.SetLimit(roomAskers)
-	for zone, entry := range z.partners() {
+	g.SetLimit(roomPollWorkers)
+	for zone, entry := range z.sampleEntries() {
 		g.Go(func() error {
-			z.ask(ctx, zone, entry)
+			z.poll(ctx, zone, entry)
 			return nil
 		})
 	}
-	_ = g.Wait() // the askers return no error
+	_ = g.Wait() // the functions return no error
 }
 
-// partners are one entry of each zone, chosen at random.
-func (z *zoneBook) partners() map[string]remoteEntry {
+// sampleEntries returns one entry of each zone, chosen at random.
+func (z *remoteZones) sampleEntries() map[string]remoteEntry {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	chosen := make(map[string]remoteEntry, len(z.entries))
@@ -160,43 +160,43 @@
 	return chosen
 }
 
-// ask reads a zone's room. A zone that does not answer is unreachable until one
-// of its entries does.
-func (z *zoneBook) ask(ctx context.Context, zone string, from remoteEntry) {
-	ctx, cancel := context.WithTimeout(ctx, roomTimeout)
+// poll reads a zone's offered capacity. A zone that does not respond is unreachable until
+// one of its entries does.
+func (z *remoteZones) poll(ctx context.Context, zone string, from remoteEntry) {
+	ctx, cancel := context.WithTimeout(ctx, roomPollTimeout)
 	defer cancel()
-	asked := z.now()
-	held, digest := z.models(zone)
+	requestedAt := z.now()
+	cached, digest := z.cachedModels(zone)
 	resp, err := peer.ViewAt(from.address, z.transport).Room(ctx, &viewpb.RoomRequest{Held: digest})
-	room := &zoneRoom{summary: fleet.ZoneSummary{Zone: zone, CreatedAt: asked}, from: from}
+	offer := &zoneOffer{summary: fleet.ZoneSummary{Zone: zone, CreatedAt: requestedAt}, from: from}
 	if err != nil {
-		klog.V(1).Infof("entry: zone %s gives no room: %v", zone, err)
+		klog.V(1).Infof("entry: zone %s offered no capacity: %v", zone, err)
 	} else {
-		room.digest = resp.Digest
-		room.summary = summaryFrom(zone, asked, z.now()-asked, resp)
+		offer.digest = resp.Digest
+		offer.summary = summaryFrom(zone, requestedAt, z.now()-requestedAt, resp)
 		if digest != 0 && resp.Digest == digest {
-			room.summary.Models = held
+			offer.summary.Models = cached
 		}
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.summaries[zone] = room
+	z.summaries[zone] = offer
 }
 
-// models returns the models that a zone last named, with their digest.
-func (z *zoneBook) models(zone string) ([]weightstore.Artifact, uint64) {
+// cachedModels returns the models that a zone last listed, with their digest.
+func (z *remoteZones) cachedModels(zone string) ([]weightstore.Artifact, uint64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	room := z.summaries[zone]
-	if room == nil {
+	offer := z.summaries[zone]
+	if offer == nil {
 		return nil, 0
 	}
-	return room.summary.Models, room.digest
+	return offer.summary.Models, offer.digest
 }
 
-func summaryFrom(zone string, asked, rtt time.Duration, r *viewpb.RoomResponse) fleet.ZoneSummary {
+func summaryFrom(zone string, requestedAt, rtt time.Duration, r *viewpb.RoomResponse) fleet.ZoneSummary {
 	sum := fleet.ZoneSummary{
-		Zone: zone, CreatedAt: asked, Reachable: true, RTT: rtt,
+		Zone: zone, CreatedAt: requestedAt, Reachable: true, RTT: rtt,
 		PromptBudget: int(r.Tokens),
 		TTFT:         time.Duration(r.TtftUs) * time.Microsecond,
 		PerToken:     time.Duration(r.PerTokenUs) * time.Microsecond,
--- a/entry/zones_test.go
+++ b/entry/zones_test.go
@@ -17,22 +17,23 @@
 	"github.com/springweir/springweir/peer/viewpb"
 )
 
-// neighbour is an entry of another zone, of which only the room is asked.
-type neighbour struct {
+// remoteEntryStub is a stub of an entry of another zone, which serves only Room.
+type remoteEntryStub struct {
 	viewpb.View
-	silent atomic.Bool
+	unavailable atomic.Bool
 }
 
 // Room implements viewpb.View.
-func (n *neighbour) Room(context.Context, *viewpb.RoomRequest) (*viewpb.RoomResponse, error) {
-	if n.silent.Load() {
+func (n *remoteEntryStub) Room(context.Context, *viewpb.RoomRequest) (*viewpb.RoomResponse, error) {
+	if n.unavailable.Load() {
 		return nil, twirp.NewError(twirp.Unavailable, "silent")
 	}
 	return &viewpb.RoomResponse{Tokens: 1000, Models: []*viewpb.LoadedArtifact{{Model: "chat", Version: "1"}}}, nil
 }
 
-// spills tells how many of so many requests at the same moment go to zone b.
-func (s *site) spills(requests, promptTokens int) int {
+// countSpills returns how many of the given number of simultaneous requests are routed to
+// zone b.
+func (s *testZone) countSpills(requests, promptTokens int) int {
 	s.tb.Helper()
 	d := s.entry.upstreams.byName[poolUpstream("language")].dispatch
 	n := 0
@@ -50,17 +51,17 @@
 	return n
 }
 
-// TestSpillsOnlyIntoRoom shows that what an entry sends to another zone stays
-// within the room that the zone offered, and that a zone that does not answer
-// gets nothing. The own zone has no engine.
-func TestSpillsOnlyIntoRoom(t *testing.T) {
+// TestSpillsWithinOfferedBudget checks that an entry sends no more requests to another zone
+// than the budget that the zone offered, and none to a zone that does not respond. The
+// local zone has no engine.
+func TestSpillsWithinOfferedBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := inMemory()
+		o := inMemoryOptions()
 		o.engines = 0
 		o.members = []membership.VM{{Name: "vm9", Kind: membership.Entry, Zone: "b", Address: o.listenAt(9, 7100)}}
-		s := newSite(t, o)
+		s := newTestZone(t, o)
 		defer s.shutDown()
-		other := &neighbour{}
+		other := &remoteEntryStub{}
 		handler := viewpb.NewViewServer(other)
 		mux := http.NewServeMux()
 		mux.Handle(handler.PathPrefix(), handler)
@@ -69,19 +70,19 @@
 			change func()
 			want   int
 		}{
-			{"no entry of zone b answers", func() {}, 0},
-			{"it has room for two", func() { s.listenFor(mux, o.listenAt(9, 7100)) }, 2},
-			{"it offers anew", func() {}, 2},
-			{"it is silent", func() { other.silent.Store(true) }, 0},
-			{"it is back", func() { other.silent.Store(false) }, 2},
-			{"it leaves the list", func() { s.list.Remove("vm9") }, 0},
+			{"no entry of zone b responds", func() {}, 0},
+			{"it has capacity for two", func() { s.listenFor(mux, o.listenAt(9, 7100)) }, 2},
+			{"it offers more", func() {}, 2},
+			{"it is unavailable", func() { other.unavailable.Store(true) }, 0},
+			{"it is available again", func() { other.unavailable.Store(false) }, 2},
+			{"it is removed from the list", func() { s.list.Remove("vm9") }, 0},
 		}
 		for _, step := range steps {
 			step.change()
-			// Off the second at which zones are asked, so that no new offer
-			// comes between two of the requests.
-			time.Sleep(5*time.Second + roomInterval/7)
-			if got := s.spills(5, 400); got != step.want {
+			// Offset from the polls of the zones, so that no new offer arrives between two
+			// of the requests.
+			time.Sleep(5*time.Second + roomPollInterval/7)
+			if got := s.countSpills(5, 400); got != step.want {
 				t.Errorf("%s: %d of 5 requests went to zone b, want %d", step.name, got, step.want)
 			}
 		}
