--- a/peer/client.go
+++ b/peer/client.go
@@ -1,8 +1,8 @@
-// Package peer is the system's view of its own entries: the calls between the
-// entries of a zone, and from the zone's acting controller to them.
+// Package peer implements the protocol between the system's own processes: the calls
+// between the entries of a zone, and from the zone's acting controller to its entries.
 //
-// Client makes the calls, Server answers them, and Exchanger keeps an entry in
-// contact with its zone.
+// Client makes the calls, Server serves them, and Exchanger keeps an entry in contact with
+// its zone.
 package peer
 
 import (
@@ -21,51 +21,51 @@
 
 // Bounds of a call.
 const (
-	// callTimeout bounds a call; one that carries over longBody bytes of
-	// configuration gets configTimeout.
+	// callTimeout bounds a call. Calls that transfer more than largeConfigBytes of
+	// configuration get configTimeout.
 	callTimeout = time.Second
-	// askTimeout bounds a call that only asks, and is made again soon: two that
-	// hang must not use up contact.Lapse.
-	askTimeout    = 500 * time.Millisecond
-	configTimeout = 5 * time.Second
-	longBody      = 64 << 10
-	dialTimeout   = 500 * time.Millisecond
-	idleTimeout   = 90 * time.Second
-	// maxConns bounds the connections to one peer.
+	// queryTimeout bounds a call that is repeated soon: two calls that hang must not use up
+	// contact.Lapse.
+	queryTimeout     = 500 * time.Millisecond
+	configTimeout    = 5 * time.Second
+	largeConfigBytes = 64 << 10
+	dialTimeout      = 500 * time.Millisecond
+	idleTimeout      = 90 * time.Second
+	// maxConns bounds the number of connections to one peer.
 	maxConns = 4
-	// maxMessage bounds a request in bytes.
+	// maxMessage bounds the size of a request, in bytes.
 	maxMessage = rollout.MaxText + 1<<20
 )
 
-// Client calls entries. It is safe for concurrent use, never repeats a call by
-// itself, and bounds its time. Errors are *CallError.
+// Client calls entries. It is safe for concurrent use, never retries a call, and bounds the
+// duration of each. Errors are *CallError.
 type Client struct {
-	member *contact.Member
-	book   *share.ReportStore
-	ack    func() *entrypb.Ack
-	http   entrypb.HTTPClient
+	member  *contact.Member
+	reports *share.ReportStore
+	ack     func() *entrypb.Ack
+	http    entrypb.HTTPClient
 
-	// mu guards stubs. It is a leaf.
+	// mu guards stubs. It is a leaf lock.
 	mu    sync.Mutex
 	stubs map[string]entrypb.Entry
 }
 
-// maxStubs bounds the stubs kept; past it they are made anew.
+// maxStubs bounds the number of cached stubs. When it is reached the cache is cleared.
 const maxStubs = 1000
 
-// NewClient returns a client for an entry, whose exchanges tell what it holds.
+// NewClient returns the client of an entry. Its exchanges report the entry's state.
 func NewClient(server *Server, transport http.RoundTripper) *Client {
 	c := NewControllerClient(transport)
-	c.member, c.book, c.ack = server.member, server.book, server.ack
+	c.member, c.reports, c.ack = server.member, server.reports, server.ack
 	return c
 }
 
-// NewControllerClient returns a client for a process that does not exchange.
+// NewControllerClient returns a client for a process that does not exchange reports.
 func NewControllerClient(transport http.RoundTripper) *Client {
 	return &Client{http: newOnceClient(transport), stubs: map[string]entrypb.Entry{}}
 }
 
-// NewTransport returns the transport for calls between the system's processes.
+// NewTransport returns a transport for calls between the system's processes.
 func NewTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: idleTimeout}
 	return &http.Transport{
@@ -73,18 +73,18 @@
 		MaxConnsPerHost:     maxConns,
 		MaxIdleConnsPerHost: maxConns,
 		IdleConnTimeout:     idleTimeout,
-		DisableCompression:  true, // bodies that gain from it are compressed already
+		DisableCompression:  true, // large bodies are already compressed
 	}
 }
 
-// onceClient sends each request at most once: without GetBody the standard
-// transport cannot repeat one whose connection died.
+// onceClient sends each request at most once: without GetBody the standard transport cannot
+// retry a request whose connection failed.
 type onceClient struct{ http.Client }
 
 func newOnceClient(transport http.RoundTripper) *onceClient {
 	return &onceClient{http.Client{
 		Transport: transport,
-		// A redirect would send the call a second time.
+		// A followed redirect would send the call twice.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -92,8 +92,8 @@
 // Do implements the HTTPClient of the generated code.
 func (c *onceClient) Do(req *http.Request) (*http.Response, error) {
 	req.GetBody = nil
-	// Headers that the other side does not need; they would be a fifth of an
-	// exchange.
+	// The receiver does not use these headers, which would be a fifth of an exchange's
+	// bytes.
 	req.Header.Set("User-Agent", "")
 	req.Header.Del("Accept")
 	req.Header.Del("Twirp-Version")
@@ -114,7 +114,7 @@
 	return s
 }
 
-// call makes one bounded call and types its error.
+// call makes one call with a timeout and wraps its error.
 func call[Req, Resp any](ctx context.Context, vm contact.VM, timeout time.Duration, method func(context.Context, Req) (Resp, error), req Req) (Resp, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -129,7 +129,7 @@
 
 // Probe implements contact.Peers and rollout.Pusher.
 func (c *Client) Probe(ctx context.Context, vm contact.VM) (contact.Ack, error) {
-	a, err := call(ctx, vm, askTimeout, c.stub(vm.Address).ConfigVersion, &entrypb.ConfigVersionRequest{})
+	a, err := call(ctx, vm, queryTimeout, c.stub(vm.Address).ConfigVersion, &entrypb.ConfigVersionRequest{})
 	return ackFrom(a), err
 }
 
@@ -139,11 +139,11 @@
 	return ackFrom(a), err
 }
 
-// ApplyConfig implements rollout.Pusher. A VM that takes longer puts the document
-// in force all the same, and says so when it is asked again.
+// ApplyConfig implements rollout.Pusher. A VM that takes longer than the timeout still
+// applies the document, and reports this when it is probed.
 func (c *Client) ApplyConfig(ctx context.Context, vm contact.VM, u rollout.Update) (contact.Ack, error) {
-	timeout := askTimeout
-	if len(u.Body) > longBody {
+	timeout := queryTimeout
+	if len(u.Body) > largeConfigBytes {
 		timeout = configTimeout
 	}
 	a, err := call(ctx, vm, timeout, c.stub(vm.Address).ApplyConfig, updateTo(u))
@@ -159,13 +159,13 @@
 	return updateFrom(u), nil
 }
 
-// Exchange implements rollout.Peers. It also takes in the load reports that
-// the peer holds and this entry lacks.
+// Exchange implements rollout.Peers. It also merges the load reports that the peer has and
+// this entry lacks.
 func (c *Client) Exchange(ctx context.Context, vm contact.VM) (rollout.Exchanged, error) {
-	mine := c.member.Roster()
-	req := &entrypb.ExchangeRequest{From: c.member.Name(), Holds: c.ack(), Seen: c.book.VersionVector(mine)}
-	req.Holds.Roster = mine.Revision // Seen goes by it
-	resp, err := call(ctx, vm, askTimeout, c.stub(vm.Address).Exchange, req)
+	localRoster := c.member.Roster()
+	req := &entrypb.ExchangeRequest{From: c.member.Name(), Holds: c.ack(), Seen: c.reports.VersionVector(localRoster)}
+	req.Holds.Roster = localRoster.Revision // the roster by which Seen is indexed
+	resp, err := call(ctx, vm, queryTimeout, c.stub(vm.Address).Exchange, req)
 	if err != nil {
 		return rollout.Exchanged{}, err
 	}
@@ -173,12 +173,12 @@
 	if err != nil {
 		return rollout.Exchanged{}, err
 	}
-	labels := mine
-	if roster.Revision > mine.Revision {
-		labels = roster
+	indexRoster := localRoster
+	if roster.Revision > localRoster.Revision {
+		indexRoster = roster
 	}
-	if labels.Revision == resp.Holds.GetRoster() {
-		c.book.Merge(labels, resp.Batches)
+	if indexRoster.Revision == resp.Holds.GetRoster() {
+		c.reports.Merge(indexRoster, resp.Batches)
 	}
 	return rollout.Exchanged{
 		Holds: ackFrom(resp.Holds), Vouched: resp.Vouched, Serving: resp.Serving, Roster: roster,
@@ -189,17 +189,17 @@
 func (c *Client) Withhold(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (withhold.EntryState, error) {
 	req := &entrypb.WithholdRequest{Endpoint: endpoint, Epoch: epoch}
 	resp, err := call(ctx, vm, callTimeout, c.stub(vm.Address).Withhold, req)
-	return answerFrom(resp), err
+	return entryStateFrom(resp), err
 }
 
 // Restore implements withhold.Peers.
 func (c *Client) Restore(ctx context.Context, vm contact.VM, endpoint string, epoch uint64) (withhold.EntryState, error) {
 	req := &entrypb.WithholdRequest{Endpoint: endpoint, Epoch: epoch}
 	resp, err := call(ctx, vm, callTimeout, c.stub(vm.Address).Restore, req)
-	return answerFrom(resp), err
+	return entryStateFrom(resp), err
 }
 
-// NoteLeaving tells the VM that an endpoint said it is leaving.
+// NoteLeaving informs the VM that an endpoint reported that it is leaving.
 func (c *Client) NoteLeaving(ctx context.Context, vm contact.VM, endpoint, incarnation string) error {
 	req := &entrypb.LeavingNotice{Endpoint: endpoint, Incarnation: incarnation}
 	_, err := call(ctx, vm, callTimeout, c.stub(vm.Address).NoteLeaving, req)
--- a/peer/controllerpb/controller.twirp.go
+++ b/peer/controllerpb/controller.twirp.go
@@ -31,10 +31,11 @@
 // Controller Interface
 // ====================
 
-// Controller is what one controller process offers the others.
+// Controller is the service that one controller process provides to the
+// others.
 type Controller interface {
-	// ConfirmDropped asks a process to drop, for good, its authority up to a
-	// fencing number, and whether anything that it sent may still arrive.
+	// ConfirmDropped makes a process permanently drop its authority up to a
+	// fencing token, and reports whether anything that it sent may still arrive.
 	ConfirmDropped(context.Context, *ConfirmDroppedRequest) (*ConfirmDroppedResponse, error)
 }
 
--- a/peer/controllerpb/doc.go
+++ b/peer/controllerpb/doc.go
@@ -1,4 +1,5 @@
-// Package controllerpb holds the generated protocol between controllers.
+// Package controllerpb holds the generated messages and twirp code of the protocol between
+// controllers.
 package controllerpb
 
 //go:generate sh -c "protoc --plugin=protoc-gen-go=$(go tool -n protoc-gen-go) --plugin=protoc-gen-twirp=$(go tool -n protoc-gen-twirp) --go_out=. --go_opt=paths=source_relative --twirp_out=. --twirp_opt=paths=source_relative controller.proto"
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// updateFrom leaves it to the digest to find a malformed message out.
+// updateFrom does not validate: a malformed message fails the check of its digest.
 func updateFrom(m *entrypb.ConfigUpdate) rollout.Update {
 	u := rollout.Update{
 		Version: rollout.Version(m.Version), Base: rollout.Version(m.Base),
@@ -28,7 +28,7 @@
 	return u
 }
 
-func answerFrom(m *entrypb.WithholdResponse) withhold.EntryState {
+func entryStateFrom(m *entrypb.WithholdResponse) withhold.EntryState {
 	return withhold.EntryState{
 		Instance: m.GetInstance(),
 		State:    withhold.State{Epoch: m.GetEpoch(), Withheld: m.GetWithheld(), Streams: int(m.GetStreams())},
--- a/peer/entrypb/generate.go
+++ b/peer/entrypb/generate.go
@@ -1,5 +1,5 @@
-// Package entrypb holds the generated messages and twirp code of the protocol
-// that entry VMs answer.
+// Package entrypb holds the generated messages and twirp code of the protocol that entry
+// VMs serve.
 package entrypb
 
 //go:generate go build -o ../../bin/ google.golang.org/protobuf/cmd/protoc-gen-go github.com/twitchtv/twirp/protoc-gen-twirp
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -6,10 +6,10 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// CallError is a call to an entry that failed. Whether the entry handled it is
-// not known; every call of the protocol is idempotent.
+// CallError is a failed call to an entry. It is unknown whether the entry handled the call;
+// all calls of the protocol are idempotent.
 type CallError struct {
-	// VM is the entry's VM, if its name is known, and Address where it was called.
+	// VM is the name of the called VM, if known, and Address the address that was called.
 	VM, Address string
 	Cause       error
 }
--- a/peer/exchange_bench_test.go
+++ b/peer/exchange_bench_test.go
@@ -60,8 +60,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkExchange runs rounds of pulls in a zone, over real connections, with
-// every engine's report new in each round. An op is one round of all entries.
+// BenchmarkExchange measures rounds of pulls in a zone, over real connections, with a new
+// report of every engine in each round. One operation is a round of all entries.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []struct{ vms, engines int }{{3, 4}, {63, 400}} {
 		b.Run(fmt.Sprintf("vms=%d,engines=%d", size.vms, size.engines), func(b *testing.B) {
@@ -72,31 +72,31 @@
 
 func benchmarkExchange(b *testing.B, vms, engines int) {
 	var bytes atomic.Int64
-	roster, parts := newZone(vms, func(_ string, h http.Handler) string { return listen(b, h, &bytes) },
+	roster, entries := newZone(vms, func(_ string, h http.Handler) string { return listen(b, h, &bytes) },
 		func(string) http.RoundTripper { return NewTransport() })
 	polled := map[string][]share.Report{}
 	for i := range engines {
 		name := fmt.Sprintf("engine-%03d", i)
 		for _, vm := range roster.Names() {
 			if share.ShouldPoll(roster, vm, name, 0) {
-				polled[vm] = append(polled[vm], busy(name))
+				polled[vm] = append(polled[vm], busyReport(name))
 			}
 		}
 	}
 	round := func() {
-		for _, p := range parts {
-			p.book.Publish(polled[p.member.Name()])
+		for _, e := range entries {
+			e.reports.Publish(polled[e.member.Name()])
 		}
 		for turn := range share.PullsPerRound(vms) {
-			for _, p := range parts {
-				vm, _ := share.Partner(roster, p.member.Name(), turn)
-				if _, err := p.client.Exchange(b.Context(), vm); err != nil {
+			for _, e := range entries {
+				vm, _ := share.Partner(roster, e.member.Name(), turn)
+				if _, err := e.client.Exchange(b.Context(), vm); err != nil {
 					b.Fatal(err)
 				}
 			}
 		}
 	}
-	round() // opens the connections
+	round() // open the connections
 	bytes.Store(0)
 	cpu := cpuTime()
 	b.ResetTimer()
@@ -112,13 +112,13 @@
 	b.ReportMetric(2*float64(bytes.Load())/rounds/period.Seconds(), "bytes/s/node")
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/pulls, "cpu-us/pull")
 	b.ReportMetric(100*(cpuTime()-cpu).Seconds()/rounds/period.Seconds(), "%core/node")
-	if got := len(parts[0].book.Reports()); got != engines {
+	if got := len(entries[0].reports.Reports()); got != engines {
 		b.Fatalf("%d reports after the rounds, want %d", got, engines)
 	}
 }
 
-// busy is the report of a busy engine.
-func busy(name string) share.Report {
+// busyReport returns the report of a busy engine.
+func busyReport(name string) share.Report {
 	return share.Report{
 		Endpoint: share.Hash(name), Identity: share.Hash(name + "'s start"), Role: engine.Mixed,
 		Load: engine.Load{
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -14,8 +14,7 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// Exchanger keeps an entry in contact with its zone: it pulls from one peer
-// after another.
+// Exchanger keeps an entry in contact with its zone: it pulls from the peers in turn.
 type Exchanger struct {
 	member *contact.Member
 	syncer *rollout.Syncer
@@ -23,25 +22,25 @@
 	seeds  []string
 }
 
-// NewExchanger returns the exchanger of an entry. seeds are addresses of peers
-// to ask while no roster is held.
+// NewExchanger returns the exchanger of an entry. seeds are the addresses of peers to
+// contact while the entry has no roster.
 func NewExchanger(m *contact.Member, s *rollout.Syncer, c *Client, seeds []string) *Exchanger {
 	return &Exchanger{member: m, syncer: s, client: c, seeds: seeds}
 }
 
-// failurePause is the pause after a peer that gave no contact. It doubles with
-// each further one, up to the time between two pulls.
-const failurePause = 100 * time.Millisecond
+// minFailurePause is the pause after a failed exchange. It doubles with each consecutive
+// failure, up to the pull interval.
+const minFailurePause = 100 * time.Millisecond
 
-// Run exchanges until ctx ends. After a failure it turns to the next peer
-// sooner, so that one or two dead peers do not cost the permission to serve.
+// Run exchanges until ctx ends. After a failure it contacts the next peer sooner, so that
+// one or two dead peers do not make the entry lose its permission to serve.
 func (x *Exchanger) Run(ctx context.Context) {
-	retry := failurePause
+	retry := minFailurePause
 	for turn := 0; ctx.Err() == nil; turn++ {
 		pause := share.PullInterval(len(x.member.Roster().VMs))
 		retry = min(2*retry, pause)
 		if x.pull(ctx, turn) {
-			retry = failurePause / 2
+			retry = minFailurePause / 2
 		} else {
 			pause = retry
 		}
@@ -50,7 +49,7 @@
 	}
 }
 
-// pull asks the peer whose turn it is and tells whether that gave contact.
+// pull exchanges with the next peer in turn and reports whether that succeeded.
 func (x *Exchanger) pull(ctx context.Context, turn int) bool {
 	vm, ok := x.partner(turn)
 	if !ok {
@@ -58,13 +57,13 @@
 	}
 	err := x.syncer.SyncPeer(ctx, vm)
 	if err != nil {
-		klog.V(1).Infof("peer: no contact with %s: %v", vm.Address, err)
+		klog.V(1).Infof("peer: exchange with %s failed: %v", vm.Address, err)
 	}
 	return err == nil
 }
 
-// partner picks the next peer: by the roster, or among the seeds for a VM that
-// is on none.
+// partner returns the next peer: from the roster, or from the seeds if the VM is on no
+// roster.
 func (x *Exchanger) partner(turn int) (contact.VM, bool) {
 	vm, ok := share.Partner(x.member.Roster(), x.member.Name(), turn)
 	if ok || len(x.seeds) == 0 {
@@ -73,9 +72,9 @@
 	return contact.VM{Address: x.seeds[turn%len(x.seeds)]}, true
 }
 
-// AnnounceLeaving tells all entries of the zone that an endpoint said it is leaving.
-// The entry that polls the endpoint calls it once, when leaving.Set.Note says
-// that it is news. One that misses it learns it from the shared reports.
+// AnnounceLeaving informs all entries of the zone that an endpoint reported that it is
+// leaving. The entry that polls the endpoint calls it once, when leaving.Set.Record reports
+// a change. An entry that misses the announcement gets the state from the shared reports.
 func (x *Exchanger) AnnounceLeaving(ctx context.Context, endpoint, incarnation string) {
 	ctx, cancel := context.WithTimeout(ctx, leaving.MaxStopDelay)
 	defer cancel()
--- a/peer/fakenet/fakenet.go
+++ b/peer/fakenet/fakenet.go
@@ -1,6 +1,6 @@
-// Package fakenet is an in-memory network between processes under the control
-// of a test. It carries HTTP requests straight to handlers, and can cut pairs
-// of hosts, lose answers and take time. It works in a synctest bubble.
+// Package fakenet provides an in-memory network between processes, controlled by a test. It
+// passes HTTP requests directly to handlers, and can partition pairs of hosts, lose
+// responses and add latency. It works in a synctest bubble.
 package fakenet
 
 import (
@@ -16,25 +16,25 @@
 
 // Net connects hosts. It is safe for concurrent use.
 type Net struct {
-	// mu guards all below. It is a leaf: handlers run without it.
-	mu       sync.Mutex
-	handlers map[string]http.Handler
-	cut      map[[2]string]bool
-	silent   map[[2]string]bool
-	delay    time.Duration
-	calls    int
-	bytes    map[string]int
+	// mu guards all fields below. It is a leaf lock: handlers run without it.
+	mu            sync.Mutex
+	handlers      map[string]http.Handler
+	partitioned   map[[2]string]bool
+	lostResponses map[[2]string]bool
+	delay         time.Duration
+	calls         int
+	bytes         map[string]int
 }
 
 // New returns a network without hosts.
 func New() *Net {
 	return &Net{
-		handlers: map[string]http.Handler{}, cut: map[[2]string]bool{},
-		silent: map[[2]string]bool{}, bytes: map[string]int{},
+		handlers: map[string]http.Handler{}, partitioned: map[[2]string]bool{},
+		lostResponses: map[[2]string]bool{}, bytes: map[string]int{},
 	}
 }
 
-// UnreachableError is a call that did not get through or whose answer was lost.
+// UnreachableError is a call whose request or response was lost.
 type UnreachableError struct{ From, To string }
 
 // Error implements error.
@@ -43,52 +43,52 @@
 // Reason implements failure.Coded.
 func (e *UnreachableError) Reason() failure.Reason { return failure.PeerUnreachable }
 
-// Listen serves the host's requests by h; nil takes the host down, so that
-// calls to it are refused at once.
+// Listen serves the host's requests with h; nil takes the host down, so that calls to it
+// fail immediately.
 func (n *Net) Listen(host string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[host] = h
 }
 
-// SetDelay sets how long a call takes each way.
+// SetDelay sets the latency of each direction of a call.
 func (n *Net) SetDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = d
 }
 
-// Partition drops all messages between a and b in both directions, or ends that.
-func (n *Net) Partition(a, b string, cut bool) {
+// Partition drops all messages between a and b in both directions, or stops doing so.
+func (n *Net) Partition(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}] = cut
-	n.cut[[2]string{b, a}] = cut
+	n.partitioned[[2]string{a, b}] = partitioned
+	n.partitioned[[2]string{b, a}] = partitioned
 }
 
-// LoseResponses lets calls from one host to another take effect and loses their
-// answers, or ends that.
+// LoseResponses lets calls from one host to another take effect but loses their responses,
+// or stops doing so.
 func (n *Net) LoseResponses(from, to string, lose bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent[[2]string{from, to}] = lose
+	n.lostResponses[[2]string{from, to}] = lose
 }
 
-// Calls returns the number of calls that were answered.
+// Calls returns the number of calls whose response was delivered.
 func (n *Net) Calls() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls
 }
 
-// Bytes returns the bytes of bodies that the host has sent and received.
+// Bytes returns the number of body bytes that the host has sent and received.
 func (n *Net) Bytes(host string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes[host]
 }
 
-// Transport returns the host's way into the network.
+// Transport returns the host's transport into the network.
 func (n *Net) Transport(host string) http.RoundTripper { return &transport{net: n, from: host} }
 
 type transport struct {
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h, lost, err := t.net.path(req, t.from, to)
+	h, lost, err := t.net.route(req, t.from, to)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	inner.RequestURI = req.URL.RequestURI()
 	rec := &recorder{header: http.Header{}, code: http.StatusOK}
 	h.ServeHTTP(rec, inner)
-	if lost || !t.net.open(req, t.from, to) {
+	if lost || !t.net.deliver(req, t.from, to) {
 		<-req.Context().Done()
 		return nil, &UnreachableError{From: t.from, To: to}
 	}
@@ -123,10 +123,10 @@
 	}, nil
 }
 
-// path waits for the message to arrive and returns who gets it. A message that
-// is cut waits until its sender gives up.
-func (n *Net) path(req *http.Request, from, to string) (http.Handler, bool, error) {
-	if !n.open(req, from, to) {
+// route waits for the request to arrive and returns the handler, and whether the response
+// will be lost. A request that is dropped blocks until its context ends.
+func (n *Net) route(req *http.Request, from, to string) (http.Handler, bool, error) {
+	if !n.deliver(req, from, to) {
 		<-req.Context().Done()
 		return nil, false, &UnreachableError{From: from, To: to}
 	}
@@ -136,11 +136,12 @@
 	if h == nil {
 		return nil, false, &UnreachableError{From: from, To: to}
 	}
-	return h, n.silent[[2]string{from, to}], nil
+	return h, n.lostResponses[[2]string{from, to}], nil
 }
 
-// open lets one way's delay pass and tells whether the message got through.
-func (n *Net) open(req *http.Request, from, to string) bool {
+// deliver waits for the delay of one direction and reports whether the message was
+// delivered.
+func (n *Net) deliver(req *http.Request, from, to string) bool {
 	n.mu.Lock()
 	delay := n.delay
 	n.mu.Unlock()
@@ -151,7 +152,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cut[[2]string{from, to}]
+	return !n.partitioned[[2]string{from, to}]
 }
 
 func (n *Net) count(from, to string, size int) {
@@ -162,7 +163,7 @@
 	n.bytes[to] += size
 }
 
-// recorder keeps an answer.
+// recorder records a response.
 type recorder struct {
 	header http.Header
 	code   int
--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -1,6 +1,6 @@
-// Package fakepeer has fakes of a zone's entries for those who ask them: the
-// keeper of a roster, the controller that withholds endpoints, and an entry
-// that syncs with a peer.
+// Package fakepeer provides fakes of a zone's entries for tests of the processes that call
+// them: the roster's maintainer, the controller that withholds endpoints, and an entry that
+// syncs with a peer.
 package fakepeer
 
 import (
@@ -23,41 +23,40 @@
 	_ contact.Authority  = Lease{}
 )
 
-// UnresponsiveError is a VM that does not answer.
+// UnresponsiveError is a VM or endpoint that does not respond.
 type UnresponsiveError struct{ Name string }
 
 // Error implements error.
-func (e *UnresponsiveError) Error() string { return e.Name + " does not answer" }
+func (e *UnresponsiveError) Error() string { return e.Name + " does not respond" }
 
 // Reason implements failure.Coded.
 func (e *UnresponsiveError) Reason() failure.Reason { return failure.PeerUnreachable }
 
-// Lease is a lease that is held, or lost for the reason Err.
+// Lease is a fake lease: it is held if Err is nil, otherwise lost because of Err.
 type Lease struct{ Err error }
 
 // Checks implements contact.Authority.
 func (h Lease) Checks() ([]table.Check, error) { return nil, h.Err }
 
-// Zone answers for the VMs of a zone. Set its fields before use, or through
-// Update.
+// Zone responds for the VMs of a zone. Set its fields before use, or through Update.
 type Zone struct {
-	// Delay is how long each call takes.
+	// Delay is the duration of each call.
 	Delay time.Duration
-	// RosterRevisions is the roster revision that each VM holds, Instances its process.
+	// RosterRevisions holds the roster revision of each VM, Instances its process instance.
 	RosterRevisions, Instances map[string]uint64
-	// Unresponsive VMs do not answer; IgnoresRosters ones answer but take no roster.
+	// Unresponsive VMs do not respond; IgnoresRosters VMs respond but do not apply rosters.
 	Unresponsive, IgnoresRosters map[string]bool
-	// Gates are the VMs' gates.
+	// Gates holds the VMs' gates.
 	Gates map[string]*withhold.Gate
-	// OpenStreams is how many streams each endpoint says it has. EndpointsUnresponsive makes
-	// endpoints not answer.
+	// OpenStreams is the number of streams that each endpoint reports.
+	// EndpointsUnresponsive makes endpoints not respond.
 	OpenStreams           map[string]int
 	EndpointsUnresponsive bool
 
 	mu sync.Mutex
 }
 
-// NewZone returns a zone of VMs that answer.
+// NewZone returns a zone whose VMs respond.
 func NewZone() *Zone {
 	return &Zone{
 		RosterRevisions: map[string]uint64{}, Instances: map[string]uint64{}, OpenStreams: map[string]int{},
@@ -65,22 +64,22 @@
 	}
 }
 
-// Update changes the zone while it is in use.
+// Update modifies the zone while it is in use.
 func (z *Zone) Update(change func()) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	change()
 }
 
-// call runs answer after the delay, unless the VM is silent.
-func (z *Zone) call(name string, answer func()) error {
+// call runs respond after the delay, unless the VM is unresponsive.
+func (z *Zone) call(name string, respond func()) error {
 	time.Sleep(z.Delay)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.Unresponsive[name] {
 		return &UnresponsiveError{Name: name}
 	}
-	answer()
+	respond()
 	return nil
 }
 
@@ -127,12 +126,12 @@
 	return z.OpenStreams[endpoint], nil
 }
 
-// StaticPeer is a peer that always answers the same.
+// StaticPeer is a peer that always sends the same response.
 type StaticPeer struct {
 	Response rollout.Exchanged
-	// Delay is how long an exchange takes.
+	// Delay is the duration of an exchange.
 	Delay time.Duration
-	// Update is what it has in force; nil makes fetching fail.
+	// Update is the peer's active configuration; nil makes FetchConfig fail.
 	Update *rollout.Update
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -18,74 +18,74 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// part is one entry in good standing.
-type part struct {
-	member *contact.Member
-	gate   *withhold.Gate
-	set    *leaving.Set
-	book   *share.ReportStore
-	client *Client
+// testEntry holds the components of one entry that may serve.
+type testEntry struct {
+	member  *contact.Member
+	gate    *withhold.Gate
+	set     *leaving.Set
+	reports *share.ReportStore
+	client  *Client
 }
 
-// newZone makes a zone of entries that are served by listen, which returns the
-// address, and call each other by dial.
-func newZone(vms int, listen func(name string, h http.Handler) string, dial func(name string) http.RoundTripper) (contact.Roster, []*part) {
+// newZone creates a zone of entries. listen serves an entry's handler and returns its
+// address; dial returns the transport for an entry's calls.
+func newZone(vms int, listen func(name string, h http.Handler) string, dial func(name string) http.RoundTripper) (contact.Roster, []*testEntry) {
 	roster := contact.Roster{}
-	parts := make([]*part, vms)
-	for i := range parts {
+	entries := make([]*testEntry, vms)
+	for i := range entries {
 		name := fmt.Sprintf("vm-%03d", i)
-		p := &part{set: leaving.NewSet(), book: share.NewReportStore(name)}
-		p.gate = withhold.NewGate(p.set)
-		p.member = contact.NewMember("z", name, p.gate.ApplyRoster)
-		p.gate.SetPermit(p.member)
+		e := &testEntry{set: leaving.NewSet(), reports: share.NewReportStore(name)}
+		e.gate = withhold.NewGate(e.set)
+		e.member = contact.NewMember("z", name, e.gate.ApplyRoster)
+		e.gate.SetPermit(e.member)
 		s := NewServer(ServerConfig{
-			Instance: uint64(i + 1), Member: p.member, Gate: p.gate, Reports: p.book, Leaving: p.set,
+			Instance: uint64(i + 1), Member: e.member, Gate: e.gate, Reports: e.reports, Leaving: e.set,
 			Applier: rollout.NewApplier(func(rollout.Document) error { return nil }),
 		})
 		_, h := s.Handler()
-		p.client = NewClient(s, dial(name))
+		e.client = NewClient(s, dial(name))
 		roster = roster.Join("z", name, listen(name, h))
-		parts[i] = p
+		entries[i] = e
 	}
-	for _, p := range parts {
-		p.member.Joined(roster, time.Now())
+	for _, e := range entries {
+		e.member.Joined(roster, time.Now())
 	}
-	return roster, parts
+	return roster, entries
 }
 
-// onNet makes a zone on an in-memory network.
-func onNet(n *fakenet.Net, vms int) (contact.Roster, []*part) {
+// newFakeNetZone creates a zone on an in-memory network.
+func newFakeNetZone(n *fakenet.Net, vms int) (contact.Roster, []*testEntry) {
 	listen := func(name string, h http.Handler) string { n.Listen(name, h); return name }
 	return newZone(vms, listen, n.Transport)
 }
 
-// An endpoint that says it is leaving gets no new work from any entry of the
-// zone within the bound, whenever that falls between two polls. No platform is
-// there at all.
+// An endpoint that reports that it is leaving gets no new work from any entry of the zone
+// after leaving.MaxStopDelay, at whatever time between two polls it reports. There is no
+// platform at all.
 func TestLeavingEndpointStopsWithinBound(t *testing.T) {
 	for at := time.Duration(0); at <= leaving.EndpointPollInterval; at += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			n := fakenet.New()
 			n.SetDelay(50 * time.Millisecond)
-			_, parts := onNet(n, 5)
-			x := NewExchanger(parts[0].member, nil, parts[0].client, nil)
-			var said atomic.Bool
+			_, entries := newFakeNetZone(n, 5)
+			exchanger := NewExchanger(entries[0].member, nil, entries[0].client, nil)
+			var announced atomic.Bool
 			go func() { // the entry that polls the endpoint
 				for range 10 {
 					time.Sleep(leaving.EndpointPollInterval)
-					if parts[0].set.Record("e", "1", said.Load()) {
-						x.AnnounceLeaving(t.Context(), "e", "1")
+					if entries[0].set.Record("e", "1", announced.Load()) {
+						exchanger.AnnounceLeaving(t.Context(), "e", "1")
 					}
 				}
 			}()
 			time.Sleep(at)
-			said.Store(true)
+			announced.Store(true)
 			time.Sleep(leaving.MaxStopDelay)
-			for i, p := range parts {
-				p.member.Renew(time.Now())
+			for i, e := range entries {
+				e.member.Renew(time.Now())
 				var refused *withhold.LeavingError
-				if _, err := p.gate.TryAcquire("e"); !errors.As(err, &refused) {
-					t.Errorf("entry %d, said at %v: %v", i, at, err)
+				if _, err := e.gate.TryAcquire("e"); !errors.As(err, &refused) {
+					t.Errorf("entry %d, announced at %v: %v", i, at, err)
 				}
 			}
 			time.Sleep(time.Minute)
@@ -96,7 +96,7 @@
 func TestCallsOverTheNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakenet.New()
-		roster, parts := onNet(n, 2)
+		roster, entries := newFakeNetZone(n, 2)
 		c, vm := NewControllerClient(n.Transport("control")), roster.VMs[1]
 		if a, err := c.Withhold(t.Context(), vm, "e", 9); err != nil || !a.Withheld || a.Instance != 2 {
 			t.Errorf("Withhold: %+v, %v", a, err)
@@ -111,30 +111,30 @@
 		if a, err := c.ApplyConfig(t.Context(), vm, rollout.NewUpdate(rollout.Document{}, doc)); err != nil || a.Config != 3 {
 			t.Errorf("ApplyConfig: %+v, %v", a, err)
 		}
-		if u, err := parts[0].client.FetchConfig(t.Context(), vm, rollout.None); err != nil || u.Version != 3 {
+		if u, err := entries[0].client.FetchConfig(t.Context(), vm, rollout.None); err != nil || u.Version != 3 {
 			t.Errorf("FetchConfig: %+v, %v", u, err)
 		}
-		// A call that is cut ends in time and says which VM.
+		// A call across a partition ends at its timeout with an error that names the VM.
 		n.Partition("control", vm.Address, true)
-		began := time.Now()
+		start := time.Now()
 		_, err := c.Restore(t.Context(), vm, "e", 11)
 		var failed *CallError
 		if !errors.As(err, &failed) || failed.VM != vm.Name || failure.ReasonOf(err) != failure.PeerUnreachable {
-			t.Errorf("a call that is cut: %v", err)
+			t.Errorf("a call across a partition: %v", err)
 		}
-		if took := time.Since(began); took != callTimeout {
+		if took := time.Since(start); took != callTimeout {
 			t.Errorf("it took %v", took)
 		}
-		began = time.Now()
-		if _, err := c.Probe(t.Context(), vm); err == nil || time.Since(began) != askTimeout {
-			t.Errorf("a probe that is cut: %v after %v", err, time.Since(began))
+		start = time.Now()
+		if _, err := c.Probe(t.Context(), vm); err == nil || time.Since(start) != queryTimeout {
+			t.Errorf("a probe across a partition: %v after %v", err, time.Since(start))
 		}
 	})
 }
 
-// A call on a reused connection that dies, or that is redirected, is handled
-// at most once for each time it is sent.
-func TestNoHiddenRepeats(t *testing.T) {
+// A call whose reused connection fails, or that is redirected, is handled at most once for
+// each time it is sent.
+func TestCallsAreNotRetried(t *testing.T) {
 	var handled atomic.Int32
 	var bytes atomic.Int64
 	address := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,17 +16,17 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// Server answers the calls of peers and of the zone's controller.
+// Server serves the calls of peers and of the zone's controller.
 type Server struct {
 	instance uint64
 	member   *contact.Member
 	applier  *rollout.Applier
 	gate     *withhold.Gate
-	book     *share.ReportStore
+	reports  *share.ReportStore
 	leaving  *leaving.Set
 }
 
-// ServerConfig is what a server answers for.
+// ServerConfig holds the components that a server exposes.
 type ServerConfig struct {
 	// Instance is unique for each start of the process, and not zero.
 	Instance uint64
@@ -41,7 +41,7 @@
 func NewServer(p ServerConfig) *Server {
 	return &Server{
 		instance: p.Instance, member: p.Member, applier: p.Applier,
-		gate: p.Gate, book: p.Reports, leaving: p.Leaving,
+		gate: p.Gate, reports: p.Reports, leaving: p.Leaving,
 	}
 }
 
@@ -51,7 +51,7 @@
 	return h.PathPrefix(), http.MaxBytesHandler(withoutDate(h), maxMessage)
 }
 
-// withoutDate leaves out a header that nobody reads.
+// withoutDate omits the Date header, which no client reads.
 func withoutDate(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
@@ -59,8 +59,8 @@
 	})
 }
 
-// ack tells what this process holds. The roster is read first: it never goes
-// down, so the answer claims no more than is true when it is sent.
+// ack returns this process's state. The roster is read first: its revision never decreases,
+// so the response never claims a newer revision than the process has when it is sent.
 func (s *Server) ack() *entrypb.Ack {
 	return &entrypb.Ack{
 		Instance: s.instance,
@@ -72,20 +72,20 @@
 // Exchange implements entrypb.Entry.
 func (s *Server) Exchange(_ context.Context, req *entrypb.ExchangeRequest) (*entrypb.ExchangeResponse, error) {
 	roster := s.member.Roster()
-	theirs := req.GetHolds().GetRoster()
+	callerRevision := req.GetHolds().GetRoster()
 	resp := &entrypb.ExchangeResponse{
 		Holds:   s.ack(),
 		Vouched: s.member.Vouch(req.GetFrom()),
 		Serving: s.member.Allow() == nil,
 	}
-	// Batches go by the roster that the caller will hold.
+	// Batches are indexed by the roster that the caller has after this response.
 	resp.Holds.Roster = roster.Revision
 	switch {
-	case theirs < roster.Revision:
+	case callerRevision < roster.Revision:
 		resp.Roster = roster.Encode()
-		resp.Batches = s.book.NewerBatches(roster, nil)
-	case theirs == roster.Revision && theirs != 0:
-		resp.Batches = s.book.NewerBatches(roster, req.Seen)
+		resp.Batches = s.reports.NewerBatches(roster, nil)
+	case callerRevision == roster.Revision && callerRevision != 0:
+		resp.Batches = s.reports.NewerBatches(roster, req.Seen)
 	}
 	return resp, nil
 }
@@ -100,8 +100,8 @@
 	return updateTo(s.applier.UpdateFor(rollout.Version(req.Have))), nil
 }
 
-// ApplyConfig implements entrypb.Entry. A document that cannot be put in force
-// is no failure of the call: the answer tells what is in force.
+// ApplyConfig implements entrypb.Entry. A document that cannot be applied does not fail the
+// call: the response contains the active version.
 func (s *Server) ApplyConfig(_ context.Context, req *entrypb.ConfigUpdate) (*entrypb.Ack, error) {
 	if err := s.applier.OfferUpdate(updateFrom(req)); err != nil {
 		klog.Warningf("peer: configuration %d not applied: %v", req.Version, err)
@@ -121,15 +121,15 @@
 
 // Withhold implements entrypb.Entry.
 func (s *Server) Withhold(_ context.Context, req *entrypb.WithholdRequest) (*entrypb.WithholdResponse, error) {
-	return s.answer(s.gate.Withhold(req.Endpoint, req.Epoch)), nil
+	return s.withholdResponse(s.gate.Withhold(req.Endpoint, req.Epoch)), nil
 }
 
 // Restore implements entrypb.Entry.
 func (s *Server) Restore(_ context.Context, req *entrypb.WithholdRequest) (*entrypb.WithholdResponse, error) {
-	return s.answer(s.gate.Restore(req.Endpoint, req.Epoch)), nil
+	return s.withholdResponse(s.gate.Restore(req.Endpoint, req.Epoch)), nil
 }
 
-func (s *Server) answer(st withhold.State) *entrypb.WithholdResponse {
+func (s *Server) withholdResponse(st withhold.State) *entrypb.WithholdResponse {
 	return &entrypb.WithholdResponse{
 		Instance: s.instance, Epoch: st.Epoch, Withheld: st.Withheld, Streams: uint32(st.Streams),
 	}
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -32,7 +32,7 @@
 
 func TestEveryEngineHasOneFirstPoller(t *testing.T) {
 	r := zoneOf(63)
-	most := 0
+	maxLoad := 0
 	load := map[string]int{}
 	for _, e := range engines(400) {
 		first := 0
@@ -40,47 +40,47 @@
 			if ShouldPoll(r, vm, e, 0) {
 				first++
 				load[vm]++
-				most = max(most, load[vm])
+				maxLoad = max(maxLoad, load[vm])
 			}
 		}
 		if first != 1 {
 			t.Errorf("%s has %d first pollers", e, first)
 		}
 	}
-	if most > 20 {
-		t.Errorf("one VM polls %d of 400 engines", most)
+	if maxLoad > 20 {
+		t.Errorf("one VM polls %d of 400 engines", maxLoad)
 	}
 }
 
-// Rosters that differ in a VM differ only in that VM's engines, and a gap is
-// filled by the next in rank.
-func TestStaleRosterAndGap(t *testing.T) {
+// Rosters that differ in one VM assign only that VM's engines differently, and the next VM
+// in rank takes over polling when reports stop arriving.
+func TestPollingWithStaleRosterAndFailedVM(t *testing.T) {
 	old := zoneOf(8)
-	gone := old.Names()[3]
+	removed := old.Names()[3]
 	now := old
-	now.VMs = old.Others(gone)
+	now.VMs = old.Others(removed)
 	for _, e := range engines(100) {
 		for _, vm := range now.Names() {
 			if ShouldPoll(old, vm, e, 0) && !ShouldPoll(now, vm, e, 0) {
-				t.Errorf("%s lost %s though it stayed", vm, e)
+				t.Errorf("%s no longer polls %s although it is still on the roster", vm, e)
 			}
 		}
-		if !ShouldPoll(old, gone, e, 0) {
+		if !ShouldPoll(old, removed, e, 0) {
 			continue
 		}
-		fill := 0
+		fallbacks := 0
 		for _, vm := range now.Names() {
 			if ShouldPoll(old, vm, e, TakeoverAge) {
-				fill++
+				fallbacks++
 			}
 		}
-		if fill != 1 {
-			t.Errorf("%d VMs fill the gap of %s", fill, e)
+		if fallbacks != 1 {
+			t.Errorf("%d VMs take over polling of %s, want 1", fallbacks, e)
 		}
 	}
 }
 
-func TestPartnerSkipsShunned(t *testing.T) {
+func TestPartnerSkipsExcluded(t *testing.T) {
 	r := zoneOf(5)
 	r.VMs[1].ShunnedAt = 1
 	for turn := range 10 {
@@ -101,34 +101,34 @@
 	}
 }
 
-// After as many pulls as PullsPerRound says, everybody has every report, once.
+// After PullsPerRound pulls, every VM has received every report exactly once.
 func TestReportsReachAll(t *testing.T) {
 	for _, n := range []int{2, 3, 8, 63, 64} {
 		r := zoneOf(n)
-		books := map[string]*ReportStore{}
+		stores := map[string]*ReportStore{}
 		for i, name := range r.Names() {
-			books[name] = NewReportStore(name)
-			books[name].Publish([]Report{report(fmt.Sprint(i), 1, 1)})
+			stores[name] = NewReportStore(name)
+			stores[name].Publish([]Report{report(fmt.Sprint(i), 1, 1)})
 		}
-		moved := 0
+		transferred := 0
 		for turn := range PullsPerRound(n) {
 			pulled := map[string][]*entrypb.Batch{}
 			for _, name := range r.Names() {
 				vm, _ := Partner(r, name, turn)
-				pulled[name] = books[vm.Name].NewerBatches(r, books[name].VersionVector(r))
+				pulled[name] = stores[vm.Name].NewerBatches(r, stores[name].VersionVector(r))
 			}
-			for name, b := range pulled {
-				books[name].Merge(r, b)
-				moved += len(b)
+			for name, batches := range pulled {
+				stores[name].Merge(r, batches)
+				transferred += len(batches)
 			}
 		}
-		for name, b := range books {
-			if got := len(b.Reports()); got != n {
+		for name, store := range stores {
+			if got := len(store.Reports()); got != n {
 				t.Errorf("%d VMs: %s has %d reports", n, name, got)
 			}
 		}
-		if moved != n*(n-1) {
-			t.Errorf("%d VMs: %d batches moved, %d needed", n, moved, n*(n-1))
+		if transferred != n*(n-1) {
+			t.Errorf("%d VMs: %d batches moved, %d needed", n, transferred, n*(n-1))
 		}
 	}
 }
@@ -151,26 +151,26 @@
 		if diff := cmp.Diff(want, c.Reports()); diff != "" {
 			t.Errorf("reports (-want +got):\n%s", diff)
 		}
-		// A process that restarts goes on from the number that its peers hold.
-		anew := NewReportStore("vm-000")
-		anew.Merge(r, c.NewerBatches(r, nil))
-		anew.Publish([]Report{report("e", 1, 8)})
-		c.Merge(r, anew.NewerBatches(r, c.VersionVector(r)))
+		// A restarted process continues from the batch number that its peers have.
+		restarted := NewReportStore("vm-000")
+		restarted.Merge(r, c.NewerBatches(r, nil))
+		restarted.Publish([]Report{report("e", 1, 8)})
+		c.Merge(r, restarted.NewerBatches(r, c.VersionVector(r)))
 		if got := c.Reports()[e.Endpoint].Load.Sequence; got != 8 {
 			t.Errorf("after a restart of the poller: sequence %d", got)
 		}
-		held := c.VersionVector(r)
+		before := c.VersionVector(r)
 		c.Merge(r, []*entrypb.Batch{{Poller: 9}, {Number: 99, Engine: []uint32{1}}})
-		if diff := cmp.Diff(held, c.VersionVector(r)); diff != "" {
-			t.Errorf("took a malformed batch:\n%s", diff)
+		if diff := cmp.Diff(before, c.VersionVector(r)); diff != "" {
+			t.Errorf("stored a malformed batch:\n%s", diff)
 		}
-		// A number that has gone round the two bytes is still newer.
+		// A number that has wrapped around the two bytes is still newer.
 		for range 70_000 {
-			anew.Publish([]Report{report("e", 1, 9)})
-			if len(anew.NewerBatches(r, c.VersionVector(r))) == 0 {
-				t.Fatal("a newer batch is taken for an older one")
+			restarted.Publish([]Report{report("e", 1, 9)})
+			if len(restarted.NewerBatches(r, c.VersionVector(r))) == 0 {
+				t.Fatal("a newer batch is considered older")
 			}
-			c.Merge(r, anew.NewerBatches(r, c.VersionVector(r)))
+			c.Merge(r, restarted.NewerBatches(r, c.VersionVector(r)))
 		}
 	})
 }
--- a/peer/stubs.go
+++ b/peer/stubs.go
@@ -7,14 +7,14 @@
 	"github.com/springweir/springweir/peer/viewpb"
 )
 
-// ViewAt returns a client of what the entry at address (host:port) sees. Its
-// calls are reads; they are not repeated by themselves.
+// ViewAt returns a client of the view service of the entry at address (host:port). Its
+// calls are read-only and never retried.
 func ViewAt(address string, transport http.RoundTripper) viewpb.View {
 	return viewpb.NewViewProtobufClient("http://"+address, newOnceClient(transport))
 }
 
-// ControllerAt returns a client of the controller at address (host:port). Its
-// calls are not repeated by themselves.
+// ControllerAt returns a client of the controller at address (host:port). Its calls are
+// never retried.
 func ControllerAt(address string, transport http.RoundTripper) controllerpb.Controller {
 	return controllerpb.NewControllerProtobufClient("http://"+address, newOnceClient(transport))
 }
--- a/peer/viewpb/generate.go
+++ b/peer/viewpb/generate.go
@@ -1,5 +1,5 @@
-// Package viewpb holds the generated messages and twirp code of the protocol
-// in which an entry VM tells controllers and other zones what it sees.
+// Package viewpb holds the generated messages and twirp code of the protocol by which an
+// entry VM reports its view to controllers and other zones.
 package viewpb
 
 //go:generate go build -o ../../bin/ google.golang.org/protobuf/cmd/protoc-gen-go github.com/twitchtv/twirp/protoc-gen-twirp
