--- a/caller/config.go
+++ b/caller/config.go
@@ -1,7 +1,7 @@
-// Package caller is the HTTP front towards callers: chat and text completions,
-// whole or streamed, the list of models, and plain service calls. It checks and
-// bounds what comes in, hands it to package forward, and tells callers
-// truthfully how it ended.
+// Package caller implements the HTTP API for callers: chat and text completions, buffered or
+// streamed, the list of models, and plain service calls. It validates requests, applies their
+// limits, passes them to package forward, and reports the outcome to the caller, including whether
+// a failed request may have been executed.
 package caller
 
 import (
@@ -17,92 +17,91 @@
 // Organisation is a caller's organisation.
 type Organisation struct {
 	Name string
-	// Priority is given to requests that name none.
+	// Priority is the default for requests that specify none.
 	Priority engine.Priority
-	// PriorityLimit is the most urgent class that requests may name.
+	// PriorityLimit is the most urgent class that requests may specify.
 	PriorityLimit engine.Priority
-	// Models (base models) and Services are what it may use; nil means all.
+	// Models (base models) and Services list what the organisation may use; nil allows all.
 	Models, Services []string
 }
 
-// mayUse tells whether name is among those allowed.
-func mayUse(allowed []string, name string) bool {
+// isAllowed reports whether name is in allowed; a nil list allows every name.
+func isAllowed(allowed []string, name string) bool {
 	return allowed == nil || slices.Contains(allowed, name)
 }
 
-// Organisations finds an organisation by API key. Implementations are safe for
-// concurrent use.
+// Organisations looks up an organisation by API key. Implementations are safe for concurrent use.
 type Organisations interface {
 	Organisation(apiKey string) (Organisation, bool)
 }
 
-// Limits bound the requests for one model or service. Zero fields take those of
-// Config.
+// Limits bound the requests for one model or service. Zero fields default to those of Config.
 type Limits struct {
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody int64
-	// Deadlines are given to requests that name none, by priority class.
+	// Deadlines are the defaults for requests without a deadline, by priority class.
 	Deadlines map[engine.Priority]time.Duration
-	// MaxDeadline bounds what a caller may name.
+	// MaxDeadline caps the deadline that a caller may request.
 	MaxDeadline time.Duration
 }
 
-// Model is a model as callers name it.
+// Model maps a model name of the API to the weights that serve it.
 type Model struct {
-	// Name is what callers ask for.
+	// Name is the model name in requests.
 	Name string
-	// Base, Adapter and Version are what an engine must have loaded.
+	// Base, Adapter and Version identify the weights that an engine must have loaded.
 	Base, Adapter, Version string
-	// MaxTokens bounds an answer, and is the default where the caller names none.
+	// MaxTokens caps the length of a response and is the default for requests without max_tokens.
 	MaxTokens int
-	// MaxPrompt bounds a prompt, in tokens as estimated; zero is no bound.
+	// MaxPrompt is the maximum prompt length, in estimated tokens; zero means no limit.
 	MaxPrompt int
 	Limits    Limits
 }
 
-// Service is a plain service.
+// Service is a plain HTTP service, as opposed to a model.
 type Service struct {
 	Name string
-	// Repeatable tells whether its calls may run more than once.
+	// Repeatable reports whether a call may be executed more than once.
 	Repeatable bool
 	Limits     Limits
 }
 
-// Catalogue lists what can be called. Implementations are safe for concurrent use.
+// Catalogue lists the available models and services. Implementations are safe for concurrent use.
 type Catalogue interface {
 	Models() []Model
 	Model(name string) (Model, bool)
 	Service(name string) (Service, bool)
 }
 
-// Estimator counts the tokens of a text, roughly.
+// Estimator estimates the number of tokens in a text.
 type Estimator interface {
 	Tokens(text string) int
 }
 
-// Hasher gives the hashes of a prompt's leading blocks. The namespace names the
-// model, adapter and version: caches of different ones share no blocks.
+// Hasher returns the hashes of a prompt's leading blocks. The namespace identifies the model,
+// adapter and version: their KV caches share no blocks.
 type Hasher interface {
 	Hashes(namespace, prompt string) []uint64
 }
 
-// Forwarder carries work to endpoints; *forward.Forwarder is one.
+// Forwarder sends work to endpoints. *forward.Forwarder implements it.
 type Forwarder interface {
 	Generate(ctx context.Context, w *forward.Work, sink forward.Sink) (forward.Summary, error)
 	Call(ctx context.Context, w *forward.Work) (*forward.Response, error)
 }
 
-// Config is what a Handler works with. The interfaces are required, except
-// that a nil Estimator counts four bytes a token and a nil Hasher gives none.
+// Config configures a Handler. The interfaces are required, except that a nil Estimator counts four
+// bytes per token and a nil Hasher yields no hashes.
 type Config struct {
 	Organisations Organisations
 	Catalogue     Catalogue
 	Forwarder     Forwarder
 	Estimator     Estimator
 	Hasher        Hasher
-	// Limits are the widest: they hold until it is known what is called.
+	// Limits apply until the model or service of a request is known, and default the limits of each
+	// model and service.
 	Limits
-	// WriteTimeout bounds how long one piece may take to reach a slow caller.
+	// WriteTimeout bounds the write of one chunk to a slow caller.
 	WriteTimeout time.Duration
 }
 
@@ -111,11 +110,11 @@
 	DefaultMaxBody      = 4 << 20
 	DefaultMaxDeadline  = 30 * time.Minute
 	DefaultWriteTimeout = 20 * time.Second
-	// DefaultMaxTokens bounds answers of models that name no bound.
+	// DefaultMaxTokens applies to models without a MaxTokens.
 	DefaultMaxTokens = 1024
 )
 
-// DefaultDeadlines are used where the settings name none.
+// DefaultDeadlines returns the deadlines by priority class that apply if Config has none.
 func DefaultDeadlines() map[engine.Priority]time.Duration {
 	return map[engine.Priority]time.Duration{
 		engine.Interactive: 30 * time.Second,
@@ -143,7 +142,7 @@
 	return c
 }
 
-// limits fills in what is not set for a model or service.
+// limits fills the unset fields of a model's or service's limits from c.
 func (c Config) limits(l Limits) Limits {
 	l.MaxBody = cmp.Or(l.MaxBody, c.MaxBody)
 	l.MaxDeadline = cmp.Or(l.MaxDeadline, c.MaxDeadline)
@@ -153,15 +152,16 @@
 	return l
 }
 
-// timeLeft is the time for a request that asks for so much; zero asks for none.
-func (l Limits) timeLeft(asked time.Duration, p engine.Priority) time.Duration {
-	return min(cmp.Or(asked, l.Deadlines[p]), l.MaxDeadline)
+// timeout returns the time allowed for a request, capped at MaxDeadline. A requested time of zero
+// selects the default of the priority class.
+func (l Limits) timeout(requested time.Duration, p engine.Priority) time.Duration {
+	return min(cmp.Or(requested, l.Deadlines[p]), l.MaxDeadline)
 }
 
-// bytesPerToken is a usual mean for European languages.
+// bytesPerToken is a typical average for European languages.
 const bytesPerToken = 4
 
-// ByteEstimator counts a token for every four bytes.
+// ByteEstimator estimates one token for every four bytes, rounded up.
 type ByteEstimator struct{}
 
 // Tokens implements Estimator.
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -14,13 +14,13 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// refused is a failure of a request that went no further than this package.
-func refused(code failure.Reason, msg string) *failure.Request {
+// reject returns the failure of a request that was rejected before it was forwarded.
+func reject(code failure.Reason, msg string) *failure.Request {
 	return &failure.Request{Code: code, Ran: failure.NotRun, Message: msg}
 }
 
-// asFailure returns err as the caller's failure. One that is no
-// *failure.Request is a defect of springweir; nothing is claimed about it.
+// asFailure converts err to the failure reported to the caller. An error that is not a
+// *failure.Request is a bug in springweir and is reported with an unknown outcome.
 func asFailure(err error) *failure.Request {
 	if err == nil {
 		return nil
@@ -32,19 +32,19 @@
 	return &failure.Request{Code: failure.Internal, Ran: failure.Unknown, Message: "internal failure", Cause: err}
 }
 
-// fail answers a request of which nothing was answered yet.
+// fail writes an error response. The response must not have been started.
 func (x *exchange) fail(f *failure.Request) {
-	x.note(f)
+	x.recordFailure(f)
 	header := x.w.Header()
 	header.Set(wire.HeaderReason, string(f.Code))
-	if after := retryAfter(f); after > 0 {
-		header.Set("Retry-After", strconv.FormatInt(wholeSeconds(after), 10))
+	if delay := retryAfter(f); delay > 0 {
+		header.Set("Retry-After", strconv.FormatInt(ceilSeconds(delay), 10))
 	}
 	x.writeJSON(f.Status(), errorBody(f))
 }
 
-// note counts and logs a failure.
-func (x *exchange) note(f *failure.Request) {
+// recordFailure counts and logs a failure.
+func (x *exchange) recordFailure(f *failure.Request) {
 	x.failed = true
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_requests_failed_total{reason=%q,outcome=%q}`, f.Code, f.Ran)).Inc()
 	klog.V(1).Infof("caller: request %s of %q failed: %v", x.work.ID, x.work.Organisation, f)
@@ -59,8 +59,8 @@
 	}}
 }
 
-// passing are the reasons that may be gone a little later.
-var passing = map[failure.Reason]bool{
+// transientReasons are the failures for which a retry after a short delay may succeed.
+var transientReasons = map[failure.Reason]bool{
 	failure.EndpointRefused:     true,
 	failure.EndpointUnreachable: true,
 	failure.NoEndpoint:          true,
@@ -70,19 +70,19 @@
 	failure.Stopping:            true,
 }
 
-// defaultRetryAfter is told where a passing reason names no time itself.
+// defaultRetryAfter is sent for a transient failure without its own retry delay.
 const defaultRetryAfter = time.Second
 
-// retryAfter says when coming back makes sense; zero means never.
+// retryAfter returns the delay after which the caller may retry, or zero if a retry is of no use.
 func retryAfter(f *failure.Request) time.Duration {
-	if f.RetryAfter == 0 && f.Ran == failure.NotRun && passing[f.Code] {
+	if f.RetryAfter == 0 && f.Ran == failure.NotRun && transientReasons[f.Code] {
 		return defaultRetryAfter
 	}
 	return f.RetryAfter
 }
 
-// wholeSeconds rounds up, since coming back early would be refused again.
-func wholeSeconds(d time.Duration) int64 {
+// ceilSeconds rounds up, because an early retry would be rejected again.
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
@@ -90,6 +90,6 @@
 	x.w.Header().Set("Content-Type", "application/json")
 	x.w.WriteHeader(status)
 	if err := json.NewEncoder(x.w).Encode(body); err != nil {
-		klog.V(1).Infof("caller: request %s: the answer did not reach the caller: %v", x.work.ID, err)
+		klog.V(1).Infof("caller: request %s: writing the response failed: %v", x.work.ID, err)
 	}
 }
--- a/caller/fakecaller/fakecaller.go
+++ b/caller/fakecaller/fakecaller.go
@@ -1,5 +1,5 @@
-// Package fakecaller holds the in-memory fakes of the interfaces that package
-// caller needs: one organisation, one model and two services.
+// Package fakecaller provides in-memory fakes of the interfaces that package caller depends on,
+// with two organisations, two models and two services.
 package fakecaller
 
 import (
@@ -12,29 +12,29 @@
 	"github.com/springweir/springweir/forward"
 )
 
-// What the fake tree names.
+// The organisations, API keys, models and services of Tree.
 const (
 	Organisation = "kliko"
 	APIKey       = "key-1"
-	// Guest may use Model and Routes alone, with no interactive requests.
+	// Guest may use only Model and Routes, and may not send interactive requests.
 	Guest     = "guest"
 	GuestKey  = "key-2"
 	Model     = "assistant"
 	BaseModel = "base-7b"
 	// Small and Routes have Limits.
 	Small = "small"
-	// Confirmations may not be repeated, Routes may.
+	// Calls of Confirmations may be executed at most once; calls of Routes are repeatable.
 	Confirmations = "slots"
 	Routes        = "routes"
 )
 
-// MaxTokens bounds the model's answers.
+// MaxTokens is the maximum response length of the models, in tokens.
 const MaxTokens = 8
 
-// SmallPrompt bounds the prompts of Small, in tokens.
+// SmallPrompt is the maximum prompt length of Small, in tokens.
 const SmallPrompt = 15
 
-// Limits are those of Small and Routes.
+// Limits returns the limits of Small and Routes.
 func Limits() caller.Limits {
 	return caller.Limits{
 		MaxBody:     100,
@@ -43,7 +43,7 @@
 	}
 }
 
-// Tree is a small caller.Catalogue and caller.Organisations.
+// Tree implements caller.Catalogue and caller.Organisations with fixed contents.
 type Tree struct{}
 
 // Organisation implements caller.Organisations.
@@ -82,7 +82,7 @@
 	return s, name == Confirmations || name == Routes
 }
 
-// Forwarder is a caller.Forwarder that keeps the last work and answers at once.
+// Forwarder is a caller.Forwarder that records the last work and returns an empty result.
 type Forwarder struct{ Work *forward.Work }
 
 // Generate implements caller.Forwarder.
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -22,7 +22,7 @@
 		return failed
 	}
 	if len(req.Messages) == 0 {
-		return refused(failure.BadRequest, "messages is empty")
+		return reject(failure.BadRequest, "messages is empty")
 	}
 	return h.generate(x, req, renderChat(req.Messages), chatFormat{})
 }
@@ -33,13 +33,13 @@
 		return failed
 	}
 	if req.Prompt == "" {
-		return refused(failure.BadRequest, "prompt is empty")
+		return reject(failure.BadRequest, "prompt is empty")
 	}
 	return h.generate(x, req, req.Prompt, textFormat{})
 }
 
-// renderChat writes a chat as one prompt. Earlier turns stay a prefix of later
-// prompts, so that engines' prefix caches help.
+// renderChat renders a chat as one prompt. The prompt of one turn is a prefix of the prompts of
+// later turns, so that engines can reuse their prefix caches.
 func renderChat(messages []wire.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -52,64 +52,66 @@
 	return b.String()
 }
 
-// readRequest reads the body. The limits of the model are known only after it.
+// readRequest reads and validates the body and sets x.model. The body is read under the general
+// limits, because the model is known only after parsing; the model's limits are checked then.
 func (h *Handler) readRequest(x *exchange) (wire.Request, *failure.Request) {
-	body, failed := readBody(x, h.bound(x, Limits{}))
+	body, failed := readBody(x, h.applyLimits(x, Limits{}))
 	if failed != nil {
 		return wire.Request{}, failed
 	}
 	var req wire.Request
 	if err := json.Unmarshal(body, &req); err != nil {
-		return wire.Request{}, refused(failure.BadRequest, "the body is not valid JSON for this request")
+		return wire.Request{}, reject(failure.BadRequest, "the body is not valid JSON for this request")
 	}
 	model, known := h.cfg.Catalogue.Model(req.Model)
 	if !known {
-		return wire.Request{}, refused(failure.NoSuchModel, "no pool serves this model")
+		return wire.Request{}, reject(failure.NoSuchModel, "no pool serves this model")
 	}
-	if !mayUse(x.org.Models, model.Base) {
-		return wire.Request{}, refused(failure.NotAllowed, "the organisation may not use this model")
+	if !isAllowed(x.org.Models, model.Base) {
+		return wire.Request{}, reject(failure.NotAllowed, "the organisation may not use this model")
 	}
-	if int64(len(body)) > h.bound(x, model.Limits).MaxBody {
+	if int64(len(body)) > h.applyLimits(x, model.Limits).MaxBody {
 		return wire.Request{}, tooLarge()
 	}
 	x.model = model
 	return req, nil
 }
 
-// readBody reads the body, within the request's deadline.
+// readBody reads the body within the request's deadline.
 func readBody(x *exchange, l Limits) ([]byte, *failure.Request) {
 	rc := http.NewResponseController(x.w)
-	// Writers without deadlines, such as those in tests, say so; that is fine.
+	// Writers without deadline support, such as those in tests, return an error that is ignored.
 	_ = rc.SetReadDeadline(x.work.Deadline)
-	// The server goes on reading, to see whether the caller leaves.
+	// The server keeps reading from the connection to detect a disconnect of the caller.
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, l.MaxBody))
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
 		return nil, tooLarge()
 	}
 	if err != nil {
-		return nil, refused(failure.BadRequest, "the body could not be read")
+		return nil, reject(failure.BadRequest, "the body could not be read")
 	}
 	return body, nil
 }
 
-func tooLarge() *failure.Request { return refused(failure.TooLarge, "the body is over the size limit") }
+func tooLarge() *failure.Request { return reject(failure.TooLarge, "the body is over the size limit") }
 
-// generate fills in the work and answers whole or as a stream.
+// generate fills in the work and sends the response, buffered or streamed.
 func (h *Handler) generate(x *exchange, req wire.Request, prompt string, f format) *failure.Request {
-	if failed := h.describe(x.work, x.model, req, prompt); failed != nil {
+	if failed := h.fillWork(x.work, x.model, req, prompt); failed != nil {
 		return failed
 	}
-	a := &answer{x: x, format: f, model: req.Model, created: clock.Now().Unix()}
+	builder := &responseBuilder{x: x, format: f, model: req.Model, created: clock.Now().Unix()}
 	if req.Stream {
-		return h.stream(a)
+		return h.respondStream(builder)
 	}
-	return h.whole(a)
+	return h.respond(builder)
 }
 
-func (h *Handler) describe(work *forward.Work, model Model, req wire.Request, prompt string) *failure.Request {
-	maxTokens, failed := answerLimit(req.MaxTokens, model.MaxTokens)
+// fillWork sets the fields of work that depend on the model, the request body and the prompt.
+func (h *Handler) fillWork(work *forward.Work, model Model, req wire.Request, prompt string) *failure.Request {
+	maxTokens, failed := outputLimit(req.MaxTokens, model.MaxTokens)
 	if failed != nil {
 		return failed
 	}
@@ -118,10 +120,10 @@
 	work.Prompt = prompt
 	work.PromptTokens = h.cfg.Estimator.Tokens(prompt)
 	if model.MaxPrompt > 0 && work.PromptTokens > model.MaxPrompt {
-		return refused(failure.TooLarge, "the prompt is over the limit of the model's pool")
+		return reject(failure.TooLarge, "the prompt is over the limit of the model's pool")
 	}
 	work.MaxTokens = maxTokens
-	if failed := describeHop(work, req.Hop); failed != nil {
+	if failed := applyHop(work, req.Hop); failed != nil {
 		return failed
 	}
 	if h.cfg.Hasher != nil {
@@ -130,32 +132,34 @@
 	return nil
 }
 
-// cacheNamespace names what must be equal for two prompts to share a cache. The
-// version is the one that will answer, which a hop may have changed.
+// cacheNamespace returns the namespace of the prefix hashes: prompts share cached blocks only if
+// model, adapter and version are equal. The version may have been overridden by a hop.
 func cacheNamespace(w *forward.Work) string {
 	return strings.Join([]string{w.Model, w.Adapter, w.Version}, "\x00")
 }
 
-func answerLimit(asked, limit int) (int, *failure.Request) {
+// outputLimit returns the maximum number of output tokens for a request. A limit of zero means
+// DefaultMaxTokens; a requested number of zero means the limit.
+func outputLimit(requested, limit int) (int, *failure.Request) {
 	if limit <= 0 {
 		limit = DefaultMaxTokens
 	}
-	if asked < 0 {
-		return 0, refused(failure.BadRequest, "max_tokens is negative")
+	if requested < 0 {
+		return 0, reject(failure.BadRequest, "max_tokens is negative")
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return limit, nil
 	}
-	return min(asked, limit), nil
+	return min(requested, limit), nil
 }
 
-// describeHop takes over what an entry of another zone adds.
-func describeHop(work *forward.Work, hop *wire.Hop) *failure.Request {
+// applyHop applies the additional fields sent by an entry of another zone.
+func applyHop(work *forward.Work, hop *wire.Hop) *failure.Request {
 	if hop == nil {
 		return nil
 	}
 	if !work.FromOtherZone || hop.PromptTokens < 0 || hop.ResumeFrom < 0 || (hop.ResumeFrom == 0 && hop.Emitted != "") {
-		return refused(failure.BadRequest, "the springweir field is for entries of other zones")
+		return reject(failure.BadRequest, "the springweir field is for entries of other zones")
 	}
 	work.PromptTokens = hop.PromptTokens
 	work.Version = cmp.Or(hop.Version, work.Version)
@@ -164,43 +168,43 @@
 	return nil
 }
 
-// collector is the sink of an answer that is sent whole.
-type collector struct{ text strings.Builder }
+// textCollector is the sink of a buffered response.
+type textCollector struct{ text strings.Builder }
 
 // Emit implements forward.Sink.
-func (c *collector) Emit(d forward.Delta) error {
+func (c *textCollector) Emit(d forward.Delta) error {
 	c.text.WriteString(d.Text)
 	return nil
 }
 
-func (h *Handler) whole(a *answer) *failure.Request {
-	var sink collector
-	summary, err := h.cfg.Forwarder.Generate(a.x.r.Context(), a.x.work, &sink)
+func (h *Handler) respond(builder *responseBuilder) *failure.Request {
+	var sink textCollector
+	summary, err := h.cfg.Forwarder.Generate(builder.x.r.Context(), builder.x.work, &sink)
 	if err != nil {
 		return asFailure(err)
 	}
 	finish := string(summary.Finish)
-	resp := a.response(a.format.whole(sink.text.String(), &finish))
-	resp.Object = a.format.object(false)
-	resp.Usage = a.usage(summary)
-	a.x.writeJSON(http.StatusOK, resp)
+	resp := builder.response(builder.format.complete(sink.text.String(), &finish))
+	resp.Object = builder.format.object(false)
+	resp.Usage = builder.usage(summary)
+	builder.x.writeJSON(http.StatusOK, resp)
 	return nil
 }
 
-// answer builds the bodies of one answer.
-type answer struct {
+// responseBuilder builds the bodies of one response.
+type responseBuilder struct {
 	x       *exchange
 	format  format
 	model   string
 	created int64
 }
 
-func (a *answer) response(c wire.Choice) wire.Response {
-	return wire.Response{ID: a.x.work.ID, Created: a.created, Model: a.model, Choices: []wire.Choice{c}}
+func (b *responseBuilder) response(c wire.Choice) wire.Response {
+	return wire.Response{ID: b.x.work.ID, Created: b.created, Model: b.model, Choices: []wire.Choice{c}}
 }
 
-func (a *answer) usage(s forward.Summary) *wire.Usage {
-	prompt := a.x.work.PromptTokens
+func (b *responseBuilder) usage(s forward.Summary) *wire.Usage {
+	prompt := b.x.work.PromptTokens
 	return &wire.Usage{
 		PromptTokens:     prompt,
 		CompletionTokens: s.Tokens,
@@ -209,12 +213,12 @@
 	}
 }
 
-// format is how chats and completions differ.
+// format abstracts the differences between chat and text completion responses.
 type format interface {
 	object(chunk bool) wire.Object
-	whole(text string, finish *string) wire.Choice
-	piece(text string, first bool) wire.Choice
-	last(finish engine.FinishReason) wire.Choice
+	complete(text string, finish *string) wire.Choice
+	chunk(text string, first bool) wire.Choice
+	final(finish engine.FinishReason) wire.Choice
 }
 
 type chatFormat struct{}
@@ -226,11 +230,11 @@
 	return wire.ObjectChat
 }
 
-func (chatFormat) whole(text string, finish *string) wire.Choice {
+func (chatFormat) complete(text string, finish *string) wire.Choice {
 	return wire.Choice{Message: &wire.Message{Role: "assistant", Content: text}, FinishReason: finish}
 }
 
-func (chatFormat) piece(text string, first bool) wire.Choice {
+func (chatFormat) chunk(text string, first bool) wire.Choice {
 	delta := wire.Delta{Content: text}
 	if first {
 		delta.Role = "assistant"
@@ -238,7 +242,7 @@
 	return wire.Choice{Delta: &delta}
 }
 
-func (chatFormat) last(finish engine.FinishReason) wire.Choice {
+func (chatFormat) final(finish engine.FinishReason) wire.Choice {
 	reason := string(finish)
 	return wire.Choice{Delta: &wire.Delta{}, FinishReason: &reason}
 }
@@ -247,13 +251,13 @@
 
 func (textFormat) object(bool) wire.Object { return wire.ObjectCompletion }
 
-func (textFormat) whole(text string, finish *string) wire.Choice {
+func (textFormat) complete(text string, finish *string) wire.Choice {
 	return wire.Choice{Text: &text, FinishReason: finish}
 }
 
-func (textFormat) piece(text string, _ bool) wire.Choice { return wire.Choice{Text: &text} }
+func (textFormat) chunk(text string, _ bool) wire.Choice { return wire.Choice{Text: &text} }
 
-func (textFormat) last(finish engine.FinishReason) wire.Choice {
+func (textFormat) final(finish engine.FinishReason) wire.Choice {
 	reason, empty := string(finish), ""
 	return wire.Choice{Text: &empty, FinishReason: &reason}
 }
--- a/caller/golden_test.go
+++ b/caller/golden_test.go
@@ -18,61 +18,61 @@
 	streamBody = `{"model":"assistant","messages":[{"role":"user","content":"May a skip stand here?"}],"max_tokens":3,"stream":true}`
 )
 
-// breakAfter scripts an engine to break off after n tokens.
-func breakAfter(n int) func(engine.GenerateRequest) fakeengine.Behaviour {
+// truncateAfter returns a script that makes an engine truncate its response after n tokens.
+func truncateAfter(n int) func(engine.GenerateRequest) fakeengine.Behaviour {
 	return func(engine.GenerateRequest) fakeengine.Behaviour {
 		return fakeengine.Behaviour{Ending: fakeengine.Truncated, After: n}
 	}
 }
 
-// TestSessions records whole sessions: everything that caller, entry, endpoint
-// and platform exchange, in order.
+// TestSessions compares the messages that caller, entry, endpoint and platform exchange, in order,
+// with golden files.
 func TestSessions(t *testing.T) {
 	refuse := func(engine.GenerateRequest) fakeengine.Behaviour {
 		return fakeengine.Behaviour{Refuse: failure.EndpointRefused}
 	}
-	confirm := func(r *rig) {
+	confirmSlot := func(r *harness) {
 		r.send("POST", "/s/slots/confirm?day=3", `{"slot":7}`, wire.HeaderIdempotencyKey, "slot-7", wire.HeaderDeadline, "5000")
 	}
 	tests := []struct {
 		name string
-		play func(r *rig)
+		play func(r *harness)
 	}{
-		{"chat", func(r *rig) { r.send("POST", wire.PathChat, chatBody) }},
-		{"stream", func(r *rig) { r.send("POST", wire.PathChat, streamBody, wire.HeaderPriority, "standard") }},
-		{"stream-resumed", func(r *rig) {
-			r.a.Script(breakAfter(2))
+		{"chat", func(r *harness) { r.send("POST", wire.PathChat, chatBody) }},
+		{"stream", func(r *harness) { r.send("POST", wire.PathChat, streamBody, wire.HeaderPriority, "standard") }},
+		{"stream-resumed", func(r *harness) {
+			r.a.Script(truncateAfter(2))
 			r.send("POST", wire.PathChat, streamBody)
 		}},
-		{"stream-broken", func(r *rig) {
-			r.a.Script(breakAfter(1))
-			r.b.Script(breakAfter(1))
+		{"stream-broken", func(r *harness) {
+			r.a.Script(truncateAfter(1))
+			r.b.Script(truncateAfter(1))
 			r.send("POST", wire.PathChat, streamBody)
 		}},
-		{"service-call", func(r *rig) {
-			confirm(r)
-			confirm(r)
+		{"service-call", func(r *harness) {
+			confirmSlot(r)
+			confirmSlot(r)
 		}},
-		{"service-call-result-lost", func(r *rig) {
+		{"service-call-result-lost", func(r *harness) {
 			r.svc.Script(func(service.Call) fakeservice.Behaviour { return fakeservice.Behaviour{BreakAfter: true} })
-			confirm(r)
-			confirm(r)
+			confirmSlot(r)
+			confirmSlot(r)
 		}},
-		{"refused-chat", func(r *rig) {
+		{"refused-chat", func(r *harness) {
 			r.a.Script(refuse)
 			r.b.Script(refuse)
 			r.send("POST", wire.PathChat, chatBody)
 		}},
-		{"refused-call", func(r *rig) {
+		{"refused-call", func(r *harness) {
 			r.rows.SetDown(true)
-			confirm(r)
+			confirmSlot(r)
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig()
-				// The pause before a retry is drawn, so the time left is too.
+				r := newHarness()
+				// The backoff before a retry is random, and so is the remaining time.
 				r.log.Mask(`"deadline_ms":\d+`, `"deadline_ms":"<left>"`)
 				r.logA.CancelDelay, r.logB.CancelDelay = time.Second, time.Second
 				tt.play(r)
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// Handler serves callers. It is safe for concurrent use.
+// Handler serves the HTTP API for callers. It is safe for concurrent use.
 type Handler struct {
 	cfg Config
 	mux *http.ServeMux
@@ -34,25 +34,26 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// exchange is one request under way and the way to answer it.
+// exchange is the state of one request and its response.
 type exchange struct {
 	w http.ResponseWriter
 	r *http.Request
-	// work is filled in as far as the headers tell.
+	// work holds what is known from the headers until the body is parsed.
 	work  *forward.Work
 	kind  kind
 	start time.Time
 	// org is the caller's organisation.
 	org Organisation
-	// asked is the time that the caller gives; zero is none named.
-	asked time.Duration
-	// model is what a generation is asked of.
+	// requestedTimeout is the time until the deadline that the caller requested, or zero.
+	requestedTimeout time.Duration
+	// model is the model of a chat or completion request.
 	model Model
-	// failed is set once the request's failure was noted.
+	// failed is set once a failure of the request has been recorded.
 	failed bool
 }
 
-// handle reads what all requests have in common and answers failures.
+// handle wraps serve: it reads the headers common to all requests, counts the request, and writes
+// the error response if serve returns a failure.
 func (h *Handler) handle(k kind, serve func(*exchange) *failure.Request) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := clock.Now()
@@ -66,42 +67,43 @@
 		if work.FromOtherZone {
 			x.kind = kindHop
 		}
-		x.arrived()
+		x.countRequest()
 		if failed == nil {
 			failed = serve(x)
 		}
 		if failed != nil {
 			x.fail(failed)
 		}
-		x.ended()
+		x.recordCompletion()
 	}
 }
 
-// readHeaders fills in what the headers tell.
+// readHeaders authenticates the request and fills x and x.work from its headers.
 func (h *Handler) readHeaders(x *exchange) *failure.Request {
 	auth := x.r.Header.Get("Authorization")
 	key, found := strings.CutPrefix(auth, "Bearer ")
 	org, known := h.cfg.Organisations.Organisation(key)
 	if !found || !known {
-		return refused(failure.Unauthorised, "the API key is missing or unknown")
+		return reject(failure.Unauthorised, "the API key is missing or unknown")
 	}
 	x.org = org
 	x.work.Organisation = org.Name
 	x.work.Authorization = auth
 	x.work.IdempotencyKey = x.r.Header.Get(wire.HeaderIdempotencyKey)
 	if len(x.work.IdempotencyKey) > maxIdempotencyKey {
-		return refused(failure.BadRequest, "the idempotency key is over 255 bytes")
+		return reject(failure.BadRequest, "the idempotency key is over 255 bytes")
 	}
-	priority, failed := priorityOf(x.r.Header.Get(wire.HeaderPriority), org)
+	priority, failed := parsePriority(x.r.Header.Get(wire.HeaderPriority), org)
 	if failed != nil {
 		return failed
 	}
 	x.work.Priority = priority
-	x.asked, failed = askedTime(x.r.Header.Get(wire.HeaderDeadline))
-	h.bound(x, Limits{})
+	x.requestedTimeout, failed = parseDeadline(x.r.Header.Get(wire.HeaderDeadline))
+	h.applyLimits(x, Limits{})
 	return failed
 }
 
+// maxIdempotencyKey is the maximum length of an idempotency key, in bytes.
 const maxIdempotencyKey = 255
 
 // priorityNames are the values of wire.HeaderPriority.
@@ -111,58 +113,61 @@
 	"batch":       engine.Batch,
 }
 
-// priorityOf is the class that a request names, or else its organisation's. A
-// lower number is more urgent.
-func priorityOf(name string, org Organisation) (engine.Priority, *failure.Request) {
+// parsePriority returns the class that a request specifies, or the organisation's default. A lower
+// number is more urgent.
+func parsePriority(name string, org Organisation) (engine.Priority, *failure.Request) {
 	if name == "" {
 		return max(org.Priority, org.PriorityLimit), nil
 	}
 	p, ok := priorityNames[name]
 	if !ok {
-		return 0, refused(failure.BadRequest, wire.HeaderPriority+" must be interactive, standard or batch")
+		return 0, reject(failure.BadRequest, wire.HeaderPriority+" must be interactive, standard or batch")
 	}
 	if p < org.PriorityLimit {
-		return 0, refused(failure.NotAllowed, "the organisation may not use this priority")
+		return 0, reject(failure.NotAllowed, "the organisation may not use this priority")
 	}
 	return p, nil
 }
 
-// maxAsked bounds the time asked for, so that no sum of times overflows.
-const maxAsked = 365 * 24 * time.Hour
+// maxRequestedTimeout caps the requested time so that adding it to a time cannot overflow.
+const maxRequestedTimeout = 365 * 24 * time.Hour
 
-// askedTime reads the deadline that a caller names; zero is none.
-func askedTime(header string) (time.Duration, *failure.Request) {
+// parseDeadline parses the deadline header and returns the time until the deadline; zero means that
+// the caller specified none.
+func parseDeadline(header string) (time.Duration, *failure.Request) {
 	if header == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseInt(header, 10, 64)
 	if err != nil || ms <= 0 {
-		return 0, refused(failure.BadRequest, wire.HeaderDeadline+" must be a positive number of milliseconds")
+		return 0, reject(failure.BadRequest, wire.HeaderDeadline+" must be a positive number of milliseconds")
 	}
-	return time.Duration(min(ms, maxAsked.Milliseconds())) * time.Millisecond, nil
+	return time.Duration(min(ms, maxRequestedTimeout.Milliseconds())) * time.Millisecond, nil
 }
 
-// bound applies the limits of what is called and returns them.
-func (h *Handler) bound(x *exchange, l Limits) Limits {
+// applyLimits sets the deadline of x according to l, completed by the general limits, and returns
+// the resulting limits. Requests from other zones may have larger bodies.
+func (h *Handler) applyLimits(x *exchange, l Limits) Limits {
 	l = h.cfg.limits(l)
 	if x.work.FromOtherZone {
-		l.MaxBody += hopRoom
+		l.MaxBody += hopBodyAllowance
 	}
-	x.work.Deadline = x.start.Add(l.timeLeft(x.asked, x.work.Priority))
+	x.work.Deadline = x.start.Add(l.timeout(x.requestedTimeout, x.work.Priority))
 	return l
 }
 
-// hopRoom is what entries may add to the body of a request that they pass on.
-const hopRoom = 1 << 20
+// hopBodyAllowance is the number of bytes that an entry may add to a request that it forwards to
+// another zone.
+const hopBodyAllowance = 1 << 20
 
 func noSuchPath(*exchange) *failure.Request {
-	return refused(failure.NoSuchPath, "no such path, or not with this method")
+	return reject(failure.NoSuchPath, "no such path, or not with this method")
 }
 
 func (h *Handler) models(x *exchange) *failure.Request {
 	list := wire.ModelList{Object: wire.ObjectList, Data: []wire.Model{}}
 	for _, m := range h.cfg.Catalogue.Models() {
-		if !mayUse(x.org.Models, m.Base) {
+		if !isAllowed(x.org.Models, m.Base) {
 			continue
 		}
 		list.Data = append(list.Data, wire.Model{ID: m.Name, Object: wire.ObjectModel, OwnedBy: "springweir"})
--- a/caller/handler_test.go
+++ b/caller/handler_test.go
@@ -22,7 +22,7 @@
 	"github.com/springweir/springweir/prefix"
 )
 
-func TestRequestsThatAreRefused(t *testing.T) {
+func TestRejectedRequests(t *testing.T) {
 	guest := []string{"Authorization", "Bearer " + fakecaller.GuestKey}
 	tests := []struct {
 		name, method, path, body string
@@ -54,7 +54,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig()
+			r := newHarness()
 			w := r.send(tt.method, tt.path, tt.body, tt.header...)
 			var body wire.ErrorBody
 			if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil {
@@ -64,7 +64,7 @@
 				t.Errorf("got status %d, %+v; want %d, %s, not-run", w.Code, body.Error, tt.status, tt.reason)
 			}
 			if got := w.Header().Get(wire.HeaderReason); got != string(tt.reason) {
-				t.Errorf("header says %q, want %q", got, tt.reason)
+				t.Errorf("header is %q, want %q", got, tt.reason)
 			}
 			if n := len(r.a.Attempts()) + len(r.svc.Records()); n != 0 {
 				t.Errorf("%d attempts reached an endpoint", n)
@@ -74,7 +74,7 @@
 }
 
 func TestRetryAfterIsRoundedUp(t *testing.T) {
-	r := newRig()
+	r := newHarness()
 	r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: forward.New(forward.Config{Router: fakeforward.Router{}, Admitter: fakeforward.AdmitAll{}})})
 	w := r.send("POST", wire.PathChat, chatBody)
 	if got := w.Header().Get("Retry-After"); w.Code != 503 || got != "2" {
@@ -82,22 +82,22 @@
 	}
 }
 
-// hasher is the entry's.
+// hasher implements caller.Hasher with the hash function that entries use.
 type hasher struct{}
 
 // Hashes implements caller.Hasher.
 func (hasher) Hashes(namespace, prompt string) []uint64 { return prefix.Hashes(namespace, prompt) }
 
-// TestWork checks what headers and body make of the work.
-func TestWork(t *testing.T) {
+// TestWorkFromRequest checks the work that is derived from a request's headers and body.
+func TestWorkFromRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		catch := new(fakecaller.Forwarder)
-		r := newRig()
-		r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: catch, Hasher: hasher{}})
+		recorder := new(fakecaller.Forwarder)
+		r := newHarness()
+		r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: recorder, Hasher: hasher{}})
 		prompt := strings.Repeat("12345678", 10)
 		r.send("POST", wire.PathCompletions, `{"model":"assistant","prompt":"`+prompt+`","max_tokens":99}`,
 			wire.HeaderDeadline, "2500", wire.HeaderPriority, "batch")
-		got := *catch.Work
+		got := *recorder.Work
 		got.ID = ""
 		want := forward.Work{
 			Organisation: "kliko", Authorization: "Bearer key-1", Priority: engine.Batch,
@@ -112,9 +112,9 @@
 	})
 }
 
-// TestLimitsOfWhatIsCalled checks that the limits of a model or service hold, and
-// that entries may add to what they pass on.
-func TestLimitsOfWhatIsCalled(t *testing.T) {
+// TestLimitsPerModelAndService checks that the limits of each model and service are enforced, and
+// that bodies forwarded by entries may exceed them by the hop allowance.
+func TestLimitsPerModelAndService(t *testing.T) {
 	long := strings.Repeat("x", 101)
 	small := `{"model":"small","prompt":"x"}`
 	tests := []struct {
@@ -139,9 +139,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				catch := new(fakecaller.Forwarder)
-				r := newRig()
-				r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: catch})
+				recorder := new(fakecaller.Forwarder)
+				r := newHarness()
+				r.handler = caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: recorder})
 				key := tt.key
 				if key == "" {
 					key = fakecaller.APIKey
@@ -152,8 +152,8 @@
 				}
 				w := r.send("POST", tt.path, tt.body, header...)
 				var left time.Duration
-				if catch.Work != nil {
-					left = time.Until(catch.Work.Deadline)
+				if recorder.Work != nil {
+					left = time.Until(recorder.Work.Deadline)
 				}
 				if w.Code != tt.status || left != tt.left {
 					t.Errorf("status %d with %v left, want %d with %v: %s", w.Code, left, tt.status, tt.left, w.Body)
@@ -163,9 +163,9 @@
 	}
 }
 
-func TestCallerGoneCancelsTheWork(t *testing.T) {
-	ctx, leave := context.WithCancel(t.Context())
-	f := forward.New(forward.Config{Admitter: fakeforward.BlockAll{OnAdmit: leave}})
+func TestCallerDisconnectCancelsWork(t *testing.T) {
+	ctx, disconnect := context.WithCancel(t.Context())
+	f := forward.New(forward.Config{Admitter: fakeforward.BlockAll{OnAdmit: disconnect}})
 	server := httptest.NewServer(caller.NewHandler(caller.Config{Organisations: fakecaller.Tree{}, Catalogue: fakecaller.Tree{}, Forwarder: f}))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+wire.PathChat, strings.NewReader(chatBody))
 	if err != nil {
@@ -174,7 +174,7 @@
 	req.Header.Set("Authorization", "Bearer "+fakecaller.APIKey)
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		resp.Body.Close()
-		t.Error("the caller got an answer")
+		t.Error("the caller received a response")
 	}
 	// Close waits for the handler, which waits for the work.
 	server.Close()
--- a/caller/rig_test.go
+++ b/caller/harness_test.go
@@ -17,22 +17,22 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// rig is an entry with fakes around it.
-type rig struct {
+// harness is an entry whose dependencies are fakes.
+type harness struct {
 	log  transcript.Log
 	rows *memtable.Table
 	a, b *fakeengine.Engine
-	// logA and logB stand before the engines.
+	// logA and logB record the calls to the engines.
 	logA, logB transcript.Engine
 	svc        *fakeservice.Endpoint
 	forward    *forward.Forwarder
 	handler    http.Handler
 }
 
-// newRig returns an entry with two engines and a service. Targets in first are
-// tried before them.
-func newRig(first ...forward.Target) *rig {
-	r := &rig{rows: memtable.New(), svc: new(fakeservice.Endpoint)}
+// newHarness returns an entry with two engines and a service. The targets in first are tried before
+// them.
+func newHarness(first ...forward.Target) *harness {
+	r := &harness{rows: memtable.New(), svc: new(fakeservice.Endpoint)}
 	r.log.Mask(`[A-Z2-7]{26}`, "<id>")
 	opts := fakeengine.Options{FirstToken: 50 * time.Millisecond, TokenGap: 20 * time.Millisecond}
 	r.a, r.b = fakeengine.New(opts), fakeengine.New(opts)
@@ -51,15 +51,15 @@
 	return r
 }
 
-// send makes one request in this process.
-func (r *rig) send(method, path, body string, header ...string) *httptest.ResponseRecorder {
+// send serves one request in process and waits for the forwarder to become idle.
+func (h *harness) send(method, path, body string, header ...string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+fakecaller.APIKey)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
 	w := httptest.NewRecorder()
-	r.handler.ServeHTTP(w, req)
-	r.forward.Wait()
+	h.handler.ServeHTTP(w, req)
+	h.forward.Wait()
 	return w
 }
--- a/caller/hop_test.go
+++ b/caller/hop_test.go
@@ -20,15 +20,15 @@
 	hopBody   = `{"model":"assistant","prompt":"hello there","max_tokens":6}`
 )
 
-// twoZones returns an entry whose first target is the entry of another zone.
-func twoZones(t *testing.T) (near, far *rig) {
-	far = newRig()
+// twoZones returns two entries; the first target of near is the entry far of another zone.
+func twoZones(t *testing.T) (near, far *harness) {
+	far = newHarness()
 	server := httptest.NewServer(far.handler)
 	t.Cleanup(server.Close)
 	transport := forward.NewPeerTransport()
 	t.Cleanup(transport.CloseIdleConnections)
 	peer := forward.NewPeerTarget(server.Listener.Addr().String(), transport)
-	near = newRig(forward.Target{Name: "far", Zone: "z2", Peer: peer})
+	near = newHarness(forward.Target{Name: "far", Zone: "z2", Peer: peer})
 	return near, far
 }
 
@@ -39,13 +39,13 @@
 	tests := []struct {
 		name string
 		far  func(engine.GenerateRequest) fakeengine.Behaviour
-		// onFar and onNear count the attempts of the first engine of each zone;
-		// resumed is where the near one went on.
+		// onFar and onNear are the expected attempts at the first engine of each zone; resumed
+		// is the token from which the near engine resumes.
 		onFar, onNear, resumed int
 	}{
 		{"whole", nil, 1, 0, 0},
 		{"refused there, answered here", refuse, 1, 1, 0},
-		{"broke there, resumed here", breakAfter(2), 1, 1, 4},
+		{"broke there, resumed here", truncateAfter(2), 1, 1, 4},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestHopOfAKeyedCall(t *testing.T) {
+func TestHopWithIdempotencyKey(t *testing.T) {
 	near, far := twoZones(t)
 	for range 2 {
 		w := near.send("POST", "/s/slots/confirm", "slot 7", wire.HeaderIdempotencyKey, "k")
@@ -80,20 +80,20 @@
 		}
 	}
 	if far.svc.Runs("k") != 1 || near.svc.Runs("k") != 0 {
-		t.Errorf("ran %d times there and %d here, want 1 and 0", far.svc.Runs("k"), near.svc.Runs("k"))
+		t.Errorf("ran %d times in the far zone and %d in the near zone, want 1 and 0", far.svc.Runs("k"), near.svc.Runs("k"))
 	}
 	if got := near.rows.Counts().Commits; got != 0 {
-		t.Errorf("the near entry claimed as well: %d commits", got)
+		t.Errorf("the near entry also stored a claim: %d commits", got)
 	}
 }
 
-func TestHopToAnEntryOutOfReach(t *testing.T) {
+func TestHopToUnreachableEntry(t *testing.T) {
 	transport := forward.NewPeerTransport()
 	// Port 1 of the loopback address refuses connections.
 	peer := forward.NewPeerTarget("127.0.0.1:1", transport)
-	near := newRig(forward.Target{Name: "far", Peer: peer})
+	near := newHarness(forward.Target{Name: "far", Peer: peer})
 	w := near.send("POST", "/s/slots/confirm", "slot 7")
 	if !strings.Contains(w.Body.String(), `"outcome":"not-run"`) || near.svc.Runs("") > 0 {
-		t.Errorf("got %s; want not-run, and no second try without a key", w.Body)
+		t.Errorf("got %s; want not-run, and no retry without a key", w.Body)
 	}
 }
--- a/caller/metrics.go
+++ b/caller/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// kind tells requests apart in metrics.
+// kind is the request kind in metric labels.
 type kind string
 
 const (
@@ -18,7 +18,7 @@
 	kindModels     kind = "models"
 	kindService    kind = "service"
 	kindUnknown    kind = "unknown"
-	// kindHop is passed on by another zone's entry, which counts it as well.
+	// kindHop is a request forwarded by an entry of another zone, which also counts it.
 	kindHop kind = "hop"
 )
 
@@ -32,24 +32,24 @@
 	return "unknown"
 }
 
-// labels name a request in metrics. Both have few values.
+// labels returns the metric labels of a request. Both have a small, fixed set of values.
 func (x *exchange) labels() string {
 	return fmt.Sprintf(`{kind=%q,priority=%q}`, x.kind, priorityName(x.work.Priority))
 }
 
-// arrived counts a request.
-func (x *exchange) arrived() {
+// countRequest counts a received request.
+func (x *exchange) countRequest() {
 	metrics.GetOrCreateCounter("springweir_requests_total" + x.labels()).Inc()
 }
 
-// firstPiece notes the time to the first piece of a streamed answer.
-func (x *exchange) firstPiece() {
+// recordFirstChunk records the time to the first chunk of a streamed response.
+func (x *exchange) recordFirstChunk() {
 	metrics.GetOrCreateHistogram("springweir_first_piece_seconds" + x.labels()).UpdateDuration(x.start)
 }
 
-// ended counts a request that was answered whole and, of those, one that was
-// answered within its deadline: the goodput.
-func (x *exchange) ended() {
+// recordCompletion counts a request whose response was complete and records its latency. Those
+// completed within their deadline, the goodput, are counted separately.
+func (x *exchange) recordCompletion() {
 	if x.failed {
 		return
 	}
--- a/caller/servicecall.go
+++ b/caller/servicecall.go
@@ -10,8 +10,8 @@
 	"github.com/springweir/springweir/service"
 )
 
-// notPassedOn are headers that belong to one connection, or to springweir.
-var notPassedOn = []string{
+// unforwardedHeaders are hop-by-hop headers and headers of springweir itself.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Authorization",
 	wire.HeaderHop, wire.HeaderAttempt, wire.HeaderDeadline, wire.HeaderPriority,
@@ -22,12 +22,12 @@
 	name, path, _ := strings.Cut(strings.TrimPrefix(x.r.URL.EscapedPath(), wire.PathServices), "/")
 	svc, ok := h.cfg.Catalogue.Service(name)
 	if !ok {
-		return refused(failure.NoSuchService, "the settings name no such service")
+		return reject(failure.NoSuchService, "the settings name no such service")
 	}
-	if !mayUse(x.org.Services, svc.Name) {
-		return refused(failure.NotAllowed, "the organisation may not call this service")
+	if !isAllowed(x.org.Services, svc.Name) {
+		return reject(failure.NotAllowed, "the organisation may not call this service")
 	}
-	body, failed := readBody(x, h.bound(x, svc.Limits))
+	body, failed := readBody(x, h.applyLimits(x, svc.Limits))
 	if failed != nil {
 		return failed
 	}
@@ -36,14 +36,14 @@
 	x.work.Call = service.Call{
 		Method: x.r.Method,
 		Path:   withQuery("/"+path, x.r.URL.RawQuery),
-		Header: passedOn(x.r.Header),
+		Header: forwardedHeaders(x.r.Header),
 		Body:   body,
 	}
-	reply, err := h.cfg.Forwarder.Call(x.r.Context(), x.work)
+	resp, err := h.cfg.Forwarder.Call(x.r.Context(), x.work)
 	if err != nil {
 		return asFailure(err)
 	}
-	x.reply(reply)
+	x.writeResponse(resp)
 	return nil
 }
 
@@ -54,30 +54,30 @@
 	return path + "?" + query
 }
 
-// passedOn copies the headers that are meant for the other side.
-func passedOn(from http.Header) http.Header {
+// forwardedHeaders returns a copy of the headers without hop-by-hop and springweir headers.
+func forwardedHeaders(from http.Header) http.Header {
 	to := from.Clone()
 	for _, value := range from.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
 			to.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range notPassedOn {
+	for _, name := range unforwardedHeaders {
 		to.Del(name)
 	}
 	return to
 }
 
-func (x *exchange) reply(reply *forward.Response) {
+func (x *exchange) writeResponse(resp *forward.Response) {
 	header := x.w.Header()
-	for name, values := range passedOn(reply.Header) {
+	for name, values := range forwardedHeaders(resp.Header) {
 		header[name] = values
 	}
-	if reply.Replayed {
+	if resp.Replayed {
 		header.Set(wire.HeaderReplayed, "true")
 	}
-	x.w.WriteHeader(reply.Status)
-	if _, err := x.w.Write(reply.Body); err != nil {
-		x.note(gone(err))
+	x.w.WriteHeader(resp.Status)
+	if _, err := x.w.Write(resp.Body); err != nil {
+		x.recordFailure(callerDisconnected(err))
 	}
 }
--- a/caller/wire/wire.go
+++ b/caller/wire/wire.go
@@ -1,32 +1,32 @@
-// Package wire holds the JSON and the headers of the HTTP interface towards
-// callers: the usual chat completions interface and springweir's additions. An
-// entry that passes work on to an entry of another zone speaks it as well.
+// Package wire defines the JSON bodies and headers of the HTTP API for callers: the common chat
+// completions API with springweir's extensions. Entries also use it to forward work to entries of
+// other zones.
 package wire
 
 import "github.com/springweir/springweir/failure"
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	// HeaderDeadline is the time left for the whole answer, in milliseconds.
+	// HeaderDeadline is the time allowed for the complete response, in milliseconds.
 	HeaderDeadline = "Springweir-Deadline-Ms"
-	// HeaderPriority is interactive, standard or batch.
+	// HeaderPriority is the priority class: interactive, standard or batch.
 	HeaderPriority = "Springweir-Priority"
-	// HeaderIdempotencyKey names a call that may not be repeated.
+	// HeaderIdempotencyKey identifies a call that must be executed at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderReason is set on every failure that springweir itself answers
-	// with, so that it differs from a failure passed on from a service.
+	// HeaderReason is set on every error response that springweir itself generates, to
+	// distinguish it from an error response of a service.
 	HeaderReason = "Springweir-Reason"
-	// HeaderRequest is springweir's id of the request, set on every answer.
+	// HeaderRequest is the request ID assigned by springweir, set on every response.
 	HeaderRequest = "Springweir-Request-Id"
-	// HeaderReplayed is set on the stored answer of a call that ran earlier.
+	// HeaderReplayed is set on the stored response of a call that was executed earlier.
 	HeaderReplayed = "Springweir-Replayed"
-	// HeaderHop is set between entries; it forbids passing the work on again.
+	// HeaderHop is set between entries; a request with it is not forwarded to yet another zone.
 	HeaderHop = "Springweir-Hop"
-	// HeaderAttempt binds a hopped request and its answer to one attempt.
+	// HeaderAttempt associates a request between entries and its response with one attempt.
 	HeaderAttempt = "Springweir-Attempt"
 )
 
-// Paths of the interface.
+// Paths of the API.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -35,8 +35,7 @@
 	PathServices = "/s/"
 )
 
-// DoneEvent is the data of the event that ends a whole stream. A stream that
-// failed never carries it.
+// DoneEvent is the data of the event that ends a complete stream. A failed stream never has it.
 const DoneEvent = "[DONE]"
 
 // Message is one turn of a chat.
@@ -48,7 +47,7 @@
 // Request is the body of a chat or a completion.
 type Request struct {
 	Model string `json:"model"`
-	// Messages is for chats, Prompt for completions.
+	// Messages is set for chats, Prompt for completions.
 	Messages  []Message `json:"messages,omitempty"`
 	Prompt    string    `json:"prompt,omitempty"`
 	MaxTokens int       `json:"max_tokens,omitempty"`
@@ -57,47 +56,46 @@
 	Hop *Hop `json:"springweir,omitempty"`
 }
 
-// Hop is what an entry adds to a completion that it passes on.
+// Hop holds the fields that an entry adds to a completion that it forwards to another zone.
 type Hop struct {
 	// PromptTokens is the first entry's estimate.
 	PromptTokens int `json:"prompt_tokens"`
-	// Version is the version of the weights wanted; empty takes any.
+	// Version is the required version of the weights; empty means any.
 	Version string `json:"version,omitempty"`
-	// ResumeFrom is the number of tokens that the caller already holds;
-	// Emitted is their text.
+	// ResumeFrom is the number of tokens already sent to the caller; Emitted is their text.
 	ResumeFrom int    `json:"resume_from,omitempty"`
 	Emitted    string `json:"emitted,omitempty"`
 }
 
-// Choice is one answer, or a piece of it. springweir gives exactly one.
+// Choice is one generated text, or a chunk of it. Responses of springweir have exactly one.
 type Choice struct {
 	Index int `json:"index"`
-	// Message is for whole chats, Delta for pieces of chats, Text for completions.
+	// Message is set for buffered chats, Delta for chunks of chats, Text for completions.
 	Message      *Message `json:"message,omitempty"`
 	Delta        *Delta   `json:"delta,omitempty"`
 	Text         *string  `json:"text,omitempty"`
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Delta is a piece of a chat answer.
+// Delta is a chunk of a chat response.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage reports the token counts of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
-	// CachedTokens of the prompt came from an engine's prefix cache.
+	// CachedTokens is the number of prompt tokens served from an engine's prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Object tells what an answer's body is.
+// Object is the type of a response body.
 type Object string
 
-// The objects of the interface.
+// The object types of the API.
 const (
 	ObjectChat       Object = "chat.completion"
 	ObjectChatChunk  Object = "chat.completion.chunk"
@@ -106,7 +104,7 @@
 	ObjectList       Object = "list"
 )
 
-// Response is a whole answer, or the body of one event of a stream.
+// Response is a complete response, or the body of one event of a stream.
 type Response struct {
 	ID      string   `json:"id"`
 	Object  Object   `json:"object"`
@@ -118,38 +116,38 @@
 	HopChunk *HopChunk `json:"springweir,omitempty"`
 }
 
-// HopChunk places an event of a hopped stream in the whole answer.
+// HopChunk gives the position of an event in the complete response of a stream between entries.
 type HopChunk struct {
 	Attempt  string `json:"attempt"`
 	Position int    `json:"position"`
 	Tokens   int    `json:"tokens"`
-	// Version is the version of the weights that it was computed with.
+	// Version is the version of the weights that generated the chunk.
 	Version string `json:"version,omitempty"`
 }
 
-// Model is one line of the list of models.
+// Model is an element of the list of models.
 type Model struct {
 	ID      string `json:"id"`
 	Object  Object `json:"object"`
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the answer to PathModels.
+// ModelList is the response to PathModels.
 type ModelList struct {
 	Object Object  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// ErrorBody is the body of every failure that springweir itself answers with.
+// ErrorBody is the body of every error response that springweir itself generates.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
 
-// Error is a failure as a caller sees it.
+// Error describes a failure to the caller.
 type Error struct {
 	Reason  failure.Reason  `json:"reason"`
 	Outcome failure.Outcome `json:"outcome"`
 	Message string          `json:"message"`
-	// RetryAfterMillis is zero when coming back makes no sense.
+	// RetryAfterMillis is the delay before a retry; zero means that a retry is of no use.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
--- a/caller/refuse.go
+++ b/caller/writefailure.go
@@ -9,8 +9,8 @@
 	"github.com/springweir/springweir/forward"
 )
 
-// WriteFailure writes the error response for a request that never reached a Handler, in the form
-// that a Handler uses.
+// WriteFailure writes the error response for a request that never reached a Handler, in the format
+// of a Handler.
 func WriteFailure(w http.ResponseWriter, r *http.Request, f *failure.Request) {
 	x := &exchange{w: w, r: r, work: &forward.Work{ID: rand.Text()}}
 	w.Header().Set(wire.HeaderRequest, x.work.ID)
