--- a/controller/contender.go
+++ b/controller/contender.go
@@ -13,69 +13,69 @@
 )
 
 const (
-	// zonePool is the pool name of the lease under which a zone's roster is
-	// kept and its configurations are confirmed. No pool can have it, because
-	// names in the tree have no '@'.
+	// zonePool is the pool name of the lease whose holder maintains the zone's roster and confirms
+	// its configurations. It cannot collide with a pool, because names in the tree have no '@'.
 	zonePool = "@zone"
-	// dutyRefresh is how often the pools of the tree are compared with the
-	// leases contended for.
-	dutyRefresh = time.Second
+	// poolRefreshInterval is the interval at which the leases contended for are aligned with the
+	// pools of the tree, in addition to when the tree changes.
+	poolRefreshInterval = time.Second
 )
 
-// duties contends for the zone's lease and for one lease for each pool that has
-// engines in the zone. It is safe for concurrent use; mu is a leaf.
-type duties struct {
-	c *Controller
+// contender contends for the zone's lease and for one lease per pool that has engines in the zone.
+// It is safe for concurrent use; no other lock is acquired while mu is held.
+type contender struct {
+	controller *Controller
 
 	mu sync.Mutex
-	// running holds how to stop contending, by pool.
+	// running holds the function that stops contending for a pool's lease, by pool name.
 	running map[string]context.CancelFunc
 	wg      sync.WaitGroup
 }
 
-func newDuties(c *Controller) *duties {
-	return &duties{c: c, running: map[string]context.CancelFunc{}}
+func newContender(c *Controller) *contender {
+	return &contender{controller: c, running: map[string]context.CancelFunc{}}
 }
 
-// Run contends until ctx ends, and returns once every lease is released.
-func (d *duties) Run(ctx context.Context) {
-	d.contend(ctx, zonePool, d.c.leadZone)
-	ticker := time.NewTicker(dutyRefresh)
+// Run contends for the leases until ctx ends, and returns once all of them are released.
+func (c *contender) Run(ctx context.Context) {
+	c.contend(ctx, zonePool, c.controller.leadZone)
+	ticker := time.NewTicker(poolRefreshInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		d.follow(ctx)
+		c.syncPools(ctx)
 		select {
 		case <-ctx.Done():
-		case <-d.c.trees.changed:
+		case <-c.controller.trees.changed:
 		case <-ticker.C:
 		}
 	}
-	d.wg.Wait()
+	c.wg.Wait()
 }
 
-// follow contends for the pools that have engines in this zone, and no others.
-func (d *duties) follow(ctx context.Context) {
-	wanted := d.c.poolsHere()
+// syncPools starts contending for pools that now have engines in this zone, and stops for pools
+// that no longer do.
+func (c *contender) syncPools(ctx context.Context) {
+	wanted := c.controller.localPools()
 	for pool := range wanted {
-		d.mu.Lock()
-		_, running := d.running[pool]
-		d.mu.Unlock()
+		c.mu.Lock()
+		_, running := c.running[pool]
+		c.mu.Unlock()
 		if !running {
-			d.contend(ctx, pool, d.c.leadPool)
+			c.contend(ctx, pool, c.controller.leadPool)
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for pool, stop := range d.running {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for pool, stop := range c.running {
 		if pool != zonePool && !wanted[pool] {
 			stop()
-			delete(d.running, pool)
+			delete(c.running, pool)
 		}
 	}
 }
 
-// poolsHere returns the pools that have engines in this zone.
-func (c *Controller) poolsHere() map[string]bool {
+// localPools returns the names of the pools that have engines in this zone.
+func (c *Controller) localPools() map[string]bool {
 	pools := map[string]bool{}
 	tree := c.trees.tree()
 	if tree == nil {
@@ -89,31 +89,32 @@
 	return pools
 }
 
-// contend runs a holder for one lease; lead runs in each tenure.
-func (d *duties) contend(ctx context.Context, pool string, lead func(context.Context, *lease.Holder, *lease.Lease)) {
+// contend starts a lease holder for a pool. lead runs whenever the lease is held, until it is lost.
+func (c *contender) contend(ctx context.Context, pool string, lead func(context.Context, *lease.Holder, *lease.Lease)) {
 	ctx, stop := context.WithCancel(ctx)
-	d.mu.Lock()
-	d.running[pool] = stop
-	d.mu.Unlock()
-	holder := lease.NewHolder(d.c.platform.Rows, lease.Config{
-		Pool: pool, Zone: d.c.process.Zone, Identity: d.c.self,
-		Eligible: func() bool { return d.c.departed.Listed(d.c.process.VM) },
-		Rank:     func() int { return d.c.rank(pool) },
+	c.mu.Lock()
+	c.running[pool] = stop
+	c.mu.Unlock()
+	holder := lease.NewHolder(c.controller.platform.Rows, lease.Config{
+		Pool: pool, Zone: c.controller.process.Zone, Identity: c.controller.identity,
+		Eligible: func() bool { return c.controller.departed.Listed(c.controller.process.VM) },
+		Rank:     func() int { return c.controller.rank(pool) },
 	})
-	d.wg.Go(func() {
+	c.wg.Go(func() {
 		holder.Run(ctx, func(ctx context.Context, l *lease.Lease) { lead(ctx, holder, l) })
 	})
 }
 
-// leadZone keeps the zone's roster and confirms configurations, for one tenure.
+// leadZone maintains the zone's roster, confirms configurations and prunes old ones while the
+// zone's lease is held.
 func (c *Controller) leadZone(ctx context.Context, _ *lease.Holder, l *lease.Lease) {
-	klog.Infof("controller: keeps zone %s", c.process.Zone)
-	keeper := contact.NewKeeper(c.process.Zone, c.platform.Rows, c.peers, c.platform.Members, l, writeID)
-	confirmer := rollout.NewConfirmer(c.process.Zone, c.platform.Rows, c.store, c.peers, l, keeper.Suspect, writeID)
+	klog.Infof("controller: leading zone %s", c.process.Zone)
+	rosterKeeper := contact.NewKeeper(c.process.Zone, c.platform.Rows, c.peers, c.platform.Members, l, writeID)
+	confirmer := rollout.NewConfirmer(c.process.Zone, c.platform.Rows, c.store, c.peers, l, rosterKeeper.Suspect, writeID)
 	pruner := rollout.NewPruner(c.process.Zone, c.store, l)
 	var wg sync.WaitGroup
 	wg.Go(func() { pruner.Run(ctx) })
-	wg.Go(func() { keeper.Run(ctx) })
+	wg.Go(func() { rosterKeeper.Run(ctx) })
 	wg.Go(func() { confirmer.Run(ctx) })
 	wg.Wait()
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,9 +1,10 @@
-// Package controller is the control path of an entry VM: it contends for the
-// leases of its availability zone, keeps the zone's roster, confirms
-// configurations, plans and orders changes of engines, and answers operators.
+// Package controller implements the control plane process of an entry VM. It contends for the
+// leases of its availability zone, maintains the zone's roster, confirms configurations, plans and
+// orders role changes, loads and replacements of engines, and serves the operators' API.
 //
-// Every VM runs one, beside its entry. Which one acts is decided by leases. No
-// request passes through it, so killing, pausing or replacing it cuts none.
+// Every entry VM runs one controller beside its entry. Leases decide which controller leads the
+// zone and each pool. No request passes through a controller, so stopping, pausing or replacing one
+// interrupts no requests.
 package controller
 
 import (
@@ -37,7 +38,7 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// Platform is what the platform gives.
+// Platform holds the platform services that a controller uses.
 type Platform struct {
 	Rows    table.Service
 	Objects object.Store
@@ -45,7 +46,7 @@
 	Weights weightstore.Store
 }
 
-// readHeaderTimeout bounds how long a peer or operator may take over headers.
+// readHeaderTimeout bounds the time in which a peer or operator must send the request headers.
 const readHeaderTimeout = 10 * time.Second
 
 // Controller is one controller process.
@@ -53,27 +54,26 @@
 	network  network.Network
 	process  *settings.Process
 	platform Platform
-	// entry is the peer address of this VM's entry.
-	entry string
-	self  lease.Identity
-	start time.Time
+	// entryAddress is the peer address of this VM's entry.
+	entryAddress string
+	identity     lease.Identity
+	start        time.Time
 
 	members   *membership.Watcher
 	departed  *order.Departed
 	store     *rollout.Store
-	trees     *trees
+	trees     *treeFollower
 	transport http.RoundTripper
 	peers     *peer.Client
 	gate      *order.Gate
 	journal   *order.Journal
 	responder *order.Responder
 	targets   *targets
-	duties    *duties
-	decisions *decisions
-	// leading holds the planner of each pool that this controller acts for, by
-	// the pool's name.
-	leading   sync.Map
-	operators *operator.Server
+	contender *contender
+	decisions *decisionLog
+	// poolPlanners holds a *poolPlanner for each pool that this controller leads, by pool name.
+	poolPlanners sync.Map
+	operators    *operator.Server
 
 	listeners listeners
 }
@@ -81,32 +81,32 @@
 // listeners are the sockets of a process.
 type listeners struct{ peers, operators, metrics net.Listener }
 
-// New binds the addresses and wires the process. entry is the peer address of
-// this VM's entry. The error is of package net.
+// New binds the listen addresses and creates a controller. entry is the peer address of this VM's
+// entry. Errors are those of package net, wrapped.
 func New(p *settings.Process, entry string, platform Platform) (*Controller, error) {
 	return NewOn(network.TCP(), p, entry, platform)
 }
 
 // NewOn is New on a given network.
 func NewOn(n network.Network, p *settings.Process, entry string, platform Platform) (*Controller, error) {
-	c := &Controller{network: n, process: p, platform: platform, entry: entry, start: clock.Now()}
+	c := &Controller{network: n, process: p, platform: platform, entryAddress: entry, start: clock.Now()}
 	if err := c.listen(); err != nil {
 		return nil, err
 	}
-	c.self = lease.Identity{VM: p.VM, Process: rand.Text(), Address: c.advertise()}
+	c.identity = lease.Identity{VM: p.VM, Process: rand.Text(), Address: c.advertise()}
 	c.members = membership.NewWatcher(platform.Members, membership.WatcherConfig{})
 	c.departed = &order.Departed{Watcher: c.members}
 	c.store = rollout.NewStore(platform.Rows, platform.Objects)
 	c.transport = n.Over(peer.NewTransport())
 	c.peers = peer.NewControllerClient(c.transport)
-	c.trees = newTrees(c.store, c.peers, entry)
+	c.trees = newTreeFollower(c.store, c.peers, entry)
 	c.gate = order.NewGate()
 	c.journal = order.NewJournal(platform.Rows)
-	c.responder = order.NewResponder(c.gate, c.proving(), order.Timing{})
+	c.responder = order.NewResponder(c.gate, c.provingIdentity(), order.Timing{})
 	c.targets = newTargets(c.trees, n)
-	c.decisions = newDecisions()
+	c.decisions = newDecisionLog()
 	c.operators = operator.NewServer(history.New(c.store), &fleetStatus{c})
-	c.duties = newDuties(c)
+	c.contender = newContender(c)
 	return c, nil
 }
 
@@ -135,45 +135,45 @@
 	return c.listeners.peers.Addr().String()
 }
 
-// proving is the identity under which this process may prove that an earlier
-// one is dead. The proof rests on the bound socket, so an address that is not
-// the bound one (behind a relay, say) proves nothing.
-func (c *Controller) proving() lease.Identity {
-	self := c.self
-	if self.Address != c.listeners.peers.Addr().String() {
-		self.Address = ""
+// provingIdentity returns the identity under which this process may prove that an earlier process
+// has exited. The proof relies on the bound socket, so the address is left empty if the advertised
+// address is not the bound one, such as behind a relay.
+func (c *Controller) provingIdentity() lease.Identity {
+	identity := c.identity
+	if identity.Address != c.listeners.peers.Addr().String() {
+		identity.Address = ""
 	}
-	return self
+	return identity
 }
 
-// waitingFor returns what a planned change of an endpoint waits for, if this
-// controller acts for the pool, and nil otherwise.
+// waitingFor returns what a planned change of an endpoint is waiting for, or nil if it is not
+// waiting or this controller does not lead the pool.
 func (c *Controller) waitingFor(pool, endpoint string) *withhold.WaitingError {
-	p, leads := c.leading.Load(pool)
-	if !leads {
+	p, found := c.poolPlanners.Load(pool)
+	if !found {
 		return nil
 	}
 	return p.(*poolPlanner).withhold.Waiting(endpoint)
 }
 
-// now is the clock of planners.
+// now returns the planners' time, measured from the start of the controller.
 func (c *Controller) now() time.Duration { return clock.Since(c.start) }
 
-// writeID returns a new id for a write to the table.
+// writeID returns a new ID for a write to the table.
 func writeID() string { return rand.Text() }
 
-// Run works until ctx ends, or a socket breaks, and then stops by plan: leases
-// are released, so that another controller takes over at once.
+// Run runs the controller until ctx ends or a server fails. It then releases its leases, so that
+// another controller takes over immediately.
 //
-// The peers' socket is closed last, when the process is about to exit: as long
-// as it is bound, no other process can prove that this one is dead.
+// The peers' socket is closed last, when the process is about to exit: while it is bound, no other
+// process can prove that this one has exited.
 func (c *Controller) Run(ctx context.Context) error {
 	background, stopBackground := context.WithCancel(context.Background())
 	defer stopBackground()
-	g, broken := errgroup.WithContext(context.Background())
-	ctx, giveUp := context.WithCancel(ctx)
-	defer giveUp()
-	context.AfterFunc(broken, giveUp)
+	g, groupCtx := errgroup.WithContext(context.Background())
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	context.AfterFunc(groupCtx, cancel)
 	for _, run := range []func(context.Context){c.members.Run, c.trees.Run} {
 		g.Go(func() error {
 			run(background)
@@ -181,8 +181,8 @@
 		})
 	}
 	servers := c.serve(g)
-	klog.Infof("controller: %s of zone %s answers operators on %s", c.process.VM, c.process.Zone, c.listeners.operators.Addr())
-	c.duties.Run(ctx)
+	klog.Infof("controller: %s of zone %s serves operators on %s", c.process.VM, c.process.Zone, c.listeners.operators.Addr())
+	c.contender.Run(ctx)
 	stopBackground()
 	for _, s := range servers {
 		_ = s.Close()
@@ -190,7 +190,7 @@
 	return g.Wait()
 }
 
-// serve starts the servers.
+// serve starts the HTTP servers in g and returns them in the order in which they are to be closed.
 func (c *Controller) serve(g *errgroup.Group) []*http.Server {
 	peers := controllerpb.NewControllerServer(c.responder)
 	var servers []*http.Server
@@ -214,7 +214,7 @@
 	return servers
 }
 
-// admin serves the metrics and a liveness check.
+// admin returns the handler for metrics and the liveness check.
 func admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -29,17 +29,17 @@
 address = 10.0.2.2:9000
 `
 
-// TestReplacementTakesOverBeforeTheDrain shows the whole course of a
-// replacement under load: the new engine gets what the old one has loaded, then
-// its role, and only then does the old one drain. Nothing is cut or refused.
-func TestReplacementTakesOverBeforeTheDrain(t *testing.T) {
+// TestReplacementTakesOverBeforeDrain checks a replacement under load: the new engine loads the
+// artifacts of the old one and takes over its role before the old one drains. No response is
+// truncated or refused.
+func TestReplacementTakesOverBeforeDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, twoEngines,
 			engineSpec{"engine-1", engine.Mixed, []weightstore.Artifact{chat}},
 			engineSpec{"engine-2", engine.Decode, []weightstore.Artifact{{Model: "other", Version: "1"}}})
 		defer z.shutDown()
 		var stop atomic.Bool
-		var sent, cut atomic.Int64
+		var sent, truncated atomic.Int64
 		var callers sync.WaitGroup
 		defer func() {
 			stop.Store(true)
@@ -48,17 +48,17 @@
 		for n := range 4 {
 			callers.Go(func() {
 				for !stop.Load() {
-					time.Sleep(10 * time.Millisecond) // a refusal takes no time by itself
+					time.Sleep(10 * time.Millisecond) // a refusal returns immediately
 					sent.Add(1)
-					if answer := z.chat(n%2+1, "May a container stand here?", 40); !whole(answer) {
-						cut.Add(1)
-						t.Errorf("not whole: %s", answer)
+					if response := z.chat(n%2+1, "May a container stand here?", 40); !complete(response) {
+						truncated.Add(1)
+						t.Errorf("incomplete response: %s", response)
 					}
 				}
 			})
 		}
 		z.await("engine-1 drains", func() bool {
-			e, _ := z.head().Endpoint("engine-1")
+			e, _ := z.headTree().Endpoint("engine-1")
 			return e.Drain
 		})
 		state := z.engines["engine-2"].State()
@@ -72,8 +72,8 @@
 		if n := z.engines["engine-1"].Streams(); n != 0 {
 			t.Errorf("the drained engine has %d streams", n)
 		}
-		if sent.Load() < 100 || cut.Load() != 0 {
-			t.Errorf("%d of %d answers were cut", cut.Load(), sent.Load())
+		if sent.Load() < 100 || truncated.Load() != 0 {
+			t.Errorf("%d of %d responses were truncated", truncated.Load(), sent.Load())
 		}
 	})
 }
@@ -99,9 +99,9 @@
 address = 10.0.2.3:9000
 `
 
-// TestLoadsMakeTheCopies shows that a model is loaded on as many engines as the
-// tree asks for, no more, and that the budget's slots are free afterwards.
-func TestLoadsMakeTheCopies(t *testing.T) {
+// TestLoadsReachConfiguredCopies checks that a model is loaded on exactly as many engines as the
+// tree configures, and that the budget's slots are free afterwards.
+func TestLoadsReachConfiguredCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := []weightstore.Artifact{{Model: "other", Version: "1"}}
 		z := newZone(t, copiesOfTwo,
@@ -135,29 +135,28 @@
 	})
 }
 
-// TestPlannedStopHandsTheLeasesOver shows that a controller which is stopped by
-// plan is succeeded without waiting for its leases to run out, and that its
-// successor's fences are higher.
-func TestPlannedStopHandsTheLeasesOver(t *testing.T) {
+// TestPlannedStopReleasesLeases checks that another controller takes over from one that is stopped
+// as planned without waiting for the leases to expire, and that its fencing tokens are higher.
+func TestPlannedStopReleasesLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, copiesOfTwo,
 			engineSpec{"engine-1", engine.Mixed, []weightstore.Artifact{chat}},
 			engineSpec{"engine-2", engine.Mixed, []weightstore.Artifact{chat}},
 			engineSpec{"engine-3", engine.Mixed, []weightstore.Artifact{chat}})
 		defer z.shutDown()
-		before := z.leases("language")
-		z.await("the pool's lease is held", func() bool { before = z.leases("language"); return before.Holder != "" })
+		before := z.poolLease("language")
+		z.await("the pool's lease is held", func() bool { before = z.poolLease("language"); return before.Holder != "" })
 		for _, v := range z.vms {
 			if v.controller.process.VM == before.Holder {
 				v.stopController()
 			}
 		}
 		z.await("the other controller holds it", func() bool {
-			now := z.leases("language")
+			now := z.poolLease("language")
 			return now.Holder != "" && now.Holder != before.Holder && now.Fence > before.Fence
 		})
-		if answer := z.chat(1, "Still there?", 20); !whole(answer) {
-			t.Errorf("not whole: %s", answer)
+		if response := z.chat(1, "Still there?", 20); !complete(response) {
+			t.Errorf("incomplete response: %s", response)
 		}
 	})
 }
--- a/controller/decisionlog.go
+++ b/controller/decisionlog.go
@@ -11,27 +11,28 @@
 	"github.com/springweir/springweir/roles"
 )
 
-// keptDecisions is how many decisions are shown to operators.
-const keptDecisions = 32
+// maxDecisions is the number of decisions shown to operators.
+const maxDecisions = 32
 
-// decisions keeps the last decisions of this controller's planners. It is safe
-// for concurrent use; mu is a leaf.
-type decisions struct {
-	mu   sync.Mutex
-	kept []decided
+// decisionLog records the latest decisions of this controller's role planners. It is safe for
+// concurrent use; no other lock is acquired while mu is held.
+type decisionLog struct {
+	mu      sync.Mutex
+	records []decisionRecord
 }
 
-type decided struct {
+// decisionRecord is a decision and its time.
+type decisionRecord struct {
 	at       time.Time
 	decision *pb.Decision
 }
 
-func newDecisions() *decisions { return &decisions{} }
+func newDecisionLog() *decisionLog { return &decisionLog{} }
 
-// note keeps a role planner's decision. One without a change replaces the
-// pool's last one without a change.
-func (d *decisions) note(pool, zone string, decision roles.Decision, made int) {
-	out := &pb.Decision{Pool: pool, Zone: zone, Reason: string(decision.Reason), Taken: made > 0}
+// add records a role planner's decision, of which accepted changes were accepted by the executor. A
+// decision without accepted changes replaces the pool's previous one without any.
+func (d *decisionLog) add(pool, zone string, decision roles.Decision, accepted int) {
+	out := &pb.Decision{Pool: pool, Zone: zone, Reason: string(decision.Reason), Taken: accepted > 0}
 	var actions []string
 	for _, c := range decision.Changes {
 		actions = append(actions, c.Engine+": role "+string(c.From)+" -> "+string(c.To))
@@ -39,23 +40,23 @@
 	out.Action = strings.Join(actions, ", ")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if made == 0 {
-		d.kept = slices.DeleteFunc(d.kept, func(old decided) bool {
+	if accepted == 0 {
+		d.records = slices.DeleteFunc(d.records, func(old decisionRecord) bool {
 			return old.decision.Pool == pool && !old.decision.Taken
 		})
 	}
-	d.kept = append(d.kept, decided{at: clock.Now(), decision: out})
-	if len(d.kept) > keptDecisions {
-		d.kept = slices.Clone(d.kept[len(d.kept)-keptDecisions:])
+	d.records = append(d.records, decisionRecord{at: clock.Now(), decision: out})
+	if len(d.records) > maxDecisions {
+		d.records = slices.Clone(d.records[len(d.records)-maxDecisions:])
 	}
 }
 
-// list returns the decisions, newest first.
-func (d *decisions) list() []*pb.Decision {
+// list returns the recorded decisions, newest first.
+func (d *decisionLog) list() []*pb.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []*pb.Decision
-	for _, k := range slices.Backward(d.kept) {
+	for _, k := range slices.Backward(d.records) {
 		k.decision.AgeMs = clock.Since(k.at).Milliseconds()
 		list = append(list, &pb.Decision{
 			Pool: k.decision.Pool, Zone: k.decision.Zone, Action: k.decision.Action,
--- a/controller/desired.go
+++ b/controller/desired.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// replaceWeight puts what a replacement lacks before all else.
-	replaceWeight = 1e6
-	// orderWeight is the weight of the first model of the pool's list while
-	// nobody asks for it; the next ones have less.
-	orderWeight = 0.01
+	// replacementWeight ranks the artifacts that a replacement is missing above all other loads.
+	replacementWeight = 1e6
+	// listOrderWeight is the weight of the first model of the pool's list without any demand. Later
+	// models have lower weights.
+	listOrderWeight = 0.01
 )
 
-// wants lists the loads that would be useful: what the models' copies ask for,
-// and what replacements lack.
-func (l *loadPlanner) wants(ctx context.Context, tree *settings.Tree, pool settings.Pool, seen *picture, asked map[weightstore.Artifact]float64) []loads.Load {
-	var wants []loads.Load
+// desiredLoads returns the loads that are needed to reach the configured copies of the models, and
+// those that replacements are missing.
+func (l *loadPlanner) desiredLoads(ctx context.Context, tree *settings.Tree, pool settings.Pool, zone *zoneSnapshot, rates map[weightstore.Artifact]float64) []loads.Load {
+	var desired []loads.Load
 	for i, name := range pool.ForZone(l.p.c.process.Zone).Models {
 		model, found := tree.Model(name)
 		if !found {
 			continue
 		}
 		for _, a := range artifactsOfModel(model) {
-			weight := asked[a] + orderWeight/float64(i+1)
-			wants = append(wants, l.copies(seen, a, model.Copies, weight)...)
+			weight := rates[a] + listOrderWeight/float64(i+1)
+			desired = append(desired, l.missingCopies(zone, a, model.Copies, weight)...)
 		}
 	}
-	for _, r := range l.p.replacements(tree, seen) {
-		for _, a := range r.lacking() {
-			wants = append(wants, loads.Load{Engine: r.by.Name, Incarnation: r.by.Incarnation, Artifact: a, Weight: replaceWeight})
+	for _, r := range l.p.replacements(tree, zone) {
+		for _, a := range r.missingArtifacts() {
+			desired = append(desired, loads.Load{Engine: r.successor.Name, Incarnation: r.successor.Incarnation, Artifact: a, Weight: replacementWeight})
 		}
 	}
-	return l.sized(ctx, wants)
+	return l.withSizes(ctx, desired)
 }
 
-// artifactsOfModel are the base model and its adapters.
+// artifactsOfModel returns the base model and its adapters.
 func artifactsOfModel(m settings.Model) []weightstore.Artifact {
 	list := []weightstore.Artifact{{Model: m.Name, Version: m.Version}}
 	for _, a := range m.Adapters {
@@ -50,14 +50,14 @@
 	return list
 }
 
-// copies wants an artifact on as many engines as are short of the copies. An
-// adapter goes only where its base model is. Engines with the fewest artifacts
-// come first, then by name, so that each round wants the same.
-func (l *loadPlanner) copies(seen *picture, a weightstore.Artifact, copies int, weight float64) []loads.Load {
+// missingCopies returns loads of an artifact on as many engines as are missing to reach the number
+// of copies. An adapter is loaded only on engines that have its base model. Engines with the fewest
+// artifacts come first, then by name, so that every round selects the same engines.
+func (l *loadPlanner) missingCopies(zone *zoneSnapshot, a weightstore.Artifact, copies int, weight float64) []loads.Load {
 	var without []loads.Load
 	have := 0
 	counts := map[string]int{}
-	for _, e := range seen.fleet.Endpoints {
+	for _, e := range zone.fleet.Endpoints {
 		if e.Pool != l.p.pool || !e.Known || e.Leaving {
 			continue
 		}
@@ -78,15 +78,15 @@
 	return slices.ContainsFunc(loaded, func(a weightstore.Artifact) bool { return a.Model == model && a.Adapter == "" })
 }
 
-// sized fills in the sizes and leaves out what the store does not describe.
-func (l *loadPlanner) sized(ctx context.Context, wants []loads.Load) []loads.Load {
-	kept := wants[:0]
-	for _, w := range wants {
+// withSizes sets the sizes of the loads and drops loads that the store cannot describe.
+func (l *loadPlanner) withSizes(ctx context.Context, desired []loads.Load) []loads.Load {
+	kept := desired[:0]
+	for _, w := range desired {
 		size, known := l.sizes[w.Artifact]
 		if !known {
 			info, err := l.p.c.platform.Weights.Describe(ctx, w.Artifact)
 			if err != nil {
-				klog.V(1).Infof("controller: %v not described: %v", w.Artifact, err)
+				klog.V(1).Infof("controller: describing %v failed: %v", w.Artifact, err)
 				continue
 			}
 			size = info.Bytes
--- a/controller/loads.go
+++ b/controller/loads.go
@@ -19,99 +19,101 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// loadPlanner plans what the engines of one pool and zone fetch from the weight
-// store. It is used by the goroutine of its poolPlanner only.
+// loadPlanner plans which artifacts the engines of one pool and zone load from the weight store. It
+// is not safe for concurrent use; only the goroutine of its poolPlanner uses it.
 type loadPlanner struct {
 	p       *poolPlanner
 	history loads.History
-	// running holds the loads of this tenure, by slot.
+	// running holds the running loads of this lease tenure, by slot number.
 	running map[int]loads.Running
-	// sizes are the artifacts' sizes in bytes, as the store described them.
+	// sizes caches the artifacts' sizes in bytes, as described by the store.
 	sizes    map[weightstore.Artifact]int64
 	budget   *loads.Budget
 	limits   weightstore.Limits
 	limitsAt time.Time
 	renewed  time.Time
-	// wished is the weight last posted to other zones, at wishedAt.
-	wished   float64
-	wishedAt time.Time
+	// postedWeight is the demand last posted to other zones, at postedAt.
+	postedWeight float64
+	postedAt     time.Time
 }
 
 func newLoadPlanner(p *poolPlanner) *loadPlanner {
 	return &loadPlanner{p: p, running: map[int]loads.Running{}, sizes: map[weightstore.Artifact]int64{}}
 }
 
-// round plans once. Without the store's limits or the budget nothing is begun.
-func (l *loadPlanner) round(ctx context.Context, tree *settings.Tree, pool settings.Pool, seen *picture, asked map[weightstore.Artifact]float64) {
-	wants := l.wants(ctx, tree, pool, seen, asked)
-	if len(wants) == 0 && len(l.running) == 0 && l.budget != nil && clock.Since(l.renewed) < loads.RenewInterval {
+// plan runs one planning round. rates are the requests per second by artifact. If the store's
+// limits or the budget cannot be read, no load is started.
+func (l *loadPlanner) plan(ctx context.Context, tree *settings.Tree, pool settings.Pool, zone *zoneSnapshot, rates map[weightstore.Artifact]float64) {
+	desired := l.desiredLoads(ctx, tree, pool, zone, rates)
+	if len(desired) == 0 && len(l.running) == 0 && l.budget != nil && clock.Since(l.renewed) < loads.RenewInterval {
 		return
 	}
 	if err := l.readLimits(ctx, tree); err != nil {
-		klog.V(1).Infof("controller: limits of the weight store not read: %v", err)
+		klog.V(1).Infof("controller: reading the limits of the weight store failed: %v", err)
 		return
 	}
 	now := l.p.c.now()
 	view, err := l.budget.Read(ctx, now)
 	if err != nil {
-		klog.V(1).Infof("controller: budget of loads not read: %v", err)
+		klog.V(1).Infof("controller: reading the load budget failed: %v", err)
 		return
 	}
-	l.hold(ctx, view, seen, now)
+	l.reconcileSlots(ctx, view, zone, now)
 	decision, history := loads.Plan(loads.Snapshot{
-		Desired:         wants,
-		Running:         l.runningNow(),
-		Engines:         l.observed(seen),
+		Desired:         desired,
+		Running:         l.runningLoads(),
+		Engines:         l.engineStates(zone),
 		FreeSlots:       view.FreeSlots(),
 		CompetingDemand: view.CompetingDemand,
 		SlotRate:        loads.SlotRate(l.limits),
 	}, now, loads.Defaults(), l.history)
 	l.history = history
-	l.end(ctx, view, decision.Ends)
-	l.start(ctx, view, decision.Starts, now)
-	l.wish(ctx, decision.Deferred)
+	l.endLoads(ctx, view, decision.Ends)
+	l.startLoads(ctx, view, decision.Starts, now)
+	l.postDemand(ctx, decision.Deferred)
 }
 
-// runningNow are the loads with their orders' phases, in the order of slots.
-func (l *loadPlanner) runningNow() []loads.Running {
+// runningLoads returns the running loads by slot number. Those whose order failed have phase
+// Failed.
+func (l *loadPlanner) runningLoads() []loads.Running {
 	failed := map[string]bool{}
 	for _, st := range l.p.executor.Status() {
 		failed[st.Engine] = st.Change == nil && !st.Resolving && st.Last == order.Failed
 	}
-	list := make([]loads.Running, 0, len(l.running))
+	running := make([]loads.Running, 0, len(l.running))
 	for _, r := range l.running {
 		if failed[r.Load.Engine] {
 			r.Phase = loads.Failed
 		}
-		list = append(list, r)
+		running = append(running, r)
 	}
-	slices.SortFunc(list, func(a, b loads.Running) int { return a.Slot - b.Slot })
-	return list
+	slices.SortFunc(running, func(a, b loads.Running) int { return a.Slot - b.Slot })
+	return running
 }
 
-// observed is what the engines say of themselves.
-func (l *loadPlanner) observed(seen *picture) []loads.EngineState {
-	away := l.p.away()
+// engineStates returns the reported states of the pool's engines.
+func (l *loadPlanner) engineStates(zone *zoneSnapshot) []loads.EngineState {
+	changing := l.p.enginesChanging()
 	var list []loads.EngineState
-	for _, e := range seen.fleet.Endpoints {
+	for _, e := range zone.fleet.Endpoints {
 		if e.Pool != l.p.pool {
 			continue
 		}
 		list = append(list, loads.EngineState{
 			Engine: e.Name, Incarnation: e.Incarnation, Loaded: artifactsOf(e),
-			Busy: away[e.Name] || e.Withheld, Unavailable: !e.Known || e.Leaving,
+			Busy: changing[e.Name] || e.Withheld, Unavailable: !e.Known || e.Leaving,
 		})
 	}
 	return list
 }
 
-// start claims a slot for each load and then orders it. A load whose order is
-// refused gives its slot back through the next round's plan.
-func (l *loadPlanner) start(ctx context.Context, view loads.View, starts []loads.Start, now time.Duration) {
+// startLoads claims a slot for each load and then submits its order. The slot of a load whose order
+// is refused is released by the next round's plan.
+func (l *loadPlanner) startLoads(ctx context.Context, view loads.View, starts []loads.Start, now time.Duration) {
 	for _, s := range starts {
 		err := l.budget.Claim(ctx, view.Slots[s.Slot], writeID(), s.Load)
 		if err != nil {
-			countClaim(err)
+			countClaimFailure(err)
 			continue
 		}
 		l.running[s.Slot] = loads.Running{Load: s.Load, Slot: s.Slot, StartedAt: now, Phase: loads.Ordered}
@@ -122,11 +124,11 @@
 			continue
 		}
 		countLoad(string(loads.Wanted))
-		klog.Infof("controller: engine %s loads %v", s.Load.Engine, artifact)
+		klog.Infof("controller: ordered engine %s to load %v", s.Load.Engine, artifact)
 	}
 }
 
-func countClaim(err error) {
+func countClaimFailure(err error) {
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
 		countLoad("slot-taken")
@@ -135,15 +137,15 @@
 	countLoad("claim-failed")
 }
 
-// end undoes failed loads and gives slots back.
-func (l *loadPlanner) end(ctx context.Context, view loads.View, ends []loads.End) {
+// endLoads unloads the artifacts of failed loads and releases slots.
+func (l *loadPlanner) endLoads(ctx context.Context, view loads.View, ends []loads.End) {
 	for _, e := range ends {
 		countLoad(string(e.Reason))
 		r := e.Running
 		if e.Unload {
 			artifact := r.Load.Artifact
 			if err := l.p.executor.Submit(order.Change{Engine: r.Load.Engine, Kind: engine.Unload, Artifact: &artifact}); err != nil {
-				klog.V(1).Infof("controller: load of %v on %s not undone yet: %v", artifact, r.Load.Engine, err)
+				klog.V(1).Infof("controller: undoing the load of %v on %s refused: %v", artifact, r.Load.Engine, err)
 			}
 		}
 		if !e.Release {
@@ -158,23 +160,24 @@
 	}
 }
 
-// wish tells other zones of the most wanted load that has no slot.
-func (l *loadPlanner) wish(ctx context.Context, held []loads.Deferred) {
+// postDemand posts the highest weight among the loads deferred for lack of a slot to the other
+// zones. An unchanged weight is posted again only when it is due for renewal.
+func (l *loadPlanner) postDemand(ctx context.Context, deferred []loads.Deferred) {
 	weight := 0.0
-	for _, h := range held {
+	for _, h := range deferred {
 		if h.Reason == loads.NoSlot || h.Reason == loads.Outranked {
 			weight = max(weight, h.Load.Weight)
 		}
 	}
-	fresh := clock.Since(l.wishedAt) < loads.RenewInterval
-	if weight == l.wished && (fresh || weight == 0) {
+	fresh := clock.Since(l.postedAt) < loads.RenewInterval
+	if weight == l.postedWeight && (fresh || weight == 0) {
 		return
 	}
 	if err := l.budget.PostDemand(ctx, writeID(), weight); err != nil {
 		countLoad("wish-failed")
 		return
 	}
-	l.wished, l.wishedAt = weight, clock.Now()
+	l.postedWeight, l.postedAt = weight, clock.Now()
 }
 
 func countLoad(reason string) {
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -18,16 +18,16 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// TestTwoOperatorsAtTwoControllers lets two operators change the same version at
-// the same moment, each through the controller of another VM. One wins; the
-// other learns who came first, and gets a merge where they touch different
-// keys, and the keys where they touch the same.
-func TestTwoOperatorsAtTwoControllers(t *testing.T) {
+// TestConcurrentEditsThroughTwoControllers has two operators edit the same version concurrently,
+// each through the controller of a different VM. One edit is committed. The other fails with a
+// conflict that names the committed version's author. Its merge succeeds if the edits touch
+// different keys, and reports the keys if they touch the same.
+func TestConcurrentEditsThroughTwoControllers(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// each operator replaces old by new.
+		// Each operator replaces old with new.
 		old, new [2]string
-		// conflicts are the keys that both changed.
+		// conflicts are the keys that both operators changed.
 		conflicts []string
 	}{
 		{name: "different keys", old: [2]string{"copies = 2", "version = 1"}, new: [2]string{"copies = 1", "version = 2"}},
@@ -56,10 +56,10 @@
 					texts[i] = strings.Replace(string(base.Text), tt.old[i], tt.new[i], 1)
 					go func() { results <- put(t, op, base.Version, texts[i], i) }()
 				}
-				lost := errors.Join(<-results, <-results)
+				conflictErr := errors.Join(<-results, <-results)
 				var conflict *operator.ConflictError
-				if !errors.As(lost, &conflict) || conflict.Newest.Version != base.Version+1 {
-					t.Fatalf("both wrote: %v", lost)
+				if !errors.As(conflictErr, &conflict) || conflict.Newest.Version != base.Version+1 {
+					t.Fatalf("no conflict: %v", conflictErr)
 				}
 				winner := 0
 				if conflict.Newest.Author == author(1) {
@@ -68,7 +68,7 @@
 				loser := 1 - winner
 				newest, err := ops[loser].GetConfig(t.Context(), 0)
 				if err != nil || newest.Version != base.Version+1 || string(newest.Text) != texts[winner] {
-					t.Fatalf("version %d is not the winner's: %v", newest.GetVersion(), err)
+					t.Fatalf("version %d is not that of the winner: %v", newest.GetVersion(), err)
 				}
 				merged, err := settings.Merge(base.Text, []byte(texts[loser]), newest.Text)
 				if diff := cmp.Diff(tt.conflicts, keysOf(t, err)); diff != "" {
@@ -80,12 +80,12 @@
 				if err := put(t, ops[loser], newest.Version, string(merged.Text), loser); err != nil {
 					t.Fatal(err)
 				}
-				z.await("every VM has the merge in force", func() bool {
+				z.await("the merge is active on every VM", func() bool {
 					state, err := ops[winner].ConfigStatus(t.Context(), 0)
 					return err == nil && state.Version == base.Version+2 && state.Accepted
 				})
 				if got := z.headText(); !strings.Contains(got, tt.new[0]) || !strings.Contains(got, tt.new[1]) {
-					t.Errorf("an edit is lost:\n%s", got)
+					t.Errorf("an edit was lost:\n%s", got)
 				}
 			})
 		})
@@ -115,12 +115,12 @@
 	return keys
 }
 
-// operatorAt is an operator who calls the controller of VM n.
-func (z *zoneA) operatorAt(n int) *operator.Client {
+// operatorAt returns an operator client of the controller of VM n.
+func (z *testZone) operatorAt(n int) *operator.Client {
 	return operator.NewClient([]string{fmt.Sprintf("10.0.1.%d:8090", n)}, z.client)
 }
 
-func (z *zoneA) headText() string {
+func (z *testZone) headText() string {
 	z.t.Helper()
 	c, err := z.operatorAt(1).GetConfig(z.t.Context(), 0)
 	if err != nil {
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// planInterval is between two rounds of the planners.
+	// planInterval is the interval between planning rounds.
 	planInterval = 2 * time.Second
-	// confirmTimeout bounds one question to another controller.
+	// confirmTimeout bounds one query to another controller.
 	confirmTimeout = time.Second
 )
 
-// withholder adapts withhold.Controller to order.Withholder. The roster's own
-// revisions serve as epochs there, and its writes are checked against the
-// lease, so a predecessor that wakes up restores nothing.
+// withholder adapts withhold.Controller to order.Withholder. It ignores the epoch: the withhold
+// protocol uses the roster's revisions as epochs, and its writes are checked against the lease, so
+// that a predecessor that resumes after a pause cannot restore anything.
 type withholder struct{ *withhold.Controller }
 
 // Withhold implements order.Withholder.
@@ -45,7 +45,7 @@
 	return w.Controller.Restore(ctx, engineName)
 }
 
-// confirmer asks other controllers whether they dropped their authority.
+// confirmer queries other controllers for whether they have dropped their authority.
 type confirmer struct{ c *Controller }
 
 // ConfirmDropped implements order.Confirmer.
@@ -56,9 +56,10 @@
 	return client.ConfirmDropped(ctx, req)
 }
 
-// leadPool orders changes of one pool's engines in this zone, for one tenure.
+// leadPool plans and orders changes of one pool's engines in this zone while the pool's lease is
+// held.
 func (c *Controller) leadPool(ctx context.Context, holder *lease.Holder, l *lease.Lease) {
-	klog.Infof("controller: acts for pool %s in zone %s", l.Pool(), l.Zone())
+	klog.Infof("controller: leading pool %s in zone %s", l.Pool(), l.Zone())
 	w := withhold.NewController(l.Zone(), c.platform.Rows, c.peers, c.targets, l, writeID)
 	executor := order.NewExecutor(order.Config{
 		Journal:      c.journal,
@@ -75,19 +76,19 @@
 		history: roles.NewHistory(c.now()),
 	}
 	p.loads = newLoadPlanner(p)
-	c.leading.Store(l.Pool(), p)
-	defer c.leading.Delete(l.Pool())
+	c.poolPlanners.Store(l.Pool(), p)
+	defer c.poolPlanners.Delete(l.Pool())
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		if err := executor.Run(ctx, l); err != nil && ctx.Err() == nil {
-			klog.Errorf("controller: orders of pool %s ended: %v", l.Pool(), err)
+			klog.Errorf("controller: order executor of pool %s stopped: %v", l.Pool(), err)
 		}
 	})
 	wg.Go(func() { p.run(ctx) })
 	wg.Wait()
 }
 
-// poolPlanner plans the roles and loads of one pool in this zone.
+// poolPlanner plans the roles, loads and replacements of one pool's engines in this zone.
 type poolPlanner struct {
 	c        *Controller
 	pool     string
@@ -96,17 +97,18 @@
 	withhold *withhold.Controller
 	history  roles.History
 	loads    *loadPlanner
-	// demand is what the zone's entries last said, when asked at asked.
-	demand demand
-	asked  time.Time
+	// demand is the result of the latest demand query, which started at demandAt.
+	demand   zoneDemand
+	demandAt time.Time
 }
 
 func (p *poolPlanner) run(ctx context.Context) {
-	loop.Every(ctx, planInterval, func() { p.round(ctx) })
+	loop.Every(ctx, planInterval, func() { p.planOnce(ctx) })
 }
 
-// round plans once. Without a tree or a picture of the zone nothing is planned.
-func (p *poolPlanner) round(ctx context.Context) {
+// planOnce runs one planning round. Nothing is planned without a settings tree or if the state of
+// the zone cannot be read.
+func (p *poolPlanner) planOnce(ctx context.Context) {
 	tree := p.c.trees.tree()
 	if tree == nil {
 		return
@@ -115,103 +117,102 @@
 	if !found {
 		return
 	}
-	set := pool.ForZone(p.c.process.Zone)
-	seen, err := p.c.picture(ctx)
+	poolSettings := pool.ForZone(p.c.process.Zone)
+	zone, err := p.c.readZone(ctx)
 	if err != nil {
-		klog.V(1).Infof("controller: no picture of zone %s: %v", p.c.process.Zone, err)
+		klog.V(1).Infof("controller: reading the state of zone %s failed: %v", p.c.process.Zone, err)
 		return
 	}
-	p.restoreUnwanted(ctx, seen.roster)
-	fresh := p.askDemand(ctx, seen.roster)
-	p.replaceEngines(ctx, tree, seen)
-	p.loads.round(ctx, tree, pool, seen, p.demand.artifacts)
-	if set.Roles.Planning && fresh {
-		p.planRoles(set, seen, p.demand.roles)
+	p.restoreOrphaned(ctx, zone.roster)
+	fresh := p.refreshDemand(ctx, zone.roster)
+	p.replaceEngines(ctx, tree, zone)
+	p.loads.plan(ctx, tree, pool, zone, p.demand.artifacts)
+	if poolSettings.Roles.Planning && fresh {
+		p.planRoles(poolSettings, zone, p.demand.roles)
 	}
 }
 
-// askDemand asks for the demand if it is due, and tells whether it did. Roles
-// are planned only on a demand just asked for; loads, which take minutes, go by
-// the last one.
-func (p *poolPlanner) askDemand(ctx context.Context, roster contact.Roster) bool {
-	// Rounds come a little early or late, so half of one is taken off.
-	if clock.Since(p.asked) < demandEvery(len(roster.VMs))-planInterval/2 {
+// refreshDemand queries the demand if it is due, and reports whether it did. Roles are planned only
+// with newly queried demand; loads, which take minutes, are planned with the latest one.
+func (p *poolPlanner) refreshDemand(ctx context.Context, roster contact.Roster) bool {
+	// Half a round is subtracted because rounds are not exactly periodic.
+	if clock.Since(p.demandAt) < demandInterval(len(roster.VMs))-planInterval/2 {
 		return false
 	}
-	p.asked = clock.Now()
-	p.demand = p.c.demand(ctx, roster, p.pool)
+	p.demandAt = clock.Now()
+	p.demand = p.c.queryDemand(ctx, roster, p.pool)
 	return true
 }
 
-// restoreUnwanted ends withholdings that a predecessor left behind and that
-// nobody can want any more. An engine counts as wanted until the executor has
-// read the journal and the engine's row shows no open order; letting streams
-// back before would get them cut by the order. The table is read only if the
-// roster that the entry holds has one of the pool's engines withheld.
-func (p *poolPlanner) restoreUnwanted(ctx context.Context, held contact.Roster) {
-	if !slices.ContainsFunc(held.Withheld, func(w contact.Withheld) bool { return p.mine(w.Endpoint) }) {
+// restoreOrphaned restores engines that a predecessor left withheld and that no order needs
+// withheld. An engine stays withheld until the executor has read the journal and the engine's row
+// shows no open order; if entries sent streams to it earlier, the order would interrupt them. The
+// table is read only if one of the pool's engines is withheld in the entry's roster.
+func (p *poolPlanner) restoreOrphaned(ctx context.Context, roster contact.Roster) {
+	if !slices.ContainsFunc(roster.Withheld, func(w contact.Withheld) bool { return p.inPool(w.Endpoint) }) {
 		return
 	}
 	err := p.withhold.RestoreUnwanted(ctx, func(endpoint string) bool {
-		if !p.mine(endpoint) {
+		if !p.inPool(endpoint) {
 			return true
 		}
 		idle, err := p.executor.Idle(ctx, endpoint)
 		return err != nil || !idle
 	})
 	if err != nil {
-		klog.V(1).Infof("controller: withheld endpoints of pool %s not restored: %v", p.pool, err)
+		klog.V(1).Infof("controller: restoring withheld endpoints of pool %s failed: %v", p.pool, err)
 	}
 }
 
-func (p *poolPlanner) mine(endpoint string) bool {
+// inPool reports whether the endpoint is an engine of the planner's pool.
+func (p *poolPlanner) inPool(endpoint string) bool {
 	e, found := p.c.trees.tree().Endpoint(endpoint)
 	return found && e.Pool == p.pool
 }
 
-// planRoles asks the role planner and hands its changes to the executor.
-func (p *poolPlanner) planRoles(set settings.PoolSettings, seen *picture, asked roles.Demand) {
+// planRoles runs the role planner and submits its changes to the executor.
+func (p *poolPlanner) planRoles(poolSettings settings.PoolSettings, zone *zoneSnapshot, demand roles.Demand) {
 	now := p.c.now()
 	snap := roles.Snapshot{
-		Engines: seen.engines(p.pool, p.away()),
-		Demand:  asked,
+		Engines: zone.engines(p.pool, p.enginesChanging()),
+		Demand:  demand,
 	}
 	if _, err := p.lease.Authority(); err != nil {
 		snap.PlatformLost = true
 	}
-	s := tuning.Roles(set.Roles)
+	s := tuning.Roles(poolSettings.Roles)
 	decision, history := roles.Plan(snap, now, s, p.history)
-	made := p.submit(decision.Changes)
-	p.history = history.Record(now, s, made)
-	p.c.decisions.note(p.pool, p.c.process.Zone, decision, len(made))
+	accepted := p.submit(decision.Changes)
+	p.history = history.Record(now, s, accepted)
+	p.c.decisions.add(p.pool, p.c.process.Zone, decision, len(accepted))
 }
 
-// away are the engines with a change under way.
-func (p *poolPlanner) away() map[string]bool {
-	away := map[string]bool{}
+// enginesChanging returns the names of the engines with a change in progress.
+func (p *poolPlanner) enginesChanging() map[string]bool {
+	changing := map[string]bool{}
 	for _, st := range p.executor.Status() {
 		if st.Change != nil || st.Resolving {
-			away[st.Engine] = true
+			changing[st.Engine] = true
 		}
 	}
-	return away
+	return changing
 }
 
-// submit hands changes over and returns those that were taken.
+// submit submits changes to the executor and returns those that it accepted.
 func (p *poolPlanner) submit(changes []roles.Change) []roles.Change {
-	var made []roles.Change
+	var accepted []roles.Change
 	for _, change := range changes {
 		err := p.executor.Submit(order.Change{Engine: change.Engine, Kind: engine.ChangeRole, Role: change.To})
 		var refused *order.RefusedError
 		switch {
 		case err == nil:
-			klog.Infof("controller: engine %s moves from %s to %s", change.Engine, change.From, change.To)
-			made = append(made, change)
+			klog.Infof("controller: changing the role of engine %s from %s to %s", change.Engine, change.From, change.To)
+			accepted = append(accepted, change)
 		case errors.As(err, &refused):
 			klog.V(1).Infof("controller: change of %s refused: %v", change.Engine, err)
 		}
 	}
-	return made
+	return accepted
 }
 
 var _ contact.Authority = (*lease.Lease)(nil)
--- a/controller/rank.go
+++ b/controller/rank.go
@@ -6,16 +6,16 @@
 	"github.com/springweir/springweir/peer/share"
 )
 
-// rank is this VM's place among those that contend for a pool's lease: only the
-// first few look at it often (see lease.Config).
+// rank returns this VM's rank among the contenders for a pool's lease. Only the first few poll the
+// lease frequently (see lease.Config).
 func (c *Controller) rank(pool string) int {
 	return contenderRank(c.members.Snapshot().VMs, c.process.Zone, c.process.VM, pool)
 }
 
-// contenderRank ranks a VM by rendezvous hashing over the zone's entry VMs on
-// the membership list, without those that leave. So each pool has other
-// contenders, and their leases are spread over the VMs. A VM that the list does
-// not show, or not yet, ranks first: it looks too often rather than never.
+// contenderRank ranks a VM by rendezvous hashing over the zone's entry VMs on the membership list,
+// excluding other VMs that are leaving. The order differs between pools, which spreads their leases
+// over the VMs. A VM that is not on the list, or not yet, ranks first: polling too often is better
+// than never.
 func contenderRank(listed []membership.VM, zone, vm, pool string) int {
 	var zoneVMs contact.Roster
 	for _, v := range listed {
--- a/controller/rank_test.go
+++ b/controller/rank_test.go
@@ -7,7 +7,7 @@
 	"github.com/springweir/springweir/membership"
 )
 
-// entryVMs are n entries of zone a, beside an endpoint and an entry of zone b.
+// entryVMs returns n entries of zone a, an endpoint of zone a and an entry of zone b.
 func entryVMs(n int) []membership.VM {
 	vms := []membership.VM{
 		{Name: "engine", Kind: membership.Endpoint, Zone: "a"},
@@ -19,7 +19,7 @@
 	return vms
 }
 
-func TestEveryRankIsTakenOnce(t *testing.T) {
+func TestRanksAreUnique(t *testing.T) {
 	const vms = 63
 	list := entryVMs(vms)
 	first := map[string]bool{}
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRankGoesByTheList(t *testing.T) {
+func TestRankFollowsMembership(t *testing.T) {
 	list := entryVMs(3)
 	ranks := map[int]string{}
 	for i := range 3 {
--- a/controller/replace.go
+++ b/controller/replace.go
@@ -17,26 +17,27 @@
 // replaceAuthor is the author of the edits that carry out replacements.
 const replaceAuthor = "springweir-controller"
 
-// replacement is an engine that another is to take the place of.
-type replacement struct{ old, by *viewpb.EndpointView }
+// replacement is an engine and the engine that is to replace it.
+type replacement struct{ old, successor *viewpb.EndpointView }
 
-// replacements returns those of the pool's engines in this zone.
-func (p *poolPlanner) replacements(tree *settings.Tree, seen *picture) []replacement {
+// replacements returns the pending replacements of the pool's engines in this zone.
+func (p *poolPlanner) replacements(tree *settings.Tree, zone *zoneSnapshot) []replacement {
 	var list []replacement
 	for _, e := range tree.Endpoints() {
 		if e.Pool != p.pool || e.Zone != p.c.process.Zone || e.ReplaceBy == "" || e.Leaving() {
 			continue
 		}
-		r := replacement{old: seen.endpoint(e.Name), by: seen.endpoint(e.ReplaceBy)}
-		if r.old != nil && r.by != nil {
+		r := replacement{old: zone.endpoint(e.Name), successor: zone.endpoint(e.ReplaceBy)}
+		if r.old != nil && r.successor != nil {
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-func (p *picture) endpoint(name string) *viewpb.EndpointView {
-	for _, e := range p.fleet.Endpoints {
+// endpoint returns an endpoint by name, or nil.
+func (s *zoneSnapshot) endpoint(name string) *viewpb.EndpointView {
+	for _, e := range s.fleet.Endpoints {
 		if e.Name == name {
 			return e
 		}
@@ -44,11 +45,11 @@
 	return nil
 }
 
-// lacking returns what the replacement has yet to load. An engine that was
-// never heard hands nothing over.
-func (r replacement) lacking() []weightstore.Artifact {
+// missingArtifacts returns the artifacts of the old engine that the successor has not loaded. There
+// are none if the old engine never reported its state.
+func (r replacement) missingArtifacts() []weightstore.Artifact {
 	var missing []weightstore.Artifact
-	have := artifactsOf(r.by)
+	have := artifactsOf(r.successor)
 	for _, a := range artifactsOf(r.old) {
 		if !slices.Contains(have, a) {
 			missing = append(missing, a)
@@ -65,30 +66,30 @@
 	return list
 }
 
-// replaceEngines takes each replacement a step on: what the old engine has
-// loaded (the load planner does that), its role, and then the drain, which is
-// an edit of the tree like an operator's.
+// replaceEngines advances each replacement by one step: first the successor loads the artifacts of
+// the old engine (ordered by the load planner), then it takes over the role, and then the old
+// engine is drained, which is an edit of the tree like an operator's.
 //
-// The drain comes last, once the replacement itself says that it has all, so
-// the pool never has less than before.
-func (p *poolPlanner) replaceEngines(ctx context.Context, tree *settings.Tree, seen *picture) {
-	away := p.away()
-	for _, r := range p.replacements(tree, seen) {
+// The drain comes last, once the successor itself reports the artifacts and the role, so that the
+// pool never loses capacity.
+func (p *poolPlanner) replaceEngines(ctx context.Context, tree *settings.Tree, zone *zoneSnapshot) {
+	changing := p.enginesChanging()
+	for _, r := range p.replacements(tree, zone) {
 		switch {
-		case !r.by.Known || r.by.Leaving || away[r.by.Name] || len(r.lacking()) > 0:
-			klog.V(1).Infof("controller: %s is not ready to replace %s", r.by.Name, r.old.Name)
-		case r.old.Known && r.by.Role != r.old.Role:
-			p.takeRole(r)
+		case !r.successor.Known || r.successor.Leaving || changing[r.successor.Name] || len(r.missingArtifacts()) > 0:
+			klog.V(1).Infof("controller: %s is not ready to replace %s", r.successor.Name, r.old.Name)
+		case r.old.Known && r.successor.Role != r.old.Role:
+			p.takeOverRole(r)
 		default:
 			p.drainReplaced(ctx, r)
 		}
 	}
 }
 
-func (p *poolPlanner) takeRole(r replacement) {
-	err := p.executor.Submit(order.Change{Engine: r.by.Name, Kind: engine.ChangeRole, Role: engine.Role(r.old.Role)})
+func (p *poolPlanner) takeOverRole(r replacement) {
+	err := p.executor.Submit(order.Change{Engine: r.successor.Name, Kind: engine.ChangeRole, Role: engine.Role(r.old.Role)})
 	if err != nil {
-		klog.V(1).Infof("controller: %s does not take over role %s: %v", r.by.Name, r.old.Role, err)
+		klog.V(1).Infof("controller: takeover by %s of role %s refused: %v", r.successor.Name, r.old.Role, err)
 	}
 }
 
@@ -98,8 +99,8 @@
 		Author: replaceAuthor, WriteId: writeID(),
 	})
 	if err != nil {
-		klog.Warningf("controller: %s not drained for %s: %v", r.old.Name, r.by.Name, err)
+		klog.Warningf("controller: draining %s, replaced by %s, failed: %v", r.old.Name, r.successor.Name, err)
 		return
 	}
-	klog.Infof("controller: %s has taken over from %s, which drains", r.by.Name, r.old.Name)
+	klog.Infof("controller: %s has replaced %s, which is draining", r.successor.Name, r.old.Name)
 }
--- a/controller/session_test.go
+++ b/controller/session_test.go
@@ -27,9 +27,10 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// TestSessionOfARoleChange holds what the controller, the entries of the zone,
-// the engine and the platform exchange in a role change, in order, against a
-// golden file: journaled, withheld, sent, observed, restored, closed.
+// TestSessionOfARoleChange compares the messages that the controller, the zone's entries, the
+// engine and the platform exchange during a role change with a golden file: the order is journaled,
+// the engine is withheld, the order is sent and observed, the engine is restored, and the order is
+// closed.
 func TestSessionOfARoleChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSession()
@@ -38,21 +39,21 @@
 			engineSpec{"engine-2", engine.Decode, []weightstore.Artifact{chat}})
 		defer z.shutDown()
 		z.await("engine-2 has taken over", func() bool {
-			e, _ := z.head().Endpoint("engine-1")
+			e, _ := z.headTree().Endpoint("engine-1")
 			return e.Drain
 		})
 		s.log.Golden(t, t.Name())
 	})
 }
 
-// session records a zone's controllers. Ids are named in the order in which
-// they show up; which VM's controller acts is left out, as any may.
+// session records the messages of a zone's controllers. IDs are replaced by numbers in the order of
+// their first occurrence. The VM of the leading controller is masked, because any may lead.
 type session struct {
 	log *transcript.Log
 
 	mu  sync.Mutex
 	ids map[string]string
-	// seen is the state of an engine as recorded last, if it was the last line.
+	// seen is the engine state recorded by the last line, or empty if that line is no state.
 	seen string
 }
 
@@ -81,7 +82,7 @@
 	s.log.Add(from, to, "%s", named)
 }
 
-// rewire puts the session between a controller and all that it talks to.
+// rewire makes a controller use the session's recording wrappers of its dependencies.
 func (s *session) rewire(c *Controller) {
 	c.platform.Rows = &sessionTable{c.platform.Rows, s}
 	c.journal = order.NewJournal(c.platform.Rows)
@@ -107,12 +108,12 @@
 		if err != nil || len(r.VMs) < 2 {
 			return t.Service.Commit(ctx, txn) // the zone is starting
 		}
-		var marked []string
+		var withheld []string
 		for _, w := range r.Withheld {
-			marked = append(marked, w.Endpoint)
+			withheld = append(withheld, w.Endpoint)
 		}
 		if auth := checks(txn); strings.Contains(auth, "language") {
-			t.s.add(transcript.Controller, transcript.Platform, "commit %s\nwrite %s: withheld %q", auth, first.Key, marked)
+			t.s.add(transcript.Controller, transcript.Platform, "commit %s\nwrite %s: withheld %q", auth, first.Key, withheld)
 		}
 	}
 	return t.Service.Commit(ctx, txn)
@@ -130,8 +131,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// sessionTransport records the questions about withheld endpoints. The entries
-// are asked at the same time, so each has a delay of its own.
+// sessionTransport records the Withhold and Restore calls. The entries are called concurrently, so
+// that each call is delayed by a different time to make the order deterministic.
 type sessionTransport struct {
 	http.RoundTripper
 	s *session
@@ -149,11 +150,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var asked entrypb.WithholdRequest
-	if err := proto.Unmarshal(body, &asked); err != nil {
+	var withholdReq entrypb.WithholdRequest
+	if err := proto.Unmarshal(body, &withholdReq); err != nil {
 		return nil, err
 	}
-	t.s.add(transcript.Controller, transcript.Entry, "%s: %s %s", vm, call, asked.Endpoint)
+	t.s.add(transcript.Controller, transcript.Entry, "%s: %s %s", vm, call, withholdReq.Endpoint)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	resp, err := t.RoundTripper.RoundTrip(r)
 	if err != nil {
@@ -164,17 +165,16 @@
 	if err != nil {
 		return nil, err
 	}
-	var answer entrypb.WithholdResponse
-	if err := proto.Unmarshal(data, &answer); err != nil {
+	var withholdResp entrypb.WithholdResponse
+	if err := proto.Unmarshal(data, &withholdResp); err != nil {
 		return nil, err
 	}
-	t.s.add(transcript.Entry, transcript.Controller, "%s: withheld %t, streams %d", vm, answer.Withheld, answer.Streams)
+	t.s.add(transcript.Entry, transcript.Controller, "%s: withheld %t, streams %d", vm, withholdResp.Withheld, withholdResp.Streams)
 	resp.Body = io.NopCloser(bytes.NewReader(data))
 	return resp, nil
 }
 
-// sessionEngine records orders, and each look at the engine that shows
-// something else than the line before it.
+// sessionEngine records orders, and engine states that differ from the state of the last line.
 type sessionEngine struct {
 	engine.Engine
 	s *session
--- a/controller/status.go
+++ b/controller/status.go
@@ -17,13 +17,14 @@
 	"github.com/springweir/springweir/peer/viewpb"
 )
 
-// fleetStatus implements operator.Fleet from what this controller can reach.
+// fleetStatus implements operator.Fleet with the state that this controller can reach.
 type fleetStatus struct{ c *Controller }
 
-// maxLeases bounds the leases listed at once.
+// maxLeases is the maximum number of leases listed.
 const maxLeases = 1000
 
-// Status implements operator.Fleet. What cannot be read is named in the answer.
+// Status implements operator.Fleet. Parts that cannot be read are listed as unavailable in the
+// response.
 func (f *fleetStatus) Status(ctx context.Context) (*pb.FleetStatus, error) {
 	status := &pb.FleetStatus{Vm: f.c.process.VM, Zone: f.c.process.Zone}
 	f.config(ctx, status)
@@ -34,7 +35,8 @@
 	return status, nil
 }
 
-func unavailable(status *pb.FleetStatus, what string, err error) {
+// addUnavailable records in status that a part could not be read.
+func addUnavailable(status *pb.FleetStatus, what string, err error) {
 	status.Unavailable = append(status.Unavailable, what+": "+string(failure.ReasonOf(err)))
 }
 
@@ -44,7 +46,7 @@
 	store := history.New(f.c.store)
 	head, err := store.Head(ctx)
 	if err != nil {
-		unavailable(status, "configuration", err)
+		addUnavailable(status, "configuration", err)
 		return
 	}
 	if head == 0 {
@@ -52,7 +54,7 @@
 	}
 	state, err := store.State(ctx, head)
 	if err != nil {
-		unavailable(status, "confirmations", err)
+		addUnavailable(status, "confirmations", err)
 		return
 	}
 	status.Config = state
@@ -61,13 +63,13 @@
 func (f *fleetStatus) leases(ctx context.Context, status *pb.FleetStatus) {
 	rows, err := f.c.platform.Rows.Scan(ctx, lease.TableName, "", "", maxLeases)
 	if err != nil {
-		unavailable(status, "leases", err)
+		addUnavailable(status, "leases", err)
 		return
 	}
 	for _, row := range rows {
 		rec, err := lease.Decode(row)
 		if err != nil {
-			unavailable(status, row.Key.String(), err)
+			addUnavailable(status, row.Key.String(), err)
 			continue
 		}
 		pool, zone, _ := strings.Cut(row.Key.Row, "/")
@@ -79,38 +81,38 @@
 	}
 }
 
-// zones asks every entry for its standing, side by side, and then one that
-// answered in each zone for its endpoints.
+// zones queries the status of all entries concurrently, and then the endpoints of each zone from
+// one entry that responded.
 func (f *fleetStatus) zones(ctx context.Context, status *pb.FleetStatus) {
 	vms := f.entries()
-	answers := make([]*viewpb.FleetResponse, len(vms))
+	responses := make([]*viewpb.FleetResponse, len(vms))
 	status.Vms = make([]*pb.VM, len(vms))
 	var g errgroup.Group
-	g.SetLimit(viewAskers)
+	g.SetLimit(maxConcurrentViews)
 	for i, vm := range vms {
 		g.Go(func() error {
 			resp, err := f.fleet(ctx, vm.Address, true)
 			if err == nil {
-				answers[i] = resp
+				responses[i] = resp
 			}
 			status.Vms[i] = vmStatus(vm, resp, err)
 			return nil
 		})
 	}
-	_ = g.Wait() // the askers return no error
-	asked := map[string]bool{}
+	_ = g.Wait() // the functions return no error
+	queried := map[string]bool{}
 	for i, vm := range vms {
-		if answers[i] == nil || asked[vm.Zone] {
+		if responses[i] == nil || queried[vm.Zone] {
 			continue
 		}
 		if resp, err := f.fleet(ctx, vm.Address, false); err == nil {
-			asked[vm.Zone] = true
+			queried[vm.Zone] = true
 			addEndpoints(resp, status)
 		}
 	}
 }
 
-// entries are the entry VMs on the membership list.
+// entries returns the entry VMs on the membership list.
 func (f *fleetStatus) entries() []membership.VM {
 	var list []membership.VM
 	for _, vm := range f.c.members.Snapshot().VMs {
@@ -121,14 +123,14 @@
 	return list
 }
 
-// changes shows, for the endpoints of this zone, the open orders and what a
-// change waits for. The waits are known to the acting controller only.
+// changes adds the open orders of this zone's endpoints, and what pending changes are waiting for.
+// Only the controller that leads a pool has the latter.
 func (f *fleetStatus) changes(ctx context.Context, status *pb.FleetStatus) {
 	open := map[string]string{}
-	for pool := range f.c.poolsHere() {
+	for pool := range f.c.localPools() {
 		entries, err := f.c.journal.List(ctx, pool, f.c.process.Zone)
 		if err != nil {
-			unavailable(status, "orders of pool "+pool, err)
+			addUnavailable(status, "orders of pool "+pool, err)
 			continue
 		}
 		for _, e := range entries {
@@ -145,7 +147,7 @@
 	}
 }
 
-// orderText tells what an order asks for.
+// orderText describes an order: its kind, and the role or artifact.
 func orderText(o engine.Order) string {
 	switch {
 	case o.Kind == engine.ChangeRole:
--- a/controller/takeover_test.go
+++ b/controller/takeover_test.go
@@ -15,10 +15,10 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// changing starts a zone, has engine-2 replace engine-1 once the zone serves,
-// and waits until engine-2 runs the order that this takes. (A replacement that
-// stood in the tree from the start could be over by the time the zone serves.)
-func changing(t *testing.T) *zoneA {
+// startReplacement starts a zone, makes engine-2 replace engine-1 once the zone serves, and waits
+// until engine-2 runs the role change order. A replacement in the initial tree could be complete
+// before the zone serves.
+func startReplacement(t *testing.T) *testZone {
 	const mark = "replace-by = engine-2\n"
 	z := newZone(t, strings.ReplaceAll(twoEngines, mark, ""),
 		engineSpec{"engine-1", engine.Mixed, []weightstore.Artifact{chat}},
@@ -31,7 +31,7 @@
 	return z
 }
 
-func (z *zoneA) journal(name string) order.Entry {
+func (z *testZone) journalEntry(name string) order.Entry {
 	z.t.Helper()
 	e, err := order.NewJournal(z.rows).Read(z.t.Context(), name)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return e
 }
 
-func (z *zoneA) marked(name string) bool {
+func (z *testZone) isWithheld(name string) bool {
 	z.t.Helper()
 	rows, err := z.rows.Get(z.t.Context(), contact.Key("a"))
 	if err != nil {
@@ -54,8 +54,8 @@
 	return marked
 }
 
-// stopActing stops the pool's acting controller, on VM holder, by plan.
-func (z *zoneA) stopActing(holder string) {
+// stopLeaseHolder stops the controller of VM holder as planned.
+func (z *testZone) stopLeaseHolder(holder string) {
 	z.t.Helper()
 	for _, v := range z.vms {
 		if v.controller.process.VM == holder {
@@ -64,87 +64,88 @@
 	}
 }
 
-// TestSuccessorLetsNothingBackUnread stops a controller in the middle of an
-// order. Its successor plans while the journal is slow to read, and until it has
-// read it, lets no entry send to the engine.
-func TestSuccessorLetsNothingBackUnread(t *testing.T) {
+// TestSuccessorKeepsWithholdUntilJournalRead stops a controller during an order, with a journal
+// that is slow to read. The successor plans meanwhile, but must keep the engine withheld until it
+// has read the journal; otherwise entries would send streams that the order interrupts.
+func TestSuccessorKeepsWithholdUntilJournalRead(t *testing.T) {
 	const journalRead = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		z := changing(t)
+		z := startReplacement(t)
 		defer z.shutDown()
-		// Asked before the journal is slow: a status reads it too.
-		holder := z.leases("language").Holder
+		// Queried before the journal becomes slow, because a status reads it too.
+		holder := z.poolLease("language").Holder
 		z.rows.SetHook(func(c memtable.Call) memtable.Fault {
 			if c.Op == memtable.OpScan && c.Keys[0].Table == order.TableName {
 				return memtable.Fault{Delay: journalRead}
 			}
 			return memtable.Fault{}
 		})
-		z.stopActing(holder)
-		began := time.Now()
-		for time.Since(began) < journalRead {
-			if !z.marked("engine-2") {
-				t.Fatalf("%v after the stop entries may send to engine-2, and the journal is unread", time.Since(began))
+		z.stopLeaseHolder(holder)
+		start := time.Now()
+		for time.Since(start) < journalRead {
+			if !z.isWithheld("engine-2") {
+				t.Fatalf("%v after the stop entries may send to engine-2 before the journal is read", time.Since(start))
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if !z.journal("engine-2").IsOpen() {
-			t.Error("closed by a successor that had not read the journal")
+		if !z.journalEntry("engine-2").IsOpen() {
+			t.Error("the order was closed before the journal was read")
 		}
-		z.await("the order is closed", func() bool { return !z.journal("engine-2").IsOpen() })
-		z.await("entries may send to engine-2", func() bool { return !z.marked("engine-2") })
+		z.await("the order is closed", func() bool { return !z.journalEntry("engine-2").IsOpen() })
+		z.await("entries may send to engine-2", func() bool { return !z.isWithheld("engine-2") })
 	})
 }
 
-// TestEngineGoneInOrder takes an engine's VM off the membership list in the
-// middle of an order that the engine never ends. The order is closed as gone.
-func TestEngineGoneInOrder(t *testing.T) {
+// TestEngineRemovedDuringOrder removes an engine's VM from the membership list during an order that
+// the engine never completes. The order must be closed with outcome EngineGone, and not before the
+// removal.
+func TestEngineRemovedDuringOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		z := changing(t)
+		z := startReplacement(t)
 		defer z.shutDown()
 		e := z.engines["engine-2"]
 		e.Freeze()
 		defer e.Thaw()
 		time.Sleep(time.Minute)
-		if entry := z.journal("engine-2"); !entry.IsOpen() {
-			t.Fatalf("closed as %q while the engine could not be seen", entry.Outcome)
+		if entry := z.journalEntry("engine-2"); !entry.IsOpen() {
+			t.Fatalf("closed as %q while the engine was unreachable", entry.Outcome)
 		}
 		z.list.Remove("engine-2")
-		z.await("the order is closed", func() bool { return !z.journal("engine-2").IsOpen() })
-		if got := z.journal("engine-2").Outcome; got != order.EngineGone {
+		z.await("the order is closed", func() bool { return !z.journalEntry("engine-2").IsOpen() })
+		if got := z.journalEntry("engine-2").Outcome; got != order.EngineGone {
 			t.Errorf("closed as %q", got)
 		}
 	})
 }
 
-// TestOnlyListedVMsLead takes a VM off the membership list and stops the acting
-// controller on the other one. The VM that is not listed never leads, since
-// others will take it for gone for good; one that comes and is listed does.
-func TestOnlyListedVMsLead(t *testing.T) {
+// TestOnlyListedVMsHoldLeases removes a VM from the membership list and stops the leading
+// controller on the other one. The unlisted VM must never acquire the lease, because other VMs
+// treat it as permanently removed. A new VM that is listed must acquire it.
+func TestOnlyListedVMsHoldLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newZone(t, copiesOfTwo, engineSpec{"engine-1", engine.Mixed, []weightstore.Artifact{chat}})
 		defer z.shutDown()
-		z.await("the pool is led", func() bool { return z.leases("language").Holder != "" })
-		acting := z.leases("language").Holder
+		z.await("the pool's lease is held", func() bool { return z.poolLease("language").Holder != "" })
+		acting := z.poolLease("language").Holder
 		for _, v := range z.vms {
 			if vm := v.controller.process.VM; vm != acting {
 				z.list.Remove(vm)
 			}
 		}
-		time.Sleep(10 * time.Second) // every watcher has read the list
-		z.stopActing(acting)
+		time.Sleep(10 * time.Second) // until every watcher has read the list
+		z.stopLeaseHolder(acting)
 		time.Sleep(2 * time.Minute)
-		if got := z.holder("language"); got != acting {
-			t.Errorf("%s leads, which is not on the list", got)
+		if got := z.lastHolder("language"); got != acting {
+			t.Errorf("%s holds the lease but is not on the list", got)
 		}
 		z.list.Put(membership.VM{Name: "vm3", Kind: membership.Entry, Zone: "a", Address: "10.0.1.3:7100"})
 		z.startVM(3)
-		z.await("vm3 leads", func() bool { return z.holder("language") == "vm3" })
+		z.await("vm3 leads", func() bool { return z.lastHolder("language") == "vm3" })
 	})
 }
 
-// holder returns the VM that wrote the pool's lease last.
-func (z *zoneA) holder(pool string) string {
+// lastHolder returns the VM that last wrote the pool's lease.
+func (z *testZone) lastHolder(pool string) string {
 	z.t.Helper()
 	rows, err := z.rows.Get(z.t.Context(), lease.Key(pool, "a"))
 	if err != nil {
--- a/controller/targets.go
+++ b/controller/targets.go
@@ -10,10 +10,11 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// targets finds the engines of the tree. It implements order.Targets and
-// withhold.Endpoints and is safe for concurrent use; mu is a leaf.
+// targets looks up the engines of the settings tree and caches their clients. It implements
+// order.Targets and withhold.Endpoints and is safe for concurrent use; no other lock is acquired
+// while mu is held.
 type targets struct {
-	trees   *trees
+	trees   *treeFollower
 	network network.Network
 
 	mu      sync.Mutex
@@ -26,7 +27,7 @@
 	engine  engine.Engine
 }
 
-func newTargets(t *trees, n network.Network) *targets {
+func newTargets(t *treeFollower, n network.Network) *targets {
 	return &targets{trees: t, network: n, clients: map[string]client{}}
 }
 
@@ -43,6 +44,7 @@
 	return order.Target{Name: name, VM: e.VM, Engine: t.client(e), Fencing: order.Fencing(e.Fencing)}, true
 }
 
+// client returns the client of an engine, and replaces it if the engine's address has changed.
 func (t *targets) client(e settings.Endpoint) engine.Engine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,8 +56,8 @@
 	return c.engine
 }
 
-// Streams implements withhold.Endpoints: an engine counts its own streams. A
-// service does not say.
+// Streams implements withhold.Endpoints. It queries an engine for its number of streams. Services
+// do not report one, so that theirs is zero.
 func (t *targets) Streams(ctx context.Context, endpoint string) (int, error) {
 	target, found := t.Target(endpoint)
 	if !found {
--- a/controller/treefollower.go
+++ b/controller/treefollower.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// treePoll is how often this VM's entry is asked for the tree in force. It
-	// stays on the VM, so it costs the platform and the network nothing.
-	treePoll = 500 * time.Millisecond
-	// tableAfter is how long the entry may be silent before the table is read.
-	tableAfter = 10 * time.Second
+	// treePollInterval is the interval at which this VM's entry is polled for the active tree. The
+	// polls stay on the VM and put no load on the platform or the network.
+	treePollInterval = 500 * time.Millisecond
+	// tableFallbackAfter is the time without a response from the entry after which the table is
+	// read.
+	tableFallbackAfter = 10 * time.Second
 )
 
-// trees follows the operators' tree for this process: from the VM's entry, or
-// from the table while the entry does not answer. It is safe for concurrent use.
-type trees struct {
+// treeFollower tracks the operators' settings tree: it reads new versions from the VM's entry, or
+// from the table while the entry is unresponsive. It is safe for concurrent use.
+type treeFollower struct {
 	store   *rollout.Store
 	peers   *peer.Client
 	entry   contact.VM
@@ -34,13 +35,14 @@
 	changed chan struct{}
 }
 
-func newTrees(store *rollout.Store, peers *peer.Client, entry string) *trees {
-	t := &trees{store: store, peers: peers, entry: contact.VM{Address: entry}, changed: make(chan struct{}, 1)}
-	t.applier = rollout.NewApplier(t.put)
+func newTreeFollower(store *rollout.Store, peers *peer.Client, entry string) *treeFollower {
+	t := &treeFollower{store: store, peers: peers, entry: contact.VM{Address: entry}, changed: make(chan struct{}, 1)}
+	t.applier = rollout.NewApplier(t.apply)
 	return t
 }
 
-func (t *trees) put(doc rollout.Document) error {
+// apply parses a version, makes it current and signals changed.
+func (t *treeFollower) apply(doc rollout.Document) error {
 	tree, err := settings.ParseTree("version", doc.Text)
 	if err != nil {
 		return err
@@ -53,29 +55,29 @@
 	return nil
 }
 
-// tree returns the newest tree, or nil while none is known.
-func (t *trees) tree() *settings.Tree { return t.current.Load() }
+// tree returns the newest tree, or nil if none has been received.
+func (t *treeFollower) tree() *settings.Tree { return t.current.Load() }
 
-// Run follows the tree until ctx ends.
-func (t *trees) Run(ctx context.Context) {
-	heard := clock.Now()
+// Run tracks the tree until ctx ends.
+func (t *treeFollower) Run(ctx context.Context) {
+	lastUpdate := clock.Now()
 	for ctx.Err() == nil {
-		err := t.fromEntry(ctx)
+		err := t.fetchFromEntry(ctx)
 		if err == nil {
-			heard = clock.Now()
+			lastUpdate = clock.Now()
 		}
-		if clock.Since(heard) >= tableAfter {
-			heard = clock.Now()
-			err = t.fromTable(ctx)
+		if clock.Since(lastUpdate) >= tableFallbackAfter {
+			lastUpdate = clock.Now()
+			err = t.loadFromTable(ctx)
 		}
 		if err != nil {
-			klog.V(1).Infof("controller: tree not read: %v", err)
+			klog.V(1).Infof("controller: reading the settings tree failed: %v", err)
 		}
-		loop.Sleep(ctx, treePoll)
+		loop.Sleep(ctx, treePollInterval)
 	}
 }
 
-func (t *trees) fromEntry(ctx context.Context) error {
+func (t *treeFollower) fetchFromEntry(ctx context.Context) error {
 	u, err := t.peers.FetchConfig(ctx, t.entry, t.applier.Current().Version)
 	if err != nil {
 		return err
@@ -83,7 +85,7 @@
 	return t.applier.OfferUpdate(u)
 }
 
-func (t *trees) fromTable(ctx context.Context) error {
+func (t *treeFollower) loadFromTable(ctx context.Context) error {
 	head, err := t.store.Head(ctx)
 	if err != nil || head <= t.applier.Current().Version {
 		return err
--- a/controller/zone_test.go
+++ b/controller/zone_test.go
@@ -29,9 +29,9 @@
 
 const apiKey = "trial-key"
 
-// zoneA is a zone of two whole VMs with stand-in engines, in memory and in
-// virtual time.
-type zoneA struct {
+// testZone is a zone of two VMs, each with an entry and a controller, and stand-in engines. It runs
+// in memory and in virtual time.
+type testZone struct {
 	t       *testing.T
 	net     *pipenet.Network
 	rows    *memtable.Table
@@ -48,7 +48,7 @@
 	rewire func(*Controller)
 }
 
-// vm is one entry VM.
+// vm is an entry VM.
 type vm struct {
 	entry          *entry.Entry
 	controller     *Controller
@@ -57,7 +57,7 @@
 	ended          chan error
 }
 
-// engineSpec is one engine of the zone.
+// engineSpec describes an engine of the zone.
 type engineSpec struct {
 	name   string
 	role   engine.Role
@@ -66,15 +66,15 @@
 
 var chat = weightstore.Artifact{Model: "chat", Version: "1"}
 
-// newZone starts a zone whose tree is extra below what every test needs.
-func newZone(t *testing.T, extra string, engines ...engineSpec) *zoneA {
+// newZone starts a zone. extra is appended to the sections of the tree that every test needs.
+func newZone(t *testing.T, extra string, engines ...engineSpec) *testZone {
 	return newRewiredZone(t, nil, extra, engines...)
 }
 
-func newRewiredZone(t *testing.T, rewire func(*Controller), extra string, engines ...engineSpec) *zoneA {
+func newRewiredZone(t *testing.T, rewire func(*Controller), extra string, engines ...engineSpec) *testZone {
 	n := pipenet.NewNetwork()
 	limits := weightstore.Limits{BytesPerSecond: 1 << 30, Concurrent: 2, Window: time.Second}
-	z := &zoneA{
+	z := &testZone{
 		t: t, net: n, rows: memtable.New(), objects: memobject.New(), rewire: rewire,
 		weights: fakestore.New(limits, 1<<30),
 		engines: map[string]*standinengine.Server{},
@@ -103,7 +103,7 @@
 	return z
 }
 
-func (z *zoneA) startEngine(spec engineSpec, address string) {
+func (z *testZone) startEngine(spec engineSpec, address string) {
 	e := standinengine.New(standinengine.Options{
 		Address: address, Incarnation: spec.name + "-life", Role: spec.role, Loaded: spec.loaded,
 		Params: enginemodel.DefaultParams(), Fetch: z.client,
@@ -120,7 +120,7 @@
 	z.engines[spec.name] = e
 }
 
-func (z *zoneA) startVM(n int) {
+func (z *testZone) startVM(n int) {
 	host := fmt.Sprintf("10.0.1.%d", n)
 	p := &settings.Process{
 		VM: fmt.Sprintf("vm%d", n), Zone: "a", Callers: host + ":8080", Peers: host + ":7100", Metrics: host + ":7101",
@@ -148,8 +148,8 @@
 	z.vms = append(z.vms, v)
 }
 
-// shutDown stops every process by plan.
-func (z *zoneA) shutDown() {
+// shutDown stops all processes as planned and checks that they return no error.
+func (z *testZone) shutDown() {
 	for _, v := range z.vms {
 		v.stopController()
 		v.stopEntry()
@@ -168,7 +168,7 @@
 }
 
 // edit commits text as the version after base.
-func (z *zoneA) edit(base rollout.Version, text string) {
+func (z *testZone) edit(base rollout.Version, text string) {
 	z.t.Helper()
 	store := rollout.NewStore(z.rows, z.objects)
 	edit := rollout.Edit{Base: base, WriteID: fmt.Sprint("edit-", base), Author: "test", Text: []byte(text)}
@@ -177,8 +177,8 @@
 	}
 }
 
-// head returns the newest tree.
-func (z *zoneA) head() *settings.Tree {
+// headTree returns the newest committed tree.
+func (z *testZone) headTree() *settings.Tree {
 	z.t.Helper()
 	store := rollout.NewStore(z.rows, z.objects)
 	v, err := store.Head(context.Background())
@@ -196,7 +196,7 @@
 	return tree
 }
 
-func (z *zoneA) ready(n int) bool {
+func (z *testZone) ready(n int) bool {
 	resp, err := z.client.Get(fmt.Sprintf("http://10.0.1.%d:7101/readyz", n))
 	if err != nil {
 		return false
@@ -205,8 +205,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// chat sends a streamed chat through VM n and returns the answer.
-func (z *zoneA) chat(n int, prompt string, tokens int) string {
+// chat sends a streamed chat request to VM n and returns the response body.
+func (z *testZone) chat(n int, prompt string, tokens int) string {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, prompt)
 	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://10.0.1.%d:8080/v1/chat/completions", n), strings.NewReader(body))
 	if err != nil {
@@ -225,22 +225,23 @@
 	return string(data)
 }
 
-func whole(answer string) bool { return strings.HasSuffix(strings.TrimSpace(answer), "data: [DONE]") }
+// complete reports whether a streamed response ends with the done event.
+func complete(body string) bool { return strings.HasSuffix(strings.TrimSpace(body), "data: [DONE]") }
 
-// await waits for a condition. Its limit is far beyond anything that is right.
-func (z *zoneA) await(what string, holds func() bool) {
+// await waits for a condition. The limit of ten minutes is far above any expected duration.
+func (z *testZone) await(what string, condition func() bool) {
 	z.t.Helper()
 	for range 6000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	z.t.Fatalf("gave up waiting until %s", what)
+	z.t.Fatalf("timed out waiting until %s", what)
 }
 
-// leases returns who holds the pool's lease, as operators see it.
-func (z *zoneA) leases(pool string) *pb.Lease {
+// poolLease returns the pool's lease as shown to operators.
+func (z *testZone) poolLease(pool string) *pb.Lease {
 	z.t.Helper()
 	status, err := (&fleetStatus{z.vms[0].controller}).Status(context.Background())
 	if err != nil {
--- a/controller/zonesnapshot.go
+++ b/controller/zonesnapshot.go
@@ -17,28 +17,26 @@
 )
 
 const (
-	// viewTimeout bounds one question to an entry.
+	// viewTimeout bounds one query to an entry.
 	viewTimeout = time.Second
-	// viewAskers bounds the entries asked at the same time.
-	viewAskers = 16
-	// demandPerVM is the time between two questions for demand, for each VM that
-	// is asked.
+	// maxConcurrentViews is the maximum number of entries queried concurrently.
+	maxConcurrentViews = 16
+	// demandPerVM is the interval between demand queries per VM of the zone.
 	demandPerVM = 500 * time.Millisecond
 )
 
-// picture is what this VM's entry sees of the zone, with the roster it holds.
-type picture struct {
+// zoneSnapshot is the state of the zone as reported by this VM's entry, and the entry's roster.
+type zoneSnapshot struct {
 	fleet  *viewpb.FleetResponse
 	roster contact.Roster
 }
 
-// picture reads the zone from this VM's entry, which shares the load reports of
-// all entries and holds the roster, so neither the engines nor the table are
-// asked once more.
-func (c *Controller) picture(ctx context.Context) (*picture, error) {
+// readZone reads the state of the zone from this VM's entry. The entry has the load reports of all
+// entries and the roster, so that neither the engines nor the table need to be queried.
+func (c *Controller) readZone(ctx context.Context) (*zoneSnapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	resp, err := peer.ViewAt(c.entry, c.transport).Fleet(ctx, &viewpb.FleetRequest{})
+	resp, err := peer.ViewAt(c.entryAddress, c.transport).Fleet(ctx, &viewpb.FleetRequest{})
 	if err != nil {
 		return nil, err
 	}
@@ -46,20 +44,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return &picture{fleet: resp, roster: roster}, nil
+	return &zoneSnapshot{fleet: resp, roster: roster}, nil
 }
 
-// engines are the pool's engines as the role planner needs them.
-func (p *picture) engines(pool string, away map[string]bool) []roles.Engine {
+// engines returns the pool's engines as input to the role planner. Engines in changing count as
+// unavailable.
+func (s *zoneSnapshot) engines(pool string, changing map[string]bool) []roles.Engine {
 	var list []roles.Engine
-	for _, e := range p.fleet.Endpoints {
+	for _, e := range s.fleet.Endpoints {
 		if e.Pool != pool {
 			continue
 		}
 		list = append(list, roles.Engine{
 			Name:        e.Name,
 			Role:        engine.Role(e.Role),
-			Unavailable: away[e.Name] || e.Withheld,
+			Unavailable: changing[e.Name] || e.Withheld,
 			Unusable:    e.Leaving || e.Ejected || !e.Known,
 			ReportAge:   time.Duration(e.AgeMs) * time.Millisecond,
 			Load: engine.Load{
@@ -72,36 +71,36 @@
 	return list
 }
 
-// demand is what the zone's entries were asked for.
-type demand struct {
+// zoneDemand is the demand for a pool, aggregated over the zone's entries.
+type zoneDemand struct {
 	roles roles.Demand
-	// artifacts are requests a second by what they need loaded.
+	// artifacts holds the requests per second by the artifact that they need.
 	artifacts map[weightstore.Artifact]float64
 }
 
-// demandEvery is how often the entries of a zone of so many VMs are asked for
-// their demand. Each pool's planner asks all of them, so an entry is asked
-// pools/demandPerVM times a second however many there are.
-func demandEvery(vms int) time.Duration {
+// demandInterval returns the interval at which the entries of a zone of so many VMs are queried for
+// their demand. Each pool's planner queries all entries once per interval, so the zone's entries
+// together receive pools/demandPerVM queries per second, however many there are.
+func demandInterval(vms int) time.Duration {
 	return max(planInterval, time.Duration(vms)*demandPerVM)
 }
 
-// demand asks the zone's entries what they were asked for, and puts it
-// together. The artifacts are those of the pool.
-func (c *Controller) demand(ctx context.Context, roster contact.Roster, pool string) demand {
+// queryDemand queries the demand for a pool from all entries of the roster and aggregates it.
+// Entries that do not respond count as missing.
+func (c *Controller) queryDemand(ctx context.Context, roster contact.Roster, pool string) zoneDemand {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var parts []roles.Demand
 	artifacts := map[weightstore.Artifact]float64{}
 	var g errgroup.Group
-	g.SetLimit(viewAskers)
-	began := clock.Now()
+	g.SetLimit(maxConcurrentViews)
+	start := clock.Now()
 	for _, vm := range roster.VMs {
 		g.Go(func() error {
 			resp, err := peer.ViewAt(vm.Address, c.transport).Demand(ctx, &viewpb.DemandRequest{Pool: pool})
 			if err != nil {
-				return nil // the VM stays missing, which the planner weighs
+				return nil // the planner accounts for missing VMs
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -112,8 +111,8 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // the askers return no error
-	return demand{roles: roles.Merge(parts, clock.Since(began), len(roster.VMs)), artifacts: artifacts}
+	_ = g.Wait() // the functions return no error
+	return zoneDemand{roles: roles.Merge(parts, clock.Since(start), len(roster.VMs)), artifacts: artifacts}
 }
 
 func demandFrom(resp *viewpb.DemandResponse) roles.Demand {
--- a/controller/zonesnapshot_test.go
+++ b/controller/zonesnapshot_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestDemandIsAskedLessInLargeZones(t *testing.T) {
+func TestDemandIntervalGrowsWithZoneSize(t *testing.T) {
 	for _, c := range []struct {
 		vms  int
 		want time.Duration
@@ -15,7 +15,7 @@
 		{4, planInterval},
 		{63, 63 * demandPerVM},
 	} {
-		if got := demandEvery(c.vms); got != c.want {
+		if got := demandInterval(c.vms); got != c.want {
 			t.Errorf("%d VMs: every %v, want %v", c.vms, got, c.want)
 		}
 	}
