--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkTreeMemory reports the bytes that a tree of the target size keeps.
+// BenchmarkTreeMemory reports the heap bytes retained by a tree of the target size.
 func BenchmarkTreeMemory(b *testing.B) {
 	text := largeTree()
 	var before, after runtime.MemStats
@@ -27,8 +27,8 @@
 	runtime.KeepAlive(text)
 }
 
-// BenchmarkParseTree reads a tree of the target size: 4,500 organisations,
-// 2,400 engines, 28 models and 6 zones.
+// BenchmarkParseTree parses a tree of the target size: 4,500 organisations, 2,400 engines, 28
+// models and 6 zones.
 func BenchmarkParseTree(b *testing.B) {
 	text := largeTree()
 	b.SetBytes(int64(len(text)))
--- a/settings/check.go
+++ b/settings/check.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// invalid returns the problems as an error, in the order of the lines.
+// invalid returns the problems found as an *InvalidError, ordered by line, or nil if there are
+// none.
 func (d *document) invalid() error {
 	if len(d.problems) == 0 {
 		return nil
@@ -16,8 +17,8 @@
 	return &InvalidError{Problems: d.problems}
 }
 
-// check looks at each section and key by itself and notes the parsed values.
-func check(d *document, kinds []Kind) {
+// checkSections validates each section and key in isolation and stores the parsed values.
+func checkSections(d *document, kinds []Kind) {
 	for _, s := range d.order {
 		b := d.sections[s]
 		if !slices.Contains(kinds, s.Kind) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// checkKey notes the parsed value in the entry.
+// checkKey validates an entry and stores its parsed value.
 func (d *document) checkKey(b *block, e *entry, kinds []Kind) {
 	name := e.name
 	header := b.section.String()
@@ -40,7 +41,7 @@
 	case !found:
 		d.unknownKey(b, e, kinds)
 		return
-	case !mayStand(k, b.section):
+	case !allowedIn(k, b.section):
 		d.problem(e.line, header, name, MisplacedKey, "the key holds for all zones", fmt.Sprintf("it in [%s]", Section{Kind: b.section.Kind, Name: b.section.Name}))
 		return
 	}
@@ -56,6 +57,8 @@
 	e.parsed = v
 }
 
+// unknownKey reports a key that is unknown in its section, and the sections where it is allowed, if
+// any.
 func (d *document) unknownKey(b *block, e *entry, kinds []Kind) {
 	name := e.name
 	var places []Kind
@@ -68,15 +71,16 @@
 		d.problem(e.line, b.section.String(), name, MisplacedKey, "the key does not belong here", "it in a section of kind "+joinKinds(places))
 		return
 	}
-	d.problem(e.line, b.section.String(), name, UnknownKey, "no such key", nearest(name, KeysFor(b.section.Kind)))
+	d.problem(e.line, b.section.String(), name, UnknownKey, "no such key", suggestKey(name, KeysFor(b.section.Kind)))
 }
 
+// checkRequired reports required keys that a section does not set and cannot inherit.
 func (d *document) checkRequired(b *block) {
 	if b.section.Zone != "" {
 		return
 	}
 	for _, k := range KeysFor(b.section.Kind) {
-		if _, found := b.find(k.Name); k.Required && k.Own && !found {
+		if _, found := b.find(k.Name); k.Required && k.NotInherited && !found {
 			d.problem(b.line, b.section.String(), k.Name, MissingKey, "the key is not set", k.Expected())
 		}
 	}
@@ -90,13 +94,14 @@
 	return strings.Join(words, ", ")
 }
 
-// nearest suggests the key that is the fewest edits away, or lists them all.
-func nearest(name string, keys []*Key) string {
+// suggestKey suggests the key with the smallest edit distance to name, or lists all keys if none is
+// close.
+func suggestKey(name string, keys []*Key) string {
 	names := make([]string, len(keys))
 	best, distance := "", len(name)/2+1
 	for i, k := range keys {
 		names[i] = k.Name
-		if n := edits(name, k.Name); n < distance {
+		if n := editDistance(name, k.Name); n < distance {
 			best, distance = k.Name, n
 		}
 	}
@@ -106,8 +111,8 @@
 	return "one of " + strings.Join(names, ", ")
 }
 
-// edits is the Levenshtein distance between two words.
-func edits(a, b string) int {
+// editDistance returns the Levenshtein distance between two words, in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/settings/diff.go
+++ b/settings/diff.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Change is one key that differs between two texts.
+// Change is a key whose value differs between two texts.
 type Change struct {
 	Section Section `json:"section"`
-	// Key is empty for the section itself, added (Old nil) or removed (New nil).
+	// Key is empty if the section itself is added (Old is nil) or removed (New is nil).
 	Key string `json:"key"`
 	// Old and New are the values; nil means not set.
 	Old *string `json:"old"`
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("~ %s = %s -> %s", what, *c.Old, *c.New)
 }
 
-// show renders a value that may be unset.
-func show(value *string) string {
+// formatValue formats a value that may be unset.
+func formatValue(value *string) string {
 	if value == nil {
 		return "(not set)"
 	}
@@ -42,23 +42,23 @@
 	return *value
 }
 
-// Diff returns the keys that differ between two texts: what next sets in the
-// order of its lines, then the sections that it lacks. Comments and layout do
-// not count. The error is *InvalidError for a text that cannot be read; what
-// its values mean is not checked.
+// Diff returns the keys that differ between two texts: first the sections of next in their order,
+// then the sections that only base has. Comments and layout are ignored. The error is *InvalidError
+// for a text with invalid syntax; values are not validated.
 func Diff(base, next []byte) ([]Change, error) {
-	a, err := readable("base", base)
+	a, err := parseSyntax("base", base)
 	if err != nil {
 		return nil, err
 	}
-	b, err := readable("next", next)
+	b, err := parseSyntax("next", next)
 	if err != nil {
 		return nil, err
 	}
 	return diffDocuments(a, b), nil
 }
 
-func readable(name string, text []byte) (*document, error) {
+// parseSyntax parses a text without validating its keys and values.
+func parseSyntax(name string, text []byte) (*document, error) {
 	d := parseDocument(name, text)
 	if err := d.invalid(); err != nil {
 		return nil, err
@@ -86,19 +86,19 @@
 
 func diffKeys(a, b *document, s Section) []Change {
 	var out []Change
-	for _, now := range b.entriesOf(s) {
-		key := now.name
-		was, found := a.value(s, key)
+	for _, newEntry := range b.entriesOf(s) {
+		key := newEntry.name
+		oldEntry, found := a.value(s, key)
 		switch {
 		case !found:
-			out = append(out, Change{Section: s, Key: key, New: &now.value})
-		case was.value != now.value:
-			out = append(out, Change{Section: s, Key: key, Old: &was.value, New: &now.value})
+			out = append(out, Change{Section: s, Key: key, New: &newEntry.value})
+		case oldEntry.value != newEntry.value:
+			out = append(out, Change{Section: s, Key: key, Old: &oldEntry.value, New: &newEntry.value})
 		}
 	}
-	for _, was := range a.entriesOf(s) {
-		if _, found := b.value(s, was.name); !found {
-			out = append(out, Change{Section: s, Key: was.name, Old: &was.value})
+	for _, oldEntry := range a.entriesOf(s) {
+		if _, found := b.value(s, oldEntry.name); !found {
+			out = append(out, Change{Section: s, Key: oldEntry.name, Old: &oldEntry.value})
 		}
 	}
 	return out
--- a/settings/document.go
+++ b/settings/document.go
@@ -9,19 +9,18 @@
 	"gopkg.in/ini.v1"
 )
 
-// document is a settings text with the place of each section and key. Lines
-// that hold neither (blanks, comments) are kept, so that an edited document
-// keeps the operators' comments and layout.
+// document is a parsed settings text with the line of each section and key. Blank lines and
+// comments are retained, so that an edited document keeps the operators' comments and layout.
 type document struct {
 	file     string
 	lines    []line
 	sections map[Section]*block
-	// order holds the sections as they stand in the text.
+	// order lists the sections in the order of the text.
 	order    []Section
 	problems []Problem
 }
 
-// line is one line of text. section and key are set where the line declares them.
+// line is one line of text. header is set for a section header, key for a line that sets a key.
 type line struct {
 	raw    string
 	header bool
@@ -33,8 +32,8 @@
 	section Section
 	// line is the index of the header in document.lines.
 	line int
-	// entries stand in the order of the text. A section has few, so that a
-	// search is as fast as a map and far smaller.
+	// entries is in the order of the text. Sections have few entries, so that a linear search is
+	// as fast as a map and uses far less memory.
 	entries []entry
 }
 
@@ -44,15 +43,16 @@
 	// line is the index in document.lines.
 	line  int
 	value string
-	// parsed is set by check for a valid value.
+	// parsed is set by checkSections for a valid value.
 	parsed Value
 }
 
+// keyPattern matches valid key names.
 var keyPattern = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 
-// parseDocument splits the text into sections and keys and collects what is
-// wrong with its form. The scan finds places; ini.v1 reads the values. Lines
-// with problems are hidden from ini.v1, so the two never disagree.
+// parseDocument splits the text into sections and keys and records syntax problems. The scan
+// locates sections and keys, and ini.v1 parses the values. Lines with problems are not passed to
+// ini.v1, so that the scan and the library cannot disagree.
 func parseDocument(file string, text []byte) *document {
 	d := &document{file: file, sections: map[Section]*block{}}
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
@@ -78,8 +78,8 @@
 	return d
 }
 
-// scanHeader returns the new section, or nil when it is refused; the keys of a
-// refused section are skipped.
+// scanHeader returns the new section, or nil if the header is invalid or a duplicate. The keys of
+// such a section are skipped.
 func (d *document) scanHeader(i int, text string) *block {
 	d.lines[i].header = true
 	name, rest, closed := strings.Cut(text[1:], "]")
@@ -103,34 +103,35 @@
 	return b
 }
 
-// scanKey notes a key's place and tells whether ini.v1 may read the line.
-func (d *document) scanKey(i int, text string, in *block) bool {
+// scanKey records a key's line and reports whether the line may be passed to ini.v1.
+func (d *document) scanKey(i int, text string, current *block) bool {
 	name, value, found := strings.Cut(text, "=")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 	if !found || !keyPattern.MatchString(name) {
-		d.problem(i, in.header(), "", BadSyntax, text, "key = value, a [section] or a comment starting with # or ;")
+		d.problem(i, current.header(), "", BadSyntax, text, "key = value, a [section] or a comment starting with # or ;")
 		return false
 	}
-	if in == nil {
+	if current == nil {
 		if len(d.order) == 0 {
 			d.problem(i, "", name, BadSyntax, "the key stands before any section", "a [section] above it")
 		}
 		return false
 	}
-	// Values that ini.v1 would continue over several lines.
+	// ini.v1 would continue these values on the next lines.
 	if strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"""`) {
-		d.problem(i, in.header(), name, BadSyntax, "a value over several lines", "a value on one line")
+		d.problem(i, current.header(), name, BadSyntax, "a value over several lines", "a value on one line")
 		return false
 	}
-	if first, again := in.find(name); again {
-		d.problem(i, in.header(), name, DuplicateKey, "the key stands already at line "+strconv.Itoa(first.line+1), "each key once in a section")
+	if first, again := current.find(name); again {
+		d.problem(i, current.header(), name, DuplicateKey, "the key stands already at line "+strconv.Itoa(first.line+1), "each key once in a section")
 		return false
 	}
-	in.entries = append(in.entries, entry{name: name, line: i})
+	current.entries = append(current.entries, entry{name: name, line: i})
 	d.lines[i].key = name
 	return true
 }
 
+// readValues parses the values of the scanned keys with ini.v1.
 func (d *document) readValues(clean string) {
 	options := ini.LoadOptions{
 		IgnoreContinuation:       true,
@@ -140,7 +141,7 @@
 	}
 	file, err := ini.LoadSources(options, []byte(clean))
 	if err != nil {
-		d.problems = append(d.problems, Problem{File: d.file, Fault: BadSyntax, Text: err.Error(), Want: "INI text"})
+		d.problems = append(d.problems, Problem{File: d.file, Fault: BadSyntax, Text: err.Error(), Expected: "INI text"})
 		return
 	}
 	for section, b := range d.sections {
@@ -158,11 +159,12 @@
 	return b.section.String()
 }
 
-func (d *document) problem(i int, section, key string, fault Fault, text, want string) {
-	d.problems = append(d.problems, Problem{File: d.file, Line: i + 1, Section: section, Key: key, Fault: fault, Text: text, Want: want})
+// problem records a problem at the line with index i.
+func (d *document) problem(i int, section, key string, fault Fault, text, expected string) {
+	d.problems = append(d.problems, Problem{File: d.file, Line: i + 1, Section: section, Key: key, Fault: fault, Text: text, Expected: expected})
 }
 
-// value returns the text of a key, if the section names it.
+// value returns the entry of a key, if the section sets it.
 func (d *document) value(s Section, key string) (entry, bool) {
 	b, found := d.sections[s]
 	if !found {
--- a/settings/document_test.go
+++ b/settings/document_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestScanAndLibraryAgree feeds odd lines: each is a comment, or has a problem,
-// or is a key whose value stands in its line. None is lost, and none takes its
-// value from another line.
-func TestScanAndLibraryAgree(t *testing.T) {
+// TestScannerAgreesWithINILibrary parses random lines. Each must be a comment, have a problem, or
+// be a key whose value is part of the line. A disagreement between the scanner and ini.v1 would
+// lose a line or take a value from another line.
+func TestScannerAgreesWithINILibrary(t *testing.T) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
-	piece := rapid.SampledFrom([]string{"a", "key", "=", " ", "\t", "#", ";", "[", "]", `"`, "'", "`", `\`, "%(key)s", "[defaults]", "-", ":", "é", "1s"})
+	fragment := rapid.SampledFrom([]string{"a", "key", "=", " ", "\t", "#", ";", "[", "]", `"`, "'", "`", `\`, "%(key)s", "[defaults]", "-", ":", "é", "1s"})
 	rapid.Check(t, func(t *rapid.T) {
 		var lines []string
 		for i := range rapid.IntRange(0, 8).Draw(t, "lines") {
-			line := strings.Join(rapid.SliceOfN(piece, 0, 7).Draw(t, "line"), "")
+			line := strings.Join(rapid.SliceOfN(fragment, 0, 7).Draw(t, "line"), "")
 			if rapid.Bool().Draw(t, "keyed") {
 				line = fmt.Sprintf("k%d = %s", i, line)
 			}
@@ -28,17 +28,17 @@
 		}
 		text := "[defaults]\n" + strings.Join(lines, "\n")
 		d := parseDocument("t", []byte(text))
-		known := map[int]bool{}
+		accounted := map[int]bool{}
 		for _, p := range d.problems {
 			if p.Line == 0 {
 				t.Fatalf("a problem without a line in %q: %v", text, p)
 			}
-			known[p.Line-1] = true
+			accounted[p.Line-1] = true
 		}
 		for _, b := range d.sections {
-			known[b.line] = true
+			accounted[b.line] = true
 			for _, e := range b.entries {
-				known[e.line] = true
+				accounted[e.line] = true
 				_, raw, _ := strings.Cut(d.lines[e.line].raw, "=")
 				if !strings.Contains(raw, e.value) || (e.value == "" && hasValue(raw)) {
 					t.Fatalf("%q: read %q", d.lines[e.line].raw, e.value)
@@ -47,20 +47,20 @@
 		}
 		for i, l := range d.lines {
 			blank := strings.TrimSpace(l.raw) == "" || isComment(l.raw)
-			if !blank && !known[i] && len(d.problems) == 0 {
+			if !blank && !accounted[i] && len(d.problems) == 0 {
 				t.Fatalf("line %d of %q is lost", i+1, text)
 			}
 		}
 	})
 }
 
-// hasValue tells that something other than quotes and comments follows the =.
+// hasValue reports whether the text after the = has anything other than quotes and comments.
 func hasValue(raw string) bool {
 	return strings.Trim(strings.TrimSpace(raw), `"'#; `+"\t") != "" && !isComment(raw)
 }
 
-// TestApplyDiff makes any document of any other by applying their difference,
-// sections that come and go included.
+// TestApplyDiff checks that applying the difference of two random documents to the first yields the
+// second, including added and removed sections.
 func TestApplyDiff(t *testing.T) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	})
 }
 
-// renderUsed writes only the sections that have keys.
+// renderUsed renders only the sections that have keys.
 func renderUsed(m texts) []byte {
 	var out []string
 	for block := range strings.SplitSeq(string(render(m)), "[pool ") {
--- a/settings/edit.go
+++ b/settings/edit.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// editor collects edits of a document by the place of its lines, so that all
-// that is not edited stays as the operators wrote it.
+// editor collects edits of a document by line, so that lines that are not edited are kept
+// unchanged.
 type editor struct {
 	doc      *document
 	replaced map[int]string
 	removed  map[int]bool
-	// inserted holds new lines by the index of the line that they follow.
+	// inserted holds new lines by the index of the line after which they are inserted.
 	inserted map[int][]string
-	// appended are the new sections, in order.
+	// appended lists the new sections in order; added indexes them.
 	appended []*addition
 	added    map[Section]*addition
 }
@@ -25,11 +25,11 @@
 	return &editor{doc: d, replaced: map[int]string{}, removed: map[int]bool{}, inserted: map[int][]string{}, added: map[Section]*addition{}}
 }
 
-// Apply makes changes to a text and keeps its comments and layout. Only New
-// matters: it is set, or the key or section is removed where it is nil. The
-// error is *InvalidError for a text or value that cannot be read or written.
+// Apply applies changes to a text and keeps its comments and layout. Only New is used: a key is set
+// to it, or the key or section is removed if it is nil. The error is *InvalidError for a text that
+// cannot be parsed or a value that cannot be written.
 func Apply(text []byte, changes []Change) ([]byte, error) {
-	d, err := readable("settings", text)
+	d, err := parseSyntax("settings", text)
 	if err != nil {
 		return nil, err
 	}
@@ -43,17 +43,17 @@
 	return e.text(), nil
 }
 
-// checkWritable refuses a value that would not be read back as it was.
+// checkWritable rejects a change whose value would be parsed differently after being written.
 func checkWritable(c Change) error {
 	if c.New == nil {
 		return nil
 	}
 	v := *c.New
-	odd := strings.ContainsAny(v, "\r\n#;`\"'") || strings.TrimSpace(v) != v
-	if !odd && (c.Key == "" || keyPattern.MatchString(c.Key)) {
+	unsafe := strings.ContainsAny(v, "\r\n#;`\"'") || strings.TrimSpace(v) != v
+	if !unsafe && (c.Key == "" || keyPattern.MatchString(c.Key)) {
 		return nil
 	}
-	problem := Problem{File: "change", Section: c.Section.String(), Key: c.Key, Fault: BadSyntax, Text: fmt.Sprintf("%q", v), Want: "a value on one line without quotes, # and ;"}
+	problem := Problem{File: "change", Section: c.Section.String(), Key: c.Key, Fault: BadSyntax, Text: fmt.Sprintf("%q", v), Expected: "a value on one line without quotes, # and ;"}
 	return &InvalidError{Problems: []Problem{problem}}
 }
 
@@ -83,11 +83,11 @@
 		addition.lines = append(addition.lines, text)
 		return
 	}
-	at := b.line
+	lastLine := b.line
 	for i := range b.entries {
-		at = max(at, b.entries[i].line)
+		lastLine = max(lastLine, b.entries[i].line)
 	}
-	e.inserted[at] = append(e.inserted[at], text)
+	e.inserted[lastLine] = append(e.inserted[lastLine], text)
 }
 
 func (e *editor) unset(s Section, key string) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// extent returns the lines [first, end) of a section: the comments right above
-// its header, and all up to the comments right above the next one.
+// extent returns the lines [first, end) of a section, from the comments directly above its header
+// to the comments directly above the next header, exclusive.
 func (d *document) extent(b *block) (first, end int) {
 	end = len(d.lines)
 	for i := b.line + 1; i < len(d.lines); i++ {
@@ -135,6 +135,8 @@
 	return d.commentsAbove(b.line), end
 }
 
+// commentsAbove returns the first of the comment lines directly above line i, or i if there are
+// none.
 func (d *document) commentsAbove(i int) int {
 	for i > 0 && isComment(d.lines[i-1].raw) {
 		i--
@@ -147,16 +149,16 @@
 	return text != "" && (text[0] == '#' || text[0] == ';')
 }
 
-// replaceValue writes a new value into a line and keeps what stands round it.
+// replaceValue replaces the value in a line and keeps the spacing and a trailing comment.
 func replaceValue(raw, value string) string {
 	name, old, _ := strings.Cut(raw, "=")
-	lead := old[:len(old)-len(strings.TrimLeft(old, " \t"))]
+	indent := old[:len(old)-len(strings.TrimLeft(old, " \t"))]
 	comment := ""
 	if i := strings.IndexAny(old, "#;"); i > 0 && strings.TrimSpace(old[i-1:i]) == "" {
-		kept := len(strings.TrimRight(old[:i], " \t"))
-		comment = old[max(kept, len(lead)):]
+		trimmed := len(strings.TrimRight(old[:i], " \t"))
+		comment = old[max(trimmed, len(indent)):]
 	}
-	return name + "=" + lead + value + comment
+	return name + "=" + indent + value + comment
 }
 
 func (e *editor) text() []byte {
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -7,7 +7,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// NoSuchError is a question after a section or key that is not there.
+// NoSuchError is a lookup of a section or key that does not exist.
 type NoSuchError struct {
 	Section Section
 	Key     string
@@ -21,10 +21,10 @@
 // Reason implements failure.Coded.
 func (e *NoSuchError) Reason() failure.Reason { return failure.BadSettings }
 
-// ConflictError is a merge of two texts that change the same keys differently.
+// ConflictError is a merge of two texts that change the same keys to different values.
 type ConflictError struct{ Conflicts []Conflict }
 
-// Error implements error, one conflict a line.
+// Error implements error, with one line per conflict.
 func (e *ConflictError) Error() string {
 	lines := make([]string, len(e.Conflicts))
 	for i, c := range e.Conflicts {
--- a/settings/fill.go
+++ b/settings/fill.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newTree works out the effective values of a checked document.
+// newTree computes the effective values of a validated document.
 func newTree(d *document) *Tree {
 	t := &Tree{doc: d, byHash: map[string]*Organisation{}}
 	fill(d, Section{Kind: Defaults}, &t.fleet)
@@ -23,7 +23,7 @@
 	sortByName(t.endpoints, func(e Endpoint) string { return e.Name })
 	sortByName(t.organisations, func(o Organisation) string { return o.Name })
 	sortByName(t.models, func(m Model) string { return m.Name })
-	t.narrow()
+	t.fillZones()
 	for i := range t.organisations {
 		for _, hash := range t.organisations[i].KeyHashes {
 			t.byHash[hash] = &t.organisations[i]
@@ -77,8 +77,8 @@
 	return out
 }
 
-// narrow works out the values of each pool and service in each zone.
-func (t *Tree) narrow() {
+// fillZones computes the values of each pool and service in each zone.
+func (t *Tree) fillZones() {
 	for i := range t.pools {
 		p := &t.pools[i]
 		p.byZone = map[string]PoolSettings{}
@@ -99,8 +99,8 @@
 	}
 }
 
-// fill sets the fields of a struct that carry a key tag to the effective values
-// of a scope, nested structs included.
+// fill sets the fields with a key tag of the struct that target points to, including those of
+// nested structs, to the effective values of a scope.
 func fill(d *document, scope Section, target any) {
 	fillStruct(d, scope.Kind, d.chain(scope), reflect.ValueOf(target).Elem())
 }
@@ -111,7 +111,7 @@
 		name, tagged := field.Tag.Lookup("key")
 		switch {
 		case tagged:
-			// A process of one kind lacks the keys of the other.
+			// Process has the keys of both kinds of process, and each kind lacks some.
 			if k, found := Lookup(kind, name); found {
 				v, _ := d.effective(k, chain)
 				setField(target.Field(i), v)
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// Gateway are the settings of a gateway that are the project's own: what the
-// platform's settings file does not say. Every key has a default.
+// Gateway holds the settings of a gateway that are not part of the platform's settings file. Every
+// key has a default.
 type Gateway struct {
-	// MetricsPort is the port of the page of counters; zero serves none.
+	// MetricsPort is the port of the metrics page; zero disables it.
 	MetricsPort int `key:"metrics-port"`
-	// LogLevel is 0 for decisions and changes, 1 and above for more.
+	// LogLevel is the log verbosity: 0 logs decisions and changes, higher levels log more.
 	LogLevel int `key:"log-level"`
-	// LogRate bounds the lines written a second.
+	// LogRate is the maximum number of log lines per second.
 	LogRate float64 `key:"log-rate"`
-	// PrefillShare is the part of a service's engines that prefill.
+	// PrefillShare is the fraction of a service's engines that prefill before there is any load.
 	PrefillShare float64 `key:"prefill-share"`
-	// ObjectiveFraction is the part of a route's objective within which the first event must
-	// be predicted for a request to be taken.
+	// ObjectiveFraction is the fraction of a route's latency objective within which the first event
+	// must be predicted for a request to be accepted.
 	ObjectiveFraction float64 `key:"in-time"`
-	// MinRetryAfter is when a caller that was refused is told to try again, at the least.
+	// MinRetryAfter is the minimum retry delay that a rejected caller receives.
 	MinRetryAfter time.Duration `key:"come-back"`
-	// OrderEndpoints lets the system order how many endpoints there are of services that allow it.
+	// OrderEndpoints enables scaling orders for services whose number of endpoints may be changed.
 	OrderEndpoints bool `key:"order-endpoints"`
 }
 
 var inGateway = []Kind{GatewayKind}
 
 var gatewayKeys = []Key{
-	{Name: "metrics-port", Type: Integer, In: inGateway, Default: "9464", Min: "0", Max: "65535", Doc: "Port of /metrics on the VM's address; 0 serves none."},
-	{Name: "log-level", Type: Integer, In: inGateway, Default: "0", Min: "0", Max: "5", Doc: "Verbosity of the log; 0 logs decisions, changes and failures."},
-	{Name: "log-rate", Type: Rate, In: inGateway, Default: "1500/s", Min: "10/s", Max: "100000/s", Doc: "Bound of the lines logged; those above it are dropped and counted."},
-	{Name: "prefill-share", Type: Percent, In: inGateway, Default: "60%", Min: "0%", Max: "95%", Doc: "Part of a service's engines that prefill before there is any work; after that the work decides."},
-	{Name: "in-time", Type: Percent, In: inGateway, Default: "90%", Min: "10%", Max: "1000%", Doc: "Part of a route's objective within which the first event must be predicted for a request to be taken."},
-	{Name: "come-back", Type: Duration, In: inGateway, Default: "100ms", Min: "1ms", Max: "1m", Doc: "Least time after which a refused caller is told to come back."},
-	{Name: "order-endpoints", Type: Flag, In: inGateway, Default: "yes", Doc: "Whether the number of endpoints is ordered where the platform lets it be changed."},
+	{Name: "metrics-port", Type: Integer, Kinds: inGateway, Default: "9464", Min: "0", Max: "65535", Doc: "Port of /metrics on the VM's address; 0 serves none."},
+	{Name: "log-level", Type: Integer, Kinds: inGateway, Default: "0", Min: "0", Max: "5", Doc: "Verbosity of the log; 0 logs decisions, changes and failures."},
+	{Name: "log-rate", Type: Rate, Kinds: inGateway, Default: "1500/s", Min: "10/s", Max: "100000/s", Doc: "Bound of the lines logged; those above it are dropped and counted."},
+	{Name: "prefill-share", Type: Percent, Kinds: inGateway, Default: "60%", Min: "0%", Max: "95%", Doc: "Part of a service's engines that prefill before there is any work; after that the work decides."},
+	{Name: "in-time", Type: Percent, Kinds: inGateway, Default: "90%", Min: "10%", Max: "1000%", Doc: "Part of a route's objective within which the first event must be predicted for a request to be taken."},
+	{Name: "come-back", Type: Duration, Kinds: inGateway, Default: "100ms", Min: "1ms", Max: "1m", Doc: "Least time after which a refused caller is told to come back."},
+	{Name: "order-endpoints", Type: Flag, Kinds: inGateway, Default: "yes", Doc: "Whether the number of endpoints is ordered where the platform lets it be changed."},
 }
 
-// DefaultGateway returns the settings of an empty file.
+// DefaultGateway returns the default settings.
 func DefaultGateway() *Gateway {
 	g, err := ParseGateway("", nil)
 	if err != nil {
-		panic(err) // the defaults are constants, and a test parses them
+		panic(err) // unreachable: the defaults are constants, and a test parses them
 	}
 	return g
 }
 
-// ParseGateway reads and checks a gateway file. The error is *InvalidError.
+// ParseGateway parses and validates a gateway file. The error is *InvalidError.
 func ParseGateway(file string, text []byte) (*Gateway, error) {
 	d := parseDocument(file, text)
-	check(d, gatewayKinds)
+	checkSections(d, gatewayKinds)
 	if err := d.invalid(); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	return g, nil
 }
 
-// LoadGateway reads a gateway file. The error is *ReadError or *InvalidError.
+// LoadGateway reads, parses and validates a gateway file. The error is *ReadError or *InvalidError.
 func LoadGateway(file string) (*Gateway, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestGatewayFileIsChecked(t *testing.T) {
+func TestInvalidGatewayFiles(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
 		fault      Fault
--- a/settings/inherit.go
+++ b/settings/inherit.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Origin tells where an effective value comes from.
+// Origin identifies the source of an effective value.
 type Origin struct {
-	// Section names the section that set the value; its zero means built-in.
+	// Section is the section that sets the value; the zero Section means the built-in default.
 	Section Section
-	// Line counts from one; zero for a built-in value.
+	// Line is the line number, starting from one, or zero for a built-in value.
 	Line int
 }
 
-// BuiltIn tells whether the value is the registry's default.
+// BuiltIn reports whether the value is the key's built-in default.
 func (o Origin) BuiltIn() bool { return o.Section == Section{} }
 
 // String returns the section in brackets, or built-in.
@@ -21,9 +21,9 @@
 	return "[" + o.Section.String() + "]"
 }
 
-// Effective returns the value that a key has for a section and where it comes
-// from. The section need not stand in the text if it narrows one that does
-// (a pool in a zone). The error is *NoSuchError.
+// Effective returns the effective value of a key for a section, and its origin. A section for one
+// zone (such as a pool in a zone) need not be in the text if the general section and the zone are.
+// The error is *NoSuchError.
 func (t *Tree) Effective(scope Section, key string) (Value, Origin, error) {
 	k, found := Lookup(scope.Kind, key)
 	if !found || !t.doc.exists(scope) {
@@ -33,7 +33,8 @@
 	return v, origin, nil
 }
 
-// exists tells whether a section has settings of its own or by narrowing.
+// exists reports whether a section is in the text; a section for one zone exists if the general
+// section and the zone do.
 func (d *document) exists(s Section) bool {
 	if s.Kind == Defaults {
 		return true
@@ -46,33 +47,33 @@
 	return found
 }
 
-// effective looks a key up along a chain.
+// effective looks up a key along a chain of sections.
 func (d *document) effective(k *Key, chain []Section) (Value, Origin) {
-	if k.Own {
+	if k.NotInherited {
 		chain = chain[:1]
 	}
 	for _, s := range chain {
-		if e, found := d.value(s, k.Name); found && mayStand(k, s) {
+		if e, found := d.value(s, k.Name); found && allowedIn(k, s) {
 			return e.parsed, Origin{Section: s, Line: e.line + 1}
 		}
 	}
-	return builtIn[k], Origin{}
+	return defaultValues[k], Origin{}
 }
 
-// mayStand tells whether the key may be set in the section. It also keeps keys
-// that share a name but not a meaning apart along a chain.
-func mayStand(k *Key, s Section) bool {
-	return slices.Contains(k.In, s.Kind) && (s.Zone == "" || !(k.Own || k.AllZones))
+// allowedIn reports whether the key may be set in the section. It also distinguishes keys along a
+// chain that have the same name but different meanings.
+func allowedIn(k *Key, s Section) bool {
+	return slices.Contains(k.Kinds, s.Kind) && (s.Zone == "" || !(k.NotInherited || k.AllZones))
 }
 
-// chain returns the sections from which a scope takes its values, the nearest
-// first. This is the one place that knows the order of inheritance.
+// chain returns the sections from which a scope inherits its values, the most specific first. It is
+// the only definition of the inheritance order.
 func (d *document) chain(s Section) []Section {
 	switch s.Kind {
 	case PoolKind, ServiceKind:
 		return append(d.lineage(s), d.zoneChain(s.Zone)...)
 	case EndpointKind:
-		return append([]Section{s}, d.chain(d.home(s))...)
+		return append([]Section{s}, d.chain(d.owner(s))...)
 	case OrgKind:
 		return append(d.lineage(s), Section{Kind: Defaults})
 	case ZoneKind:
@@ -85,7 +86,8 @@
 	return []Section{s}
 }
 
-// lineage returns a section and its parents, each first as narrowed to the zone.
+// lineage returns a section and its parents. If s has a zone, each is preceded by its section for
+// that zone.
 func (d *document) lineage(s Section) []Section {
 	var out []Section
 	seen := map[string]bool{}
@@ -102,7 +104,8 @@
 	return out
 }
 
-// zoneChain returns the sections that a zone gives; only the defaults for no zone.
+// zoneChain returns the sections of a zone: the zone, its region and the defaults. An empty zone
+// has only the defaults.
 func (d *document) zoneChain(zone string) []Section {
 	var out []Section
 	if zone != "" {
@@ -115,8 +118,8 @@
 	return append(out, Section{Kind: Defaults})
 }
 
-// home returns the pool or service of an endpoint, narrowed to its zone.
-func (d *document) home(s Section) Section {
+// owner returns the section of an endpoint's pool or service for the endpoint's zone.
+func (d *document) owner(s Section) Section {
 	zone, _ := d.value(s, "zone")
 	if pool, found := d.value(s, "pool"); found {
 		return Section{Kind: PoolKind, Name: pool.value, Zone: zone.value}
--- a/settings/key.go
+++ b/settings/key.go
@@ -6,60 +6,62 @@
 	"strings"
 )
 
-// Key describes one key: what it may hold, where it may stand, and what it means.
+// Key defines a settings key: its type and range, the sections in which it is allowed, and its
+// documentation.
 type Key struct {
 	Name string
 	Type Type
-	// Unit says what a plain number counts, such as tokens; it is written
-	// only in the documentation.
+	// Unit is what a number without a unit counts, such as tokens. It is used only in problems and
+	// documentation.
 	Unit string
-	// Min and Max bound the value, both included; empty means unbounded.
+	// Min and Max are the inclusive bounds of the value; empty means unbounded.
 	Min, Max string
-	// Default is the built-in value; empty means unset.
+	// Default is the built-in value; empty means none.
 	Default string
-	// Choices are the words that a Choice may be.
+	// Choices lists the allowed values of a Choice.
 	Choices []string
-	// In lists the kinds of section in which the key may stand.
-	In []Kind
-	// Own marks a key that belongs to its section and is not inherited.
-	Own bool
-	// AllZones marks a key that may not differ between zones.
+	// Kinds lists the kinds of section in which the key is allowed.
+	Kinds []Kind
+	// NotInherited marks a key that applies only to the section that sets it.
+	NotInherited bool
+	// AllZones marks a key that must not differ between zones.
 	AllZones bool
-	// Required marks a key that its section must have.
+	// Required marks a key that must be set.
 	Required bool
-	// Refers is the kind of section that a Name or Names must exist as.
-	Refers Kind
-	// Doc is one line of documentation.
+	// References is the kind of section that a Name or Names value must refer to; empty means none.
+	References Kind
+	// Doc is the documentation of the key, in one line.
 	Doc string
 }
 
-// Lookup returns the key that may stand in sections of the kind.
+// Lookup returns the key with the name that is allowed in sections of the kind.
 func Lookup(kind Kind, name string) (*Key, bool) {
-	k, found := keysByPlace[place{kind, name}]
+	k, found := keyIndex[keyLocation{kind, name}]
 	return k, found
 }
 
-type place struct {
+// keyLocation identifies a key by its name and the kind of section.
+type keyLocation struct {
 	kind Kind
 	name string
 }
 
-// keysByPlace finds a key by where it stands. One name may mean different
-// things in different kinds of section, but never two in one kind.
-var keysByPlace = indexKeys()
+// keyIndex indexes the keys by location. Keys with the same name may have different meanings in
+// different kinds of section, but a name is unique within a kind.
+var keyIndex = buildKeyIndex()
 
-func indexKeys() map[place]*Key {
-	index := map[place]*Key{}
+func buildKeyIndex() map[keyLocation]*Key {
+	index := map[keyLocation]*Key{}
 	for i := range Keys {
-		for _, kind := range Keys[i].In {
-			index[place{kind, Keys[i].Name}] = &Keys[i]
+		for _, kind := range Keys[i].Kinds {
+			index[keyLocation{kind, Keys[i].Name}] = &Keys[i]
 		}
 	}
 	return index
 }
 
-// builtIn holds the parsed defaults.
-var builtIn = parseDefaults()
+// defaultValues holds the parsed defaults.
+var defaultValues = parseDefaults()
 
 func parseDefaults() map[*Key]Value {
 	out := map[*Key]Value{}
@@ -72,19 +74,19 @@
 	return out
 }
 
-// KeysFor returns the keys that may stand in sections of the kind, in the
-// registry's order.
+// KeysFor returns the keys that are allowed in sections of the kind, in the order of Keys.
 func KeysFor(kind Kind) []*Key {
 	var out []*Key
 	for i := range Keys {
-		if slices.Contains(Keys[i].In, kind) {
+		if slices.Contains(Keys[i].Kinds, kind) {
 			out = append(out, &Keys[i])
 		}
 	}
 	return out
 }
 
-var examples = map[Type]string{
+// typeDescriptions describes the valid values of each type except Choice.
+var typeDescriptions = map[Type]string{
 	Duration:  "a duration with its unit (us, ms, s, m, h), such as 250ms",
 	Integer:   "a whole number",
 	Number:    "a number",
@@ -102,17 +104,17 @@
 	Version:   "a version (lower-case letters, digits, '.', '_', '-')",
 }
 
-// Expected says what a right value is, range included.
+// Expected describes the valid values of the key, including the range.
 func (k *Key) Expected() string {
-	text := examples[k.Type]
+	text := typeDescriptions[k.Type]
 	if k.Type == Choice {
 		text = "one of " + strings.Join(k.Choices, ", ")
 	}
 	if k.Unit != "" {
 		text += " of " + k.Unit
 	}
-	if k.Refers != "" {
-		text += fmt.Sprintf(" of a [%s] section", k.Refers)
+	if k.References != "" {
+		text += fmt.Sprintf(" of a [%s] section", k.References)
 	}
 	if k.Min != "" {
 		text += fmt.Sprintf(", from %s to %s", k.Min, k.Max)
--- a/settings/merge.go
+++ b/settings/merge.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Conflict is one key that two texts changed differently.
+// Conflict is a key that two texts changed to different values.
 type Conflict struct {
 	Section Section `json:"section"`
-	// Key is empty where the section itself was added or removed.
+	// Key is empty if the section itself was added or removed.
 	Key string `json:"key"`
 	// Base, Mine and Theirs are the values; nil means not set.
 	Base   *string `json:"base"`
@@ -15,35 +15,35 @@
 
 // String returns the key with its three values.
 func (c Conflict) String() string {
-	return fmt.Sprintf("[%s] %s: base %s, mine %s, theirs %s", c.Section, c.Key, show(c.Base), show(c.Mine), show(c.Theirs))
+	return fmt.Sprintf("[%s] %s: base %s, mine %s, theirs %s", c.Section, c.Key, formatValue(c.Base), formatValue(c.Mine), formatValue(c.Theirs))
 }
 
-// Merged is the outcome of a merge.
+// Merged is the result of a merge.
 type Merged struct {
-	// Text is theirs with my changes made to it.
+	// Text is theirs with the changes of mine applied.
 	Text []byte
 	// Mine and Theirs are the changes that each side made to the base.
 	Mine   []Change
 	Theirs []Change
 }
 
-// keyPlace names one key of a text.
-type keyPlace struct {
+// keyID identifies a key of a text.
+type keyID struct {
 	section Section
 	key     string
 }
 
-// Merge makes the changes from base to mine in theirs. Comments and layout are
-// theirs; a section that only mine has brings its own comments. The error is
-// *InvalidError for a text that cannot be read, or *ConflictError, which lists
-// every key that both sides changed differently.
+// Merge applies the changes from base to mine to theirs. Comments and layout are taken from theirs;
+// a section that only mine has keeps its comments. The error is *InvalidError for a text that
+// cannot be parsed, or *ConflictError, which lists every key that the two sides changed to
+// different values.
 //
-// The merged text may still be refused by ParseTree (one side removes what the
-// other refers to), so check it before it is put.
+// ParseTree may still reject the merged text, for example if one side removes a section that the
+// other refers to. Callers must validate it before they commit it.
 func Merge(base, mine, theirs []byte) (*Merged, error) {
 	docs := [3]*document{}
 	for i, text := range [][]byte{base, mine, theirs} {
-		d, err := readable([]string{"base", "mine", "theirs"}[i], text)
+		d, err := parseSyntax([]string{"base", "mine", "theirs"}[i], text)
 		if err != nil {
 			return nil, err
 		}
@@ -58,23 +58,23 @@
 	return out, nil
 }
 
-// findConflicts lists the keys where the two sides disagree. A section that one
-// side removes conflicts with each key of it that the other side changes.
+// findConflicts returns the keys that the two sides changed to different values. The removal of a
+// section by one side conflicts with each key of the section that the other side sets.
 func findConflicts(base, mine, theirs *document, changes *Merged) []Conflict {
 	var out []Conflict
-	theirsAt := byPlace(changes.Theirs)
-	listed := map[keyPlace]bool{}
+	theirChanges := indexChanges(changes.Theirs)
+	listed := map[keyID]bool{}
 	add := func(s Section, key string) {
-		if listed[keyPlace{s, key}] {
+		if listed[keyID{s, key}] {
 			return
 		}
-		listed[keyPlace{s, key}] = true
-		out = append(out, Conflict{Section: s, Key: key, Base: base.pointer(s, key), Mine: mine.pointer(s, key), Theirs: theirs.pointer(s, key)})
+		listed[keyID{s, key}] = true
+		out = append(out, Conflict{Section: s, Key: key, Base: base.valuePointer(s, key), Mine: mine.valuePointer(s, key), Theirs: theirs.valuePointer(s, key)})
 	}
 	for _, c := range changes.Mine {
-		other, both := theirsAt[keyPlace{c.Section, c.Key}]
+		other, both := theirChanges[keyID{c.Section, c.Key}]
 		removed := theirs.sections[c.Section] == nil && base.sections[c.Section] != nil
-		if (both && !same(c.New, other.New)) || (removed && c.New != nil) {
+		if (both && !equalValues(c.New, other.New)) || (removed && c.New != nil) {
 			add(c.Section, c.Key)
 		}
 	}
@@ -86,39 +86,39 @@
 	return out
 }
 
-func byPlace(changes []Change) map[keyPlace]Change {
-	out := map[keyPlace]Change{}
+func indexChanges(changes []Change) map[keyID]Change {
+	out := map[keyID]Change{}
 	for _, c := range changes {
-		out[keyPlace{c.Section, c.Key}] = c
+		out[keyID{c.Section, c.Key}] = c
 	}
 	return out
 }
 
-func same(a, b *string) bool {
+func equalValues(a, b *string) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
 	return *a == *b
 }
 
-// pointer returns a value, or nil where it is not set.
-func (d *document) pointer(s Section, key string) *string {
+// valuePointer returns a pointer to the value of a key, or nil if it is not set.
+func (d *document) valuePointer(s Section, key string) *string {
 	if e, found := d.value(s, key); found {
 		return &e.value
 	}
 	return nil
 }
 
-// mergeInto makes changes in the target and takes new sections whole, with
-// their comments, from the source.
+// mergeInto applies changes to the target. New sections are copied from the source with their
+// comments.
 func mergeInto(target, source *document, changes []Change) []byte {
 	e := newEditor(target)
-	whole := map[Section]bool{}
+	copied := map[Section]bool{}
 	for _, c := range changes {
 		switch {
-		case whole[c.Section]:
+		case copied[c.Section]:
 		case c.Key == "" && c.New != nil && target.sections[c.Section] == nil:
-			whole[c.Section] = true
+			copied[c.Section] = true
 			e.appendSection(c.Section, source.blockText(c.Section))
 		default:
 			e.apply(c)
@@ -127,7 +127,7 @@
 	return e.text()
 }
 
-// blockText returns the lines of a section without blank ones at its end.
+// blockText returns the lines of a section without trailing blank lines.
 func (d *document) blockText(s Section) []string {
 	first, end := d.extent(d.sections[s])
 	for end > first && d.lines[end-1].raw == "" {
@@ -140,9 +140,9 @@
 	return out
 }
 
-// Resolve settles conflicts key by key: it returns a base and a mine that merge
-// with theirs without them. Where keepMine tells so, the base takes their value,
-// which leaves only my change; elsewhere mine takes their value.
+// Resolve resolves conflicts key by key: it returns a base and a mine that merge with theirs
+// without these conflicts. If keepMine returns true for a conflict, base is set to the value of
+// theirs, which leaves only the change of mine; otherwise mine is set to the value of theirs.
 func Resolve(base, mine []byte, conflicts []Conflict, keepMine func(Conflict) bool) (newBase, newMine []byte, err error) {
 	var inBase, inMine []Change
 	for _, c := range conflicts {
--- a/settings/merge_test.go
+++ b/settings/merge_test.go
@@ -28,7 +28,7 @@
 floor = 3
 `
 
-func TestMergeKeepsTextAndTakesBothSides(t *testing.T) {
+func TestMergeKeepsLayoutAndBothChanges(t *testing.T) {
 	mine := strings.Replace(mergeBase, "spill = yes", "spill = no", 1)
 	mine = strings.Replace(mine, "max-away = 1\n", "", 1) + "\n# a new one\n[pool \"r\"]\nfloor = 9 # nine\n"
 	theirs := strings.Replace(mergeBase, "queue-limit = 10", "queue-limit=20", 1)
@@ -59,7 +59,7 @@
 }
 
 func TestMergeConflicts(t *testing.T) {
-	drop := "[pool \"q\"]\nfloor = 3\n"
+	sectionQ := "[pool \"q\"]\nfloor = 3\n"
 	rows := []struct {
 		name, mine, theirs string
 		want               []string
@@ -68,9 +68,9 @@
 		{"same key, same value", replace("floor = 2", "floor = 5"), replace("floor = 2", "floor=5"), nil},
 		{"set against removed", replace("floor = 2", "floor = 5"), replace("floor = 2\n", ""), []string{`[pool "p"] floor: base 2, mine 5, theirs (not set)`}},
 		{"both add a key", replace("floor = 2", "floor = 2\nfloor-decode = 1"), replace("floor = 2", "floor = 2\nfloor-decode = 3"), []string{`[pool "p"] floor-decode: base (not set), mine 1, theirs 3`}},
-		{"they remove the section", replace(drop, drop+"floor-decode = 1\n"), replace(drop, ""), []string{`[pool "q"] floor-decode: base (not set), mine 1, theirs (not set)`}},
-		{"I remove the section", replace(drop, ""), replace("floor = 3", "floor = 4"), []string{`[pool "q"] floor: base 3, mine (not set), theirs 4`}},
-		{"both remove the section", replace(drop, ""), replace(drop, ""), nil},
+		{"they remove the section", replace(sectionQ, sectionQ+"floor-decode = 1\n"), replace(sectionQ, ""), []string{`[pool "q"] floor-decode: base (not set), mine 1, theirs (not set)`}},
+		{"I remove the section", replace(sectionQ, ""), replace("floor = 3", "floor = 4"), []string{`[pool "q"] floor: base 3, mine (not set), theirs 4`}},
+		{"both remove the section", replace(sectionQ, ""), replace(sectionQ, ""), nil},
 		{"both add a section", mergeBase + "[zone \"a\"]\nspill = no\n", mergeBase + "[zone \"a\"]\nspill = yes\n", []string{`[zone "a"] spill: base (not set), mine no, theirs yes`}},
 	}
 	for _, r := range rows {
@@ -90,10 +90,10 @@
 
 func replace(old, now string) string { return strings.Replace(mergeBase, old, now, 1) }
 
-// TestMergeProperties compares Merge with a merge of plain maps: a merge takes
-// every change of both sides, and it conflicts exactly where a key differs.
+// TestMergeProperties compares Merge with a merge of plain maps: a merge must apply every change of
+// both sides, and must conflict exactly if the sides changed a key to different values.
 func TestMergeProperties(t *testing.T) {
-	// A fixed seed: the same verdict on every run.
+	// A fixed seed makes the result reproducible.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
@@ -101,12 +101,12 @@
 		base := drawTexts(t, "base")
 		mine, theirs := drawEdit(t, base, "mine"), drawEdit(t, base, "theirs")
 		merged, err := Merge(render(base), render(mine), render(theirs))
-		want, clash := mergeMaps(base, mine, theirs)
+		want, conflicted := mergeMaps(base, mine, theirs)
 		var conflict *ConflictError
-		if errors.As(err, &conflict) != clash {
-			t.Fatalf("conflict %v, want %v", err, clash)
+		if errors.As(err, &conflict) != conflicted {
+			t.Fatalf("conflict %v, want %v", err, conflicted)
 		}
-		if clash {
+		if conflicted {
 			return
 		}
 		if err != nil {
@@ -139,7 +139,7 @@
 	return out
 }
 
-// render writes every section, so that only keys come and go.
+// render renders every section, even if empty, so that only keys are added and removed.
 func render(m texts) []byte {
 	var b strings.Builder
 	for _, s := range []string{"p", "q", "r"} {
@@ -155,24 +155,24 @@
 
 func mergeMaps(base, mine, theirs texts) (texts, bool) {
 	out := maps.Clone(theirs)
-	clash := false
+	conflicted := false
 	for _, s := range []string{"p", "q", "r"} {
 		for _, k := range []string{"x", "y", "z"} {
 			key := s + "/" + k
 			if mine[key] == base[key] {
 				continue
 			}
-			clash = clash || (theirs[key] != base[key] && theirs[key] != mine[key])
+			conflicted = conflicted || (theirs[key] != base[key] && theirs[key] != mine[key])
 			delete(out, key)
 			if value, found := mine[key]; found {
 				out[key] = value
 			}
 		}
 	}
-	return out, clash
+	return out, conflicted
 }
 
-func TestApplyRefusesWhatWouldNotReadBack(t *testing.T) {
+func TestApplyRejectsUnreadableValues(t *testing.T) {
 	for _, value := range []string{"a\n[x]", "1 ; 2", "1 # 2", "`a", `"""`, " 1"} {
 		_, err := Apply([]byte(mergeBase), []Change{{Section: Section{Kind: PoolKind, Name: "p"}, Key: "floor", New: &value}})
 		var invalid *InvalidError
--- a/settings/ordered.go
+++ b/settings/ordered.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// pair are two keys of which the first may not be above the second.
-type pair struct{ low, high string }
+// orderedPair is a pair of keys; the value of low must not exceed that of high.
+type orderedPair struct{ low, high string }
 
-var orderedPairs = []pair{
+var orderedPairs = []orderedPair{
 	{"retry-backoff", "retry-backoff-limit"},
 	{"eject-time", "eject-time-limit"},
 	{"deadline-interactive", "deadline-limit"},
@@ -13,8 +13,8 @@
 	{"deadline-batch", "deadline-limit"},
 }
 
-// checkOrdered compares the pairs as they come out in every scope, because a
-// pool and its zone may each be right alone and wrong together.
+// checkOrdered compares the effective values of each pair in every scope, because values that are
+// valid in a pool and in its zone may be invalid in combination.
 func checkOrdered(d *document) {
 	type report struct {
 		line int
@@ -34,7 +34,7 @@
 			if lowValue.number <= highValue.number {
 				continue
 			}
-			// At least one is set: the built-in values are in order.
+			// At least one of them is set, because the built-in values are ordered.
 			key, origin := low, lowOrigin
 			if origin.BuiltIn() {
 				key, origin = high, highOrigin
@@ -49,7 +49,7 @@
 	}
 }
 
-// scopes returns every section, and each pool and service in each zone.
+// scopes returns every general section, and each pool and service for each zone.
 func (d *document) scopes() []Section {
 	var zones []string
 	for _, s := range d.order {
@@ -63,7 +63,7 @@
 			continue
 		}
 		out = append(out, s)
-		if s.Kind.zoned() {
+		if s.Kind.perZone() {
 			for _, zone := range zones {
 				out = append(out, Section{Kind: s.Kind, Name: s.Name, Zone: zone})
 			}
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -7,10 +7,11 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Fault is the kind of a Problem.
+// Fault is the category of a Problem.
 type Fault string
 
-// The faults that a settings text can have.
+// The categories of problems. Dangling is a reference to a section that does not exist, and Clash
+// is a value that contradicts another one.
 const (
 	BadSyntax        Fault = "bad-syntax"
 	UnknownSection   Fault = "unknown-section"
@@ -26,21 +27,21 @@
 	Clash            Fault = "clash"
 )
 
-// Problem is one thing wrong with a settings text.
+// Problem is an error in a settings text.
 type Problem struct {
 	File string `json:"file"`
-	// Line counts from one; zero means the text as a whole.
+	// Line is the line number, starting from one; zero means the text as a whole.
 	Line    int    `json:"line"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
 	Fault   Fault  `json:"fault"`
-	// Text is what was found there.
+	// Text describes what was found.
 	Text string `json:"text"`
-	// Want says what would be right.
-	Want string `json:"want"`
+	// Expected describes what would be valid.
+	Expected string `json:"want"`
 }
 
-// Error implements error: file:line: [section] key: fault: found; want.
+// Error implements error, in the format file:line: [section] key: fault: text; want expected.
 func (p Problem) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d: ", p.File, p.Line)
@@ -51,17 +52,16 @@
 		fmt.Fprintf(&b, "%s: ", p.Key)
 	}
 	fmt.Fprintf(&b, "%s: %s", p.Fault, p.Text)
-	if p.Want != "" {
-		fmt.Fprintf(&b, "; want %s", p.Want)
+	if p.Expected != "" {
+		fmt.Fprintf(&b, "; want %s", p.Expected)
 	}
 	return b.String()
 }
 
-// InvalidError is a settings text that was refused. It holds every problem
-// found, in the order of the lines.
+// InvalidError is an invalid settings text. It holds every problem found, ordered by line.
 type InvalidError struct{ Problems []Problem }
 
-// Error implements error, one problem a line.
+// Error implements error, with one line per problem.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
--- a/settings/process.go
+++ b/settings/process.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// Process are the settings of one process.
+// Process holds the settings of one entry or controller process.
 type Process struct {
-	// VM and Zone are those of the machine that the process runs on.
+	// VM and Zone are the name and zone of the VM on which the process runs.
 	VM   string `key:"vm"`
 	Zone string `key:"zone"`
 	// Platform is the address of the platform.
 	Platform string `key:"platform"`
-	// Callers, Peers, Operators and Metrics are addresses to listen on.
-	// Callers is set for an entry only, Operators for a controller only.
+	// Callers, Peers, Operators and Metrics are listen addresses. Callers is set only for an entry,
+	// Operators only for a controller.
 	Callers   string `key:"callers"`
 	Peers     string `key:"peers"`
 	Operators string `key:"operators"`
 	Metrics   string `key:"metrics"`
-	// Advertise is where peers reach the process; empty means as bound.
+	// Advertise is the address under which peers reach the process; empty means the bound address.
 	Advertise string `key:"advertise"`
-	// Seeds are peer addresses of some entries of the zone.
+	// Seeds are the peer addresses of some entries of the zone, used if the platform is
+	// unreachable.
 	Seeds    []string `key:"seeds"`
 	LogLevel int      `key:"log-level"`
-	// StopGrace is the time that a planned stop gives open streams.
+	// StopGrace is the time that a planned stop leaves open streams and calls to finish.
 	StopGrace time.Duration `key:"stop-grace"`
-	// BalancerDelay is the time between failing the health check and refusing
-	// new requests at a planned stop (entry only).
+	// BalancerDelay is the time between failing the health check and refusing new requests during a
+	// planned stop (entry only).
 	BalancerDelay time.Duration `key:"balancer-delay"`
 }
 
-// ParseProcess reads and checks a process file. One file serves both processes
-// of a VM: kind is EntryKind or ControllerKind, and that section overrides only
-// what it names of [process]. The error is *InvalidError.
+// ParseProcess parses and validates a process file. Both processes of a VM use the same file: kind
+// is EntryKind or ControllerKind, and the section of that kind overrides the keys of [process] that
+// it sets. The error is *InvalidError.
 func ParseProcess(file string, text []byte, kind Kind) (*Process, error) {
 	d := parseDocument(file, text)
-	check(d, processKinds)
+	checkSections(d, processKinds)
 	chain := d.chain(Section{Kind: kind})
 	d.checkRequiredAlong(kind, chain)
 	if err := d.invalid(); err != nil {
@@ -48,7 +49,8 @@
 	return p, nil
 }
 
-// checkRequiredAlong looks for required keys that no section of a chain sets.
+// checkRequiredAlong reports required keys that no section of a chain sets, unless another problem
+// with the key was reported.
 func (d *document) checkRequiredAlong(kind Kind, chain []Section) {
 	for _, k := range KeysFor(kind) {
 		if _, origin := d.effective(k, chain); k.Required && origin.BuiltIn() && !d.hasProblem(k.Name) {
@@ -62,8 +64,8 @@
 	return slices.ContainsFunc(d.problems, func(p Problem) bool { return p.Key == key })
 }
 
-// headerLine returns the index of a section's header, or -1, which makes the
-// line of a problem zero: the text as a whole.
+// headerLine returns the line index of a section's header. It returns -1 for a missing section, so
+// that a problem there gets line zero, which stands for the text as a whole.
 func (d *document) headerLine(s Section) int {
 	if b, found := d.sections[s]; found {
 		return b.line
@@ -71,7 +73,7 @@
 	return -1
 }
 
-// LoadProcess reads a process file. The error is *ReadError or *InvalidError.
+// LoadProcess reads, parses and validates a process file. The error is *ReadError or *InvalidError.
 func LoadProcess(file string, kind Kind) (*Process, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -57,9 +57,9 @@
 	case k.Required:
 		def = "required"
 	}
-	places := joinKinds(k.In)
+	places := joinKinds(k.Kinds)
 	switch {
-	case k.Own:
+	case k.NotInherited:
 		places += " (own)"
 	case k.AllZones:
 		places += " (same in all zones)"
--- a/settings/section.go
+++ b/settings/section.go
@@ -36,8 +36,8 @@
 // gatewayKinds are the kinds of section of the gateway file.
 var gatewayKinds = []Kind{GatewayKind}
 
-// Section identifies a section. Name is empty for kinds that stand once; Zone
-// is set only for a pool or service in one zone.
+// Section identifies a section. Name is empty for kinds that have a single section. Zone is set
+// only for the section of a pool or service for one zone.
 type Section struct {
 	Kind Kind
 	Name string
@@ -57,8 +57,8 @@
 	return b.String()
 }
 
-// named tells whether sections of the kind carry a name.
-func (k Kind) named() bool {
+// hasName reports whether sections of the kind have a name.
+func (k Kind) hasName() bool {
 	switch k {
 	case Defaults, ProcessKind, EntryKind, ControllerKind, GatewayKind:
 		return false
@@ -66,32 +66,32 @@
 	return true
 }
 
-// zoned tells whether sections of the kind may be narrowed to one zone.
-func (k Kind) zoned() bool { return k == PoolKind || k == ServiceKind }
+// perZone reports whether the kind may have sections for one zone.
+func (k Kind) perZone() bool { return k == PoolKind || k == ServiceKind }
 
 var (
 	headerPattern = regexp.MustCompile(`^([a-z]+)(?:\s+"([^"]*)")?(?:\s+zone\s+"([^"]*)")?$`)
 	namePattern   = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 )
 
-// ParseSection reads a header without its brackets. The quotes round names may
-// be left out, so that it also reads what operators type on a command line.
+// ParseSection parses a header without its brackets. The quotes around names are optional, because
+// operators omit them on the command line.
 func ParseSection(text string) (Section, bool) {
 	m := headerPattern.FindStringSubmatch(quoteWords(text))
 	if m == nil {
 		return Section{}, false
 	}
 	s := Section{Kind: Kind(m[1]), Name: m[2], Zone: m[3]}
-	if s.Kind.named() != (s.Name != "") || (s.Name != "" && !namePattern.MatchString(s.Name)) {
+	if s.Kind.hasName() != (s.Name != "") || (s.Name != "" && !namePattern.MatchString(s.Name)) {
 		return Section{}, false
 	}
-	if s.Zone != "" && (!s.Kind.zoned() || !namePattern.MatchString(s.Zone)) {
+	if s.Zone != "" && (!s.Kind.perZone() || !namePattern.MatchString(s.Zone)) {
 		return Section{}, false
 	}
 	return s, true
 }
 
-// quoteWords puts quotes round the second and fourth word where they are missing.
+// quoteWords adds missing quotes around the second and fourth word.
 func quoteWords(text string) string {
 	words := strings.Fields(text)
 	for i := 1; i < len(words); i += 2 {
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Tree is the operators' settings, checked and with inheritance worked out.
+// Tree is the operators' validated settings with inheritance resolved.
 type Tree struct {
 	doc           *document
 	fleet         FleetSettings
@@ -20,11 +20,11 @@
 	byHash        map[string]*Organisation
 }
 
-// ParseTree reads and checks the operators' tree. The file name is used only in
-// problems. The error is *InvalidError and holds every problem found.
+// ParseTree parses and validates the operators' tree. The file name is used only in problems. The
+// error is *InvalidError and holds every problem found.
 func ParseTree(file string, text []byte) (*Tree, error) {
 	doc := parseDocument(file, text)
-	check(doc, treeKinds)
+	checkSections(doc, treeKinds)
 	checkReferences(doc)
 	if len(doc.problems) == 0 {
 		checkEndpoints(doc)
@@ -36,25 +36,25 @@
 	return newTree(doc), nil
 }
 
-// Fleet returns the settings that hold for all zones together.
+// Fleet returns the settings that apply to all zones together.
 func (t *Tree) Fleet() FleetSettings { return t.fleet }
 
-// Zones returns the availability zones by name.
+// Zones returns the availability zones, sorted by name.
 func (t *Tree) Zones() []Zone { return slices.Clone(t.zones) }
 
-// Pools returns the pools by name.
+// Pools returns the pools, sorted by name.
 func (t *Tree) Pools() []Pool { return slices.Clone(t.pools) }
 
-// Services returns the services by name.
+// Services returns the services, sorted by name.
 func (t *Tree) Services() []Service { return slices.Clone(t.services) }
 
-// Endpoints returns the endpoints by name.
+// Endpoints returns the endpoints, sorted by name.
 func (t *Tree) Endpoints() []Endpoint { return slices.Clone(t.endpoints) }
 
-// Organisations returns the organisations by name.
+// Organisations returns the organisations, sorted by name.
 func (t *Tree) Organisations() []Organisation { return slices.Clone(t.organisations) }
 
-// Models returns the models by name.
+// Models returns the models, sorted by name.
 func (t *Tree) Models() []Model { return slices.Clone(t.models) }
 
 // Pool returns a pool by name.
@@ -92,7 +92,7 @@
 	return *o, true
 }
 
-// find looks a name up in a list that is sorted by name.
+// find looks up a name in a list that is sorted by name.
 func find[T any](list []T, name string, nameOf func(T) string) (T, bool) {
 	i, found := slices.BinarySearchFunc(list, name, func(item T, want string) int {
 		return strings.Compare(nameOf(item), want)
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func kliko(t testing.TB) []byte {
+func exampleTree(t testing.TB) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/kliko.ini")
 	if err != nil {
@@ -30,7 +30,7 @@
 }
 
 func TestInheritanceOrder(t *testing.T) {
-	// Each row adds the next nearer section; the value must come from the last.
+	// Each layer adds the next more specific section; the value must come from the last one.
 	layers := []string{
 		"[zone \"a\"]\nregion = r\n[region \"r\"]\n[pool \"top\"]\n[pool \"p\"]\nparent = top\n",
 		"[defaults]\nretry-attempts = 2\n",
@@ -62,13 +62,13 @@
 		}
 		p, _ := tree.Pool("p")
 		if p.ForZone("a").Retry.Attempts != int(v.Int()) {
-			t.Errorf("after layer %d: typed value %d, explained %d", i, p.ForZone("a").Retry.Attempts, v.Int())
+			t.Errorf("after layer %d: typed value %d, Effective returned %d", i, p.ForZone("a").Retry.Attempts, v.Int())
 		}
 	}
 }
 
 func TestTypedValues(t *testing.T) {
-	tree := mustTree(t, string(kliko(t)))
+	tree := mustTree(t, string(exampleTree(t)))
 	language, _ := tree.Pool("language")
 	slots, _ := tree.Service("slots")
 	engine1, _ := tree.Endpoint("engine-1")
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestInvalidTrees(t *testing.T) {
 	head := "[zone \"a\"]\n[pool \"p\"]\n[model \"m\"]\nversion = 1\n"
 	rows := []struct{ text, want string }{
 		{"[pol \"x\"]", `tree.ini:5: [pol "x"] unknown-section: no such kind of section here; want one of defaults, region, zone, pool, service, endpoint, organisation, model`},
@@ -174,7 +174,8 @@
 	}
 }
 
-// TestRegistry holds the registry, its defaults and the typed structs together.
+// TestRegistry checks that the definitions in Keys are complete, that their defaults are valid, and
+// that every key has a field in the typed structs and vice versa.
 func TestRegistry(t *testing.T) {
 	for i := range Keys {
 		k := &Keys[i]
@@ -184,47 +185,48 @@
 			}
 			v, ok := k.Parse(text)
 			if !ok || !k.InRange(v) {
-				t.Errorf("%s: %q is no value of its own key", k.Name, text)
+				t.Errorf("%s: %q is not a valid value of the key", k.Name, text)
 			}
 		}
-		if k.Doc == "" || len(k.In) == 0 || (k.Min == "") != (k.Max == "") || parsers[k.Type] == nil {
+		if k.Doc == "" || len(k.Kinds) == 0 || (k.Min == "") != (k.Max == "") || parsers[k.Type] == nil {
 			t.Errorf("%s: incomplete", k.Name)
 		}
-		for _, kind := range k.In {
+		for _, kind := range k.Kinds {
 			if found, _ := Lookup(kind, k.Name); found != k {
-				t.Errorf("%s stands twice for kind %s", k.Name, kind)
+				t.Errorf("%s is defined twice for kind %s", k.Name, kind)
 			}
 		}
 	}
-	used := map[place]bool{{ModelKind, "adapters"}: true}
-	tagged(t, used, reflect.TypeFor[FleetSettings](), Defaults)
-	tagged(t, used, reflect.TypeFor[Zone](), ZoneKind)
-	tagged(t, used, reflect.TypeFor[Pool](), PoolKind)
-	tagged(t, used, reflect.TypeFor[Service](), ServiceKind)
-	tagged(t, used, reflect.TypeFor[Endpoint](), EndpointKind)
-	tagged(t, used, reflect.TypeFor[Organisation](), OrgKind)
-	tagged(t, used, reflect.TypeFor[Model](), ModelKind)
-	tagged(t, used, reflect.TypeFor[Process](), EntryKind)
-	tagged(t, used, reflect.TypeFor[Process](), ControllerKind)
-	tagged(t, used, reflect.TypeFor[Gateway](), GatewayKind)
+	used := map[keyLocation]bool{{ModelKind, "adapters"}: true}
+	checkTags(t, used, reflect.TypeFor[FleetSettings](), Defaults)
+	checkTags(t, used, reflect.TypeFor[Zone](), ZoneKind)
+	checkTags(t, used, reflect.TypeFor[Pool](), PoolKind)
+	checkTags(t, used, reflect.TypeFor[Service](), ServiceKind)
+	checkTags(t, used, reflect.TypeFor[Endpoint](), EndpointKind)
+	checkTags(t, used, reflect.TypeFor[Organisation](), OrgKind)
+	checkTags(t, used, reflect.TypeFor[Model](), ModelKind)
+	checkTags(t, used, reflect.TypeFor[Process](), EntryKind)
+	checkTags(t, used, reflect.TypeFor[Process](), ControllerKind)
+	checkTags(t, used, reflect.TypeFor[Gateway](), GatewayKind)
 	for _, k := range Keys {
-		last := k.In[len(k.In)-1]
-		if !used[place{last, k.Name}] {
-			t.Errorf("no typed field holds %s of [%s]", k.Name, last)
+		last := k.Kinds[len(k.Kinds)-1]
+		if !used[keyLocation{last, k.Name}] {
+			t.Errorf("no struct field for key %s of [%s]", k.Name, last)
 		}
 	}
 }
 
-func tagged(t *testing.T, used map[place]bool, structure reflect.Type, kind Kind) {
+// checkTags checks that a structure's key tags name keys of the kind, and records them in used.
+func checkTags(t *testing.T, used map[keyLocation]bool, structure reflect.Type, kind Kind) {
 	for i := range structure.NumField() {
 		field := structure.Field(i)
 		name, found := field.Tag.Lookup("key")
 		if _, known := Lookup(kind, name); found && !known && structure != reflect.TypeFor[Process]() {
 			t.Errorf("%s.%s: no key %s for [%s]", structure.Name(), field.Name, name, kind)
 		}
-		used[place{kind, name}] = true
+		used[keyLocation{kind, name}] = true
 		if !found && field.Type.Kind() == reflect.Struct {
-			tagged(t, used, field.Type, kind)
+			checkTags(t, used, field.Type, kind)
 		}
 	}
 }
--- a/settings/tuning/tuning.go
+++ b/settings/tuning/tuning.go
@@ -1,6 +1,6 @@
-// Package tuning turns values of the settings tree into the settings of the
-// packages that decide. A test holds the built-in values of the tree and the
-// defaults of those packages together.
+// Package tuning converts values of the settings tree to the configurations of the packages that
+// use them. A test checks that the built-in values of the tree equal the defaults of those
+// packages.
 package tuning
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// Health returns when endpoints are ejected.
+// Health returns the configuration of endpoint ejection.
 func Health(e settings.Ejection) health.Config {
 	c := health.DefaultConfig()
 	c.ConsecutiveFailures = e.Failures
@@ -37,7 +37,7 @@
 	return l
 }
 
-// Backoff returns the pauses before retries.
+// Backoff returns the delays before retries.
 func Backoff(r settings.Retry) retry.Backoff {
 	b := retry.DefaultBackoff
 	b.Base = r.Backoff
@@ -45,7 +45,7 @@
 	return b
 }
 
-// Admission returns the bounds of the queue.
+// Admission returns the limits and class weights of the queue.
 func Admission(q settings.Queues) admission.Config {
 	c := admission.DefaultConfig()
 	c.MaxQueue = q.Limit
@@ -60,7 +60,7 @@
 	return admission.OrganisationLimit{TokensPerSecond: o.TokenRate, Concurrent: o.Concurrency}
 }
 
-// Spill returns when requests go to other zones.
+// Spill returns the conditions under which requests are sent to other zones.
 func Spill(s settings.Spill) routing.SpillConfig {
 	c := routing.DefaultSpill()
 	c.Enabled = s.Enabled
@@ -69,7 +69,7 @@
 	return c
 }
 
-// Deadlines returns the deadlines of requests that name none.
+// Deadlines returns the default deadlines by priority class.
 func Deadlines(d settings.Deadlines) map[engine.Priority]time.Duration {
 	return map[engine.Priority]time.Duration{
 		engine.Interactive: d.Interactive,
@@ -78,7 +78,8 @@
 	}
 }
 
-// Priority returns the class that the tree names interactive, standard or batch.
+// Priority returns the priority class with the given name in the tree: interactive, standard or
+// batch.
 func Priority(name string) engine.Priority {
 	switch name {
 	case "interactive":
@@ -89,7 +90,7 @@
 	return engine.Standard
 }
 
-// Engine returns the assumed speeds of the pool's engines.
+// Engine returns the cost model of the pool's engines.
 func Engine(r settings.Roles) costs.Engine {
 	e := costs.Defaults()
 	e.PrefillRate = r.PrefillRate
@@ -99,7 +100,7 @@
 	return e
 }
 
-// Roles returns the bounds of the role planner.
+// Roles returns the settings of the role planner.
 func Roles(r settings.Roles) roles.Settings {
 	s := roles.Defaults(roles.Weights{Goodput: r.GoodputWeight, Change: r.ChangeWeight})
 	s.Costs = Engine(r)
--- a/settings/tuning/tuning_test.go
+++ b/settings/tuning/tuning_test.go
@@ -42,8 +42,9 @@
 	return tree
 }
 
-// TestBuiltInValuesAreTheDefaults makes the reference page tell the truth.
-func TestBuiltInValuesAreTheDefaults(t *testing.T) {
+// TestBuiltInValuesMatchDefaults checks that the built-in values of the tree, which the reference
+// page documents, equal the defaults of the packages that use them.
+func TestBuiltInValuesMatchDefaults(t *testing.T) {
 	tree := parse(t)
 	pool, _ := tree.Pool("p")
 	service, _ := tree.Service("s")
@@ -75,7 +76,7 @@
 	}
 }
 
-func TestValuesArrive(t *testing.T) {
+func TestValuesAreApplied(t *testing.T) {
 	tree := parse(t)
 	pool, _ := tree.Pool("q")
 	organisation, _ := tree.Organisation("o")
--- a/settings/value.go
+++ b/settings/value.go
@@ -13,9 +13,9 @@
 // Type is the type of a key's value.
 type Type string
 
-// The types of value, with how each is written.
+// The types of value and their syntax.
 const (
-	// Duration is a number with ms, s, m or h.
+	// Duration is a number with us, ms, s, m or h.
 	Duration Type = "duration"
 	// Integer is a whole number.
 	Integer Type = "integer"
@@ -33,7 +33,7 @@
 	Flag Type = "flag"
 	// Choice is one of a few words.
 	Choice Type = "choice"
-	// Name is the name of another section.
+	// Name is a name of lower-case letters, digits, '.', '_' and '-'.
 	Name Type = "name"
 	// Names is a comma-separated list of names.
 	Names Type = "names"
@@ -49,12 +49,11 @@
 	Version Type = "version"
 )
 
-// Value is a checked value. Its zero is the value of an unset key.
+// Value is a validated value. The zero Value is the value of an unset key.
 type Value struct {
 	text string
-	// number is in the type's base unit: nanoseconds, bytes, a fraction of
-	// one for a percentage, a count a second for a rate, the index of a
-	// choice. Exact below 2^53.
+	// number is in the type's base unit: nanoseconds, bytes, a fraction of one for a percentage, a
+	// count per second for a rate, the index of a choice. Integers are exact below 2^53.
 	number float64
 	list   []string
 }
@@ -68,22 +67,23 @@
 // Int returns an Integer or Size value.
 func (v Value) Int() int64 { return int64(v.number) }
 
-// Float returns a Number, a Percent as a fraction of one, or a Rate a second.
+// Float returns a Number, a Percent as a fraction of one, or a Rate or SizeRate per second.
 func (v Value) Float() float64 { return v.number }
 
 // Bool returns a Flag value.
 func (v Value) Bool() bool { return v.number != 0 }
 
-// List returns the items of a list; the caller may keep and change it.
+// List returns a copy of the items of a list.
 func (v Value) List() []string { return append([]string(nil), v.list...) }
 
+// parser parses the text of a value of a key.
 type parser func(k *Key, text string) (Value, bool)
 
-// A suffix and what one of it is worth in the base unit. Longer suffixes that
-// end in a shorter one come first.
+// suffix is a unit suffix and its factor to the base unit. In a list of suffixes, one that ends in
+// another comes before it.
 type suffix struct {
-	text  string
-	worth float64
+	text   string
+	factor float64
 }
 
 var (
@@ -113,8 +113,8 @@
 	Version:   parseText(isVersion),
 }
 
-// Parse reads a value of the key. The bool is false when the text is not of
-// the key's type; the range is checked apart.
+// Parse parses a value of the key and reports whether the text is valid for the key's type. It does
+// not check the range; see InRange.
 func (k *Key) Parse(text string) (Value, bool) {
 	if text == "" {
 		return Value{}, k.Default == "" && !k.Required
@@ -122,7 +122,7 @@
 	return parsers[k.Type](k, text)
 }
 
-// InRange tells whether v lies within the key's range.
+// InRange reports whether v lies within the key's range.
 func (k *Key) InRange(v Value) bool {
 	if k.Min == "" {
 		return true
@@ -143,7 +143,7 @@
 			if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 				continue
 			}
-			return Value{text: text, number: n * u.worth}, true
+			return Value{text: text, number: n * u.factor}, true
 		}
 		return Value{}, false
 	}
