--- a/contact/decide.go
+++ b/contact/decide.go
@@ -20,10 +20,10 @@
 	// Acks holds the answers of this round by VM name.
 	Acks map[string]Ack
 	// Silent is how long each VM has not answered; zero for one that did.
-	Silent map[string]time.Duration
+	UnresponsiveFor map[string]time.Duration
 	// Settled names the shunned VMs whose shunning is acknowledged by all
 	// others and whose RemovalDelay has passed.
-	Settled map[string]bool
+	Removable map[string]bool
 	// Listed is the membership list's names, read after the roster; nil when
 	// the list could not be read.
 	Listed map[string]bool
@@ -31,29 +31,31 @@
 
 // step is one rule by which a roster changes. It edits the VMs of next, whose
 // revision is already that of the change.
-type step func(old Roster, next *Roster, seen Observed)
+type rule func(old Roster, next *Roster, observed Observed)
 
 // steps in order: drops come first, since the marks are judged by the size
 // that remains.
-var steps = []step{dropGone, dropSettled, markListed, markLapse, unshunAnswering, shunSilent}
+var rules = []rule{removeUnlisted, removeExcluded, markListed, markTimeout, readmitResponding, excludeUnresponsive}
 
 // sweepSteps are the rules for the roster of another zone, whose VMs may be
 // out of reach from here: only the platform's word counts.
-var sweepSteps = []step{dropGone, markListed}
+var sweepRules = []rule{removeUnlisted, markListed}
 
 // Decide returns the next roster of the keeper's own zone, and whether it
 // differs from old.
-func Decide(old Roster, seen Observed) (Roster, bool) { return apply(steps, old, seen) }
+func Decide(old Roster, observed Observed) (Roster, bool) { return apply(rules, old, observed) }
 
 // DecideSweep returns the next roster of another zone, and whether it differs.
-func DecideSweep(old Roster, seen Observed) (Roster, bool) { return apply(sweepSteps, old, seen) }
+func DecideSweep(old Roster, observed Observed) (Roster, bool) {
+	return apply(sweepRules, old, observed)
+}
 
-func apply(steps []step, old Roster, seen Observed) (Roster, bool) {
+func apply(rules []rule, old Roster, observed Observed) (Roster, bool) {
 	next := old.next()
 	next.VMs = slices.Clone(old.VMs)
-	for _, s := range steps {
-		s(old, &next, seen)
-		next.rule()
+	for _, s := range rules {
+		s(old, &next, observed)
+		next.updateTimeoutSince()
 	}
 	return next, !slices.Equal(old.VMs, next.VMs)
 }
@@ -62,30 +64,30 @@
 // gone for good. So is one that it never had and that has been silent for
 // UnlistedTimeout, such as a VM that came and went while the list was out of reach.
 // One that answers is alive, whatever the list says.
-func dropGone(_ Roster, next *Roster, seen Observed) {
-	if seen.Listed == nil {
+func removeUnlisted(_ Roster, next *Roster, observed Observed) {
+	if observed.Listed == nil {
 		return
 	}
 	next.VMs = slices.DeleteFunc(next.VMs, func(vm VM) bool {
-		_, answered := seen.Acks[vm.Name]
-		known := vm.Listed || seen.Silent[vm.Name] >= UnlistedTimeout
-		return known && !seen.Listed[vm.Name] && !answered
+		_, responded := observed.Acks[vm.Name]
+		removable := vm.Listed || observed.UnresponsiveFor[vm.Name] >= UnlistedTimeout
+		return removable && !observed.Listed[vm.Name] && !responded
 	})
 }
 
 // dropSettled drops shunned VMs that certainly serve no more. Only a VM known
 // to follow the lapse rule stops without contact; one that left has stopped by
 // itself, and a new process of it follows the rule until it has joined.
-func dropSettled(_ Roster, next *Roster, seen Observed) {
+func removeExcluded(_ Roster, next *Roster, observed Observed) {
 	next.VMs = slices.DeleteFunc(next.VMs, func(vm VM) bool {
-		return vm.Excluded() && seen.Settled[vm.Name] && (vm.HasTimeout || vm.Left)
+		return vm.Excluded() && observed.Removable[vm.Name] && (vm.HasTimeout || vm.Left)
 	})
 }
 
 // markListed notes which VMs the membership list has shown.
-func markListed(_ Roster, next *Roster, seen Observed) {
+func markListed(_ Roster, next *Roster, observed Observed) {
 	for i := range next.VMs {
-		next.VMs[i].Listed = next.VMs[i].Listed || seen.Listed[next.VMs[i].Name]
+		next.VMs[i].Listed = next.VMs[i].Listed || observed.Listed[next.VMs[i].Name]
 	}
 }
 
@@ -94,25 +96,25 @@
 // holds by now demands the rule. From then on the mark itself binds it. In a
 // small zone the marks of listed VMs go off, and each VM stops following the
 // rule once it sees that.
-func markLapse(old Roster, next *Roster, seen Observed) {
+func markTimeout(old Roster, next *Roster, observed Observed) {
 	for i := range next.VMs {
 		vm := &next.VMs[i]
 		if next.TimeoutSince == 0 {
 			vm.HasTimeout = vm.HasTimeout && (vm.Excluded() || !vm.Listed)
 			continue
 		}
-		ack, answered := seen.Acks[vm.Name]
-		if answered && old.TimeoutSince != 0 && ack.Roster >= old.TimeoutSince {
+		ack, responded := observed.Acks[vm.Name]
+		if responded && old.TimeoutSince != 0 && ack.Roster >= old.TimeoutSince {
 			vm.HasTimeout = true
 		}
 	}
 }
 
 // unshunAnswering takes back a VM that answers again.
-func unshunAnswering(_ Roster, next *Roster, seen Observed) {
+func readmitResponding(_ Roster, next *Roster, observed Observed) {
 	for i := range next.VMs {
 		vm := &next.VMs[i]
-		if _, answered := seen.Acks[vm.Name]; answered && !vm.Left {
+		if _, responded := observed.Acks[vm.Name]; responded && !vm.Left {
 			vm.ExcludedAt = 0
 		}
 	}
@@ -121,22 +123,22 @@
 // shunSilent shuns the one VM that is silent. With two silent no drop could
 // complete, as each would have to acknowledge the other's shunning; and a
 // keeper that is itself cut off must not shun the zone.
-func shunSilent(_ Roster, next *Roster, seen Observed) {
-	silent := -1
+func excludeUnresponsive(_ Roster, next *Roster, observed Observed) {
+	unresponsive := -1
 	for i, vm := range next.VMs {
-		if _, answered := seen.Acks[vm.Name]; answered {
+		if _, responded := observed.Acks[vm.Name]; responded {
 			continue
 		}
-		if silent >= 0 {
+		if unresponsive >= 0 {
 			return
 		}
-		silent = i
+		unresponsive = i
 	}
-	if silent < 0 {
+	if unresponsive < 0 {
 		return
 	}
-	vm := &next.VMs[silent]
-	if vm.HasTimeout && !vm.Excluded() && seen.Silent[vm.Name] >= ExcludeAfter {
+	vm := &next.VMs[unresponsive]
+	if vm.HasTimeout && !vm.Excluded() && observed.UnresponsiveFor[vm.Name] >= ExcludeAfter {
 		vm.ExcludedAt = next.Revision
 	}
 }
--- a/contact/encode.go
+++ b/contact/encode.go
@@ -12,9 +12,9 @@
 const (
 	// plainRoster is the longest encoded roster that is not compressed, in
 	// bytes. That of a small zone stays readable in the table.
-	plainRoster = 1 << 10
+	maxPlainRoster = 1 << 10
 	// maxRoster bounds a decoded roster in bytes.
-	maxRoster = 4 << 20
+	maxRosterSize = 4 << 20
 )
 
 // gzipMagic begins a compressed roster; a plain one begins with a brace.
@@ -28,7 +28,7 @@
 	if err != nil {
 		panic(err) // a Roster holds only strings, numbers and booleans
 	}
-	if len(data) <= plainRoster {
+	if len(data) <= maxPlainRoster {
 		return data
 	}
 	var buf bytes.Buffer
@@ -45,7 +45,7 @@
 	if len(data) == 0 {
 		return r, nil
 	}
-	plain, err := inflate(data)
+	plain, err := decompress(data)
 	if err == nil {
 		err = json.Unmarshal(plain, &r)
 	}
@@ -57,7 +57,7 @@
 
 // inflate returns what was compressed, or data itself if it was not. A longer
 // text than a roster may have comes back cut, which no decoder takes.
-func inflate(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, gzipMagic) {
 		return data, nil
 	}
@@ -65,5 +65,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(r, maxRoster))
+	return io.ReadAll(io.LimitReader(r, maxRosterSize))
 }
--- a/contact/member.go
+++ b/contact/member.go
@@ -34,9 +34,9 @@
 	name, zone string
 	base       time.Time
 	// follow is called with each roster adopted, in the order of revisions.
-	follow func(Roster)
+	onRoster func(Roster)
 	// until is the end of the permission, as a duration since base.
-	until atomic.Int64
+	allowedUntil atomic.Int64
 
 	// mu guards all below. It is held while follow runs, so it is taken before
 	// any lock that follow takes.
@@ -48,22 +48,22 @@
 	// after its predecessor left covers it too.
 	joined bool
 	// contact is when the newest successful contact began; zero is none.
-	contact time.Time
+	lastContact time.Time
 	// paused is set by a gap in ticks, until the next contact.
 	paused bool
 	// pausedAt is when the process was last seen running before the gap. No
 	// code ran in the gap, so a contact that began Timeout later began after it.
 	pausedAt time.Time
 	// seen is when this member last noted that the process runs.
-	seen time.Time
+	lastTick time.Time
 }
 
 // NewMember returns a member that may not serve yet. follow is called with
 // each roster adopted, before the member tells anyone that it holds it; it
 // must not call the member.
-func NewMember(zone, name string, follow func(Roster)) *Member {
+func NewMember(zone, name string, onRoster func(Roster)) *Member {
 	now := clock.Now()
-	return &Member{name: name, zone: zone, base: now, seen: now, follow: follow}
+	return &Member{name: name, zone: zone, base: now, lastTick: now, onRoster: onRoster}
 }
 
 // Name returns the VM's name.
@@ -75,7 +75,7 @@
 // Allow returns nil when this VM may take a new request, and otherwise
 // *UnconfirmedError. It is called for each request.
 func (m *Member) Allow() error {
-	if int64(clock.Since(m.base)) < m.until.Load() {
+	if int64(clock.Since(m.base)) < m.allowedUntil.Load() {
 		return nil
 	}
 	return &UnconfirmedError{Status: m.Status()}
@@ -83,7 +83,7 @@
 
 // Status tells whether this VM may serve, and if not, why.
 func (m *Member) Status() Status {
-	if int64(clock.Since(m.base)) < m.until.Load() {
+	if int64(clock.Since(m.base)) < m.allowedUntil.Load() {
 		return Active
 	}
 	m.mu.Lock()
@@ -115,18 +115,18 @@
 		return
 	}
 	m.roster = r
-	m.follow(r)
-	m.update(clock.Now())
+	m.onRoster(r)
+	m.updatePermission(clock.Now())
 }
 
 // RecordJoin records that this process put itself on the roster, by a write that
 // it began at began.
-func (m *Member) RecordJoin(r Roster, began time.Time) {
+func (m *Member) RecordJoin(r Roster, startedAt time.Time) {
 	m.ApplyRoster(r)
 	m.mu.Lock()
 	m.joined = true
 	m.mu.Unlock()
-	m.RecordContact(began)
+	m.RecordContact(startedAt)
 }
 
 // NeedsJoin tells whether this process has yet to put itself on the roster, or
@@ -143,7 +143,7 @@
 func (m *Member) LastContact() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.contact
+	return m.lastContact
 }
 
 // ConfirmMember tells whether this VM holds that name in good standing. A VM that has
@@ -153,22 +153,22 @@
 func (m *Member) ConfirmMember(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.departed && !m.contact.IsZero() && m.roster.IsActive(name)
+	return !m.departed && !m.lastContact.IsZero() && m.roster.IsActive(name)
 }
 
 // RecordContact records a contact that this VM began to ask for at began. The caller
 // has adopted the roster and put the configuration in force that the contact
 // told of: this order matters, as the permission covers both.
-func (m *Member) RecordContact(began time.Time) {
+func (m *Member) RecordContact(startedAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.roster.IsActive(m.name) {
 		return
 	}
-	if began.After(m.contact) {
-		m.contact = began
+	if startedAt.After(m.lastContact) {
+		m.lastContact = startedAt
 	}
-	m.update(clock.Now())
+	m.updatePermission(clock.Now())
 }
 
 // StopServing ends the permission for good: this VM stops by plan.
@@ -176,7 +176,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.departed = true
-	m.until.Store(0)
+	m.allowedUntil.Store(0)
 }
 
 // Run keeps noting that the process runs, until done is closed.
@@ -196,35 +196,35 @@
 func (m *Member) tick() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.update(clock.Now())
+	m.updatePermission(clock.Now())
 }
 
 // update sets until from the state. The caller holds mu.
-func (m *Member) update(now time.Time) {
-	m.notePause(now)
-	if m.departed || m.contact.IsZero() || m.paused || !m.roster.IsActive(m.name) {
-		m.until.Store(0)
+func (m *Member) updatePermission(now time.Time) {
+	m.detectPause(now)
+	if m.departed || m.lastContact.IsZero() || m.paused || !m.roster.IsActive(m.name) {
+		m.allowedUntil.Store(0)
 		return
 	}
-	from := m.contact
+	from := m.lastContact
 	if m.joined && !m.roster.TimeoutAppliesTo(m.name) {
 		from = now // without the rule only a pause ends the permission
 	}
-	m.until.Store(int64(from.Add(Timeout).Sub(m.base)))
+	m.allowedUntil.Store(int64(from.Add(Timeout).Sub(m.base)))
 }
 
 // notePause finds a gap of Timeout or more, in which the process was paused: it
 // has to learn the newest version before it serves again, by a contact that
 // began after the gap. It runs first in update, so that no other event can
 // bridge the gap. The caller holds mu.
-func (m *Member) notePause(now time.Time) {
-	woken := m.seen.Add(Timeout)
-	if !now.Before(woken) {
+func (m *Member) detectPause(now time.Time) {
+	pauseLimit := m.lastTick.Add(Timeout)
+	if !now.Before(pauseLimit) {
 		m.paused = true
-		m.pausedAt = m.seen
+		m.pausedAt = m.lastTick
 	}
-	if m.paused && !m.contact.Before(m.pausedAt.Add(Timeout)) {
+	if m.paused && !m.lastContact.Before(m.pausedAt.Add(Timeout)) {
 		m.paused = false
 	}
-	m.seen = now
+	m.lastTick = now
 }
--- a/contact/member_test.go
+++ b/contact/member_test.go
@@ -23,7 +23,7 @@
 	synctest.Wait()
 }
 
-func standing(t *testing.T, m *Member, want Status) {
+func expectStatus(t *testing.T, m *Member, want Status) {
 	t.Helper()
 	if got := m.Status(); got != want {
 		t.Errorf("standing %s, want %s", got, want)
@@ -34,32 +34,32 @@
 	}
 }
 
-func TestMemberLapses(t *testing.T) {
+func TestMemberTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		standing(t, m, NotJoined)
+		expectStatus(t, m, NotJoined)
 		began := time.Now()
 		time.Sleep(time.Second) // the answer takes a while
 		m.RecordJoin(roster(1, vm("a"), vm("b"), vm("c")), began)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		tickFor(m, Timeout-time.Second-time.Millisecond)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		tickFor(m, time.Millisecond)
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 		m.RecordContact(began) // an answer to a question asked long ago
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
-		standing(t, m, Active)
-		m.ApplyRoster(roster(2, vm("a", shunnedAt(2)), vm("b"), vm("c")))
-		standing(t, m, NotJoined)
+		expectStatus(t, m, Active)
+		m.ApplyRoster(roster(2, vm("a", excludedAt(2)), vm("b"), vm("c")))
+		expectStatus(t, m, NotJoined)
 		m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
 		m.RecordContact(time.Now())
-		standing(t, m, NotJoined)
+		expectStatus(t, m, NotJoined)
 		m.ApplyRoster(roster(3, vm("a"), vm("b"), vm("c")))
 		m.RecordContact(time.Now())
 		m.StopServing()
 		m.RecordContact(time.Now())
-		standing(t, m, Stopping)
+		expectStatus(t, m, Stopping)
 		if m.ConfirmMember("b") {
 			t.Error("a departed VM vouches")
 		}
@@ -69,40 +69,40 @@
 func TestMemberOfSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		m.RecordJoin(roster(1, vm("a", noLapse), vm("b", noLapse)), time.Now())
+		m.RecordJoin(roster(1, vm("a", noTimeout), vm("b", noTimeout)), time.Now())
 		tickFor(m, time.Hour)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		time.Sleep(Timeout) // paused: nothing ticks
 		tickFor(m, time.Second)
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now().Add(-Timeout)) // a contact from before the pause
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
 		tickFor(m, time.Hour)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		// A roster that still marks it as following the rule binds it.
 		m.ApplyRoster(roster(2, vm("a"), vm("b")))
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
 		tickFor(m, Timeout)
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 	})
 }
 
 // A new process of a VM that has not joined follows the rule in every zone:
 // its predecessor may have left.
-func TestUnjoinedMemberLapsesInSmallZone(t *testing.T) {
+func TestUnjoinedMemberTimesOutInSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		m.ApplyRoster(roster(1, vm("a", noLapse), vm("b", noLapse)))
+		m.ApplyRoster(roster(1, vm("a", noTimeout), vm("b", noTimeout)))
 		m.RecordContact(time.Now())
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		tickFor(m, Timeout)
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 	})
 }
 
-func TestMemberVouches(t *testing.T) {
+func TestMemberConfirmsMembers(t *testing.T) {
 	m := newTestMember("a")
 	m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
 	if m.ConfirmMember("b") {
@@ -112,16 +112,16 @@
 	if !m.ConfirmMember("b") || m.ConfirmMember("x") {
 		t.Error("vouches wrongly")
 	}
-	m.ApplyRoster(roster(2, vm("a"), vm("b", shunnedAt(2)), vm("c")))
+	m.ApplyRoster(roster(2, vm("a"), vm("b", excludedAt(2)), vm("c")))
 	if m.ConfirmMember("b") {
 		t.Error("vouches for a shunned VM")
 	}
 }
 
 // The answers of scripted VMs, one a call.
-type script map[string][]Ack
+type scriptedAcks map[string][]Ack
 
-func (s script) ask(_ context.Context, v VM) (Ack, error) {
+func (s scriptedAcks) query(_ context.Context, v VM) (Ack, error) {
 	if len(s[v.Name]) == 0 {
 		return Ack{}, &MalformedError{}
 	}
@@ -146,9 +146,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := script{"b": tt.b}
+			s := scriptedAcks{"b": tt.b}
 			var missing []string
-			err := ConfirmStable(t.Context(), []VM{{Name: "b"}}, s.ask, s.ask, func(a Ack) bool { return a.Config >= 2 })
+			err := ConfirmStable(t.Context(), []VM{{Name: "b"}}, s.query, s.query, func(a Ack) bool { return a.Config >= 2 })
 			var unstable *UnstableError
 			if errors.As(err, &unstable) {
 				missing = unstable.Missing
--- a/contact/keeper.go
+++ b/contact/reconciler.go
@@ -42,17 +42,17 @@
 	auth    Authority
 	writeID func() string
 
-	silentSince map[string]time.Time
-	settles     map[string]settle
+	unresponsiveSince map[string]time.Time
+	exclusions        map[string]exclusion
 	// acks are the newest answers. probed is when all VMs were last asked.
-	acks   map[string]Ack
-	probed time.Time
+	acks      map[string]Ack
+	lastProbe time.Time
 	// looked is when the newest step began, also one that failed.
-	looked time.Time
+	stepStart time.Time
 	// wrote tells that the newest step changed the roster.
-	wrote bool
+	changed bool
 	// vms is how many VMs it found there.
-	vms time.Duration
+	vmCount time.Duration
 
 	// mu guards suspects, the VMs that others could not reach. It is a leaf.
 	mu       sync.Mutex
@@ -66,27 +66,27 @@
 func NewReconciler(zone string, rows table.Service, peers Peers, members membership.List, auth Authority, writeID func() string) *Reconciler {
 	return &Reconciler{
 		zone: zone, rows: rows, peers: peers, members: members, auth: auth, writeID: writeID,
-		silentSince: map[string]time.Time{},
-		settles:     map[string]settle{},
-		acks:        map[string]Ack{},
-		suspects:    map[string]bool{},
-		suspected:   make(chan struct{}, 1),
+		unresponsiveSince: map[string]time.Time{},
+		exclusions:        map[string]exclusion{},
+		acks:              map[string]Ack{},
+		suspects:          map[string]bool{},
+		suspected:         make(chan struct{}, 1),
 	}
 }
 
 // Suspect has the keeper ask these VMs at once, as somebody could not reach
 // them. It may be called from any goroutine.
-func (k *Reconciler) Suspect(names []string) {
+func (rc *Reconciler) Suspect(names []string) {
 	if len(names) == 0 {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	for _, name := range names {
-		k.suspects[name] = true
+		rc.suspects[name] = true
 	}
 	select {
-	case k.suspected <- struct{}{}:
+	case rc.suspected <- struct{}{}:
 	default:
 	}
 }
@@ -96,15 +96,15 @@
 	// minRound and maxRound bound the time between two rounds, unless something
 	// is due sooner. A round asks only the VMs that are in doubt, except that
 	// every VM is asked once in a while.
-	minRound = time.Second
-	maxRound = 4 * time.Second
+	minRoundInterval = time.Second
+	maxRoundInterval = 4 * time.Second
 	// roundSpacing is how much of it each VM takes up: the length of the roster
 	// that a round reads grows with their number.
-	roundSpacing = time.Second / 16
+	roundIntervalPerVM = time.Second / 16
 	// probeSpacing is how much time a probe of each VM takes up, so that the
 	// probes of a large zone stay within the budget for control messages. A dead
 	// VM that holds up a change is found sooner, by Suspect.
-	probeSpacing = 2 * time.Second
+	probeIntervalPerVM = 2 * time.Second
 	// sweepInterval is between two sweeps of the other zones.
 	sweepInterval = 30 * time.Second
 	// maxZones bounds the rosters read at once.
@@ -112,56 +112,56 @@
 )
 
 // Run keeps the roster until ctx ends.
-func (k *Reconciler) Run(ctx context.Context) {
+func (rc *Reconciler) Run(ctx context.Context) {
 	var swept time.Time
 	for ctx.Err() == nil {
-		err := k.Step(ctx)
+		err := rc.Step(ctx)
 		if err == nil && clock.Since(swept) >= sweepInterval {
 			swept = clock.Now()
-			err = k.Sweep(ctx)
+			err = rc.Sweep(ctx)
 		}
 		countStep(err)
 		if err != nil {
-			klog.Warningf("contact: roster of zone %s not kept: %v", k.zone, err)
+			klog.Warningf("contact: roster of zone %s not kept: %v", rc.zone, err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-k.suspected:
-		case <-time.After(k.pause(clock.Now())):
+		case <-rc.suspected:
+		case <-time.After(rc.nextDelay(clock.Now())):
 		}
 	}
 }
 
 // pause returns the time until the next round: at once after a change, so that
 // a shunning begins to settle, and in time for the next shunning or drop.
-func (k *Reconciler) pause(now time.Time) time.Duration {
-	if k.wrote {
+func (rc *Reconciler) nextDelay(now time.Time) time.Duration {
+	if rc.changed {
 		return 0
 	}
-	pause := min(max(k.vms*roundSpacing, minRound), maxRound)
-	if len(k.silentSince) > 0 {
-		pause = minRound
+	delay := min(max(rc.vmCount*roundIntervalPerVM, minRoundInterval), maxRoundInterval)
+	if len(rc.unresponsiveSince) > 0 {
+		delay = minRoundInterval
 	}
-	for _, since := range k.silentSince {
-		pause = sooner(pause, since.Add(ExcludeAfter).Sub(now))
+	for _, since := range rc.unresponsiveSince {
+		delay = minPositive(delay, since.Add(ExcludeAfter).Sub(now))
 	}
-	for _, s := range k.settles {
-		due := s.since.Add(RemovalDelay)
-		if due.After(k.looked) && !due.After(now) {
+	for _, s := range rc.exclusions {
+		due := s.acknowledgedAt.Add(RemovalDelay)
+		if due.After(rc.stepStart) && !due.After(now) {
 			return 0 // it passed while the round waited for answers
 		}
-		pause = sooner(pause, due.Sub(now))
+		delay = minPositive(delay, due.Sub(now))
 	}
-	return pause
+	return delay
 }
 
 // sooner returns left if it lies between nothing and pause. What was due before
 // has had its round.
-func sooner(pause, left time.Duration) time.Duration {
-	if left > 0 && left < pause {
+func minPositive(delay, left time.Duration) time.Duration {
+	if left > 0 && left < delay {
 		return left
 	}
-	return pause
+	return delay
 }
 
 // Step probes VMs, decides, and writes what changed. The VMs learn the new
@@ -170,13 +170,13 @@
 // The order matters: the membership list is read after the roster, so that a
 // VM that the roster shows as listed and the list lacks has been dropped since.
 // What settles comes before the probes, which wait for VMs that hang.
-func (k *Reconciler) Step(ctx context.Context) error {
-	k.wrote, k.looked = false, clock.Now()
-	checks, err := k.auth.Checks()
+func (rc *Reconciler) Step(ctx context.Context) error {
+	rc.changed, rc.stepStart = false, clock.Now()
+	checks, err := rc.auth.Checks()
 	if err != nil {
 		return err
 	}
-	rows, err := k.rows.Get(ctx, Key(k.zone))
+	rows, err := rc.rows.Get(ctx, Key(rc.zone))
 	if err != nil {
 		return eris.Wrap(err, "read roster")
 	}
@@ -184,52 +184,52 @@
 	if err != nil || len(old.VMs) == 0 {
 		return err
 	}
-	k.vms = time.Duration(len(old.VMs))
-	listed := k.list(ctx)
-	k.settle(ctx, old)
-	asked := clock.Now()
-	k.probe(ctx, old)
-	k.noteSilent(old, asked)
+	rc.vmCount = time.Duration(len(old.VMs))
+	listed := rc.listedNames(ctx)
+	rc.trackExclusions(ctx, old)
+	probeStart := clock.Now()
+	rc.probe(ctx, old)
+	rc.recordUnresponsive(old, probeStart)
 	next, changed := Decide(old, Observed{
-		Acks: k.acks, Silent: k.silent(clock.Now()),
-		Settled: k.settled(old), Listed: listed,
+		Acks: rc.acks, UnresponsiveFor: rc.unresponsiveFor(clock.Now()),
+		Removable: rc.removable(old), Listed: listed,
 	})
 	if !changed {
 		return nil
 	}
-	next.WriteID = k.writeID()
-	checks = append(checks, table.Check{Key: Key(k.zone), Version: rows[0].Version})
-	write := table.Write{Key: Key(k.zone), Value: next.Encode()}
-	if _, err := k.rows.Commit(ctx, table.Txn{Checks: checks, Writes: []table.Write{write}}); err != nil {
+	next.WriteID = rc.writeID()
+	checks = append(checks, table.Check{Key: Key(rc.zone), Version: rows[0].Version})
+	write := table.Write{Key: Key(rc.zone), Value: next.Encode()}
+	if _, err := rc.rows.Commit(ctx, table.Txn{Checks: checks, Writes: []table.Write{write}}); err != nil {
 		return eris.Wrap(err, "write roster")
 	}
-	k.wrote = true
+	rc.changed = true
 	countChange(old, next)
-	klog.Infof("contact: roster of zone %s revision %d: %v", k.zone, next.Revision, next.Names())
+	klog.Infof("contact: roster of zone %s revision %d: %v", rc.zone, next.Revision, next.Names())
 	return nil
 }
 
 // Sweep drops VMs that are gone for good from the rosters of all other zones,
 // which may have nobody left to keep them.
-func (k *Reconciler) Sweep(ctx context.Context) error {
-	rows, err := k.rows.Scan(ctx, Table, "", "", maxZones)
+func (rc *Reconciler) Sweep(ctx context.Context) error {
+	rows, err := rc.rows.Scan(ctx, Table, "", "", maxZones)
 	if err != nil {
 		return eris.Wrap(err, "read rosters")
 	}
-	listed := k.list(ctx)
+	listed := rc.listedNames(ctx)
 	for _, row := range rows {
 		old, err := Decode(row.Value)
-		if err != nil || old.Zone == k.zone {
+		if err != nil || old.Zone == rc.zone {
 			continue
 		}
 		next, changed := DecideSweep(old, Observed{Listed: listed})
 		if !changed {
 			continue
 		}
-		next.WriteID = k.writeID()
+		next.WriteID = rc.writeID()
 		check := table.Check{Key: row.Key, Version: row.Version}
 		write := table.Write{Key: row.Key, Value: next.Encode()}
-		if _, err := k.rows.Commit(ctx, table.Txn{Checks: []table.Check{check}, Writes: []table.Write{write}}); err != nil {
+		if _, err := rc.rows.Commit(ctx, table.Txn{Checks: []table.Check{check}, Writes: []table.Write{write}}); err != nil {
 			return eris.Wrap(err, "write roster of another zone")
 		}
 		countChange(old, next)
@@ -239,8 +239,8 @@
 }
 
 // list returns the names on the membership list, or nil when it is out of reach.
-func (k *Reconciler) list(ctx context.Context) map[string]bool {
-	vms, err := k.members.VMs(ctx)
+func (rc *Reconciler) listedNames(ctx context.Context) map[string]bool {
+	vms, err := rc.members.VMs(ctx)
 	if err != nil {
 		return nil
 	}
--- a/contact/keeper_test.go
+++ b/contact/reconciler_test.go
@@ -19,11 +19,11 @@
 
 // A silent VM is dropped only when all others have acknowledged its shunning
 // and the settling time has passed since.
-func TestKeeperDropsSilentVM(t *testing.T) {
+func TestReconcilerRemovesUnresponsiveVM(t *testing.T) {
 	tests := []struct {
 		name string
 		// hinder keeps the drop back and is taken away after a minute.
-		hinder func(z *fakepeer.Zone, on bool)
+		block func(z *fakepeer.Zone, on bool)
 	}{
 		{"at once", func(*fakepeer.Zone, bool) {}},
 		{"another VM takes no roster", func(z *fakepeer.Zone, on bool) { z.Deaf["b"] = on }},
@@ -65,12 +65,12 @@
 					t.Fatal(err)
 				}
 				ids := 0
-				k := contact.NewReconciler("z", rows, z, list, fakepeer.Held{}, func() string { ids++; return fmt.Sprint(ids) })
+				rc := contact.NewReconciler("z", rows, z, list, fakepeer.Held{}, func() string { ids++; return fmt.Sprint(ids) })
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go k.Run(ctx)
+				go rc.Run(ctx)
 				time.Sleep(5 * time.Second)
-				z.Change(func() { z.Silent["c"] = true; tt.hinder(z, true) })
+				z.Change(func() { z.Silent["c"] = true; tt.block(z, true) })
 				began := time.Now()
 				names := func() []string {
 					got, err := rows.Get(t.Context(), contact.Key("z"))
@@ -87,10 +87,10 @@
 				if early := contact.ExcludeAfter + contact.RemovalDelay; took < early {
 					t.Errorf("dropped after %v, before %v", took, early)
 				}
-				if hindered := i > 0; hindered != (len(names()) == 3) {
+				if blocked := i > 0; blocked != (len(names()) == 3) {
 					t.Errorf("after a minute: %v", names())
 				}
-				z.Change(func() { tt.hinder(z, false) })
+				z.Change(func() { tt.block(z, false) })
 				time.Sleep(time.Minute)
 				if diff := cmp.Diff([]string{"a", "b"}, names()); diff != "" {
 					t.Errorf("roster (-want +got):\n%s", diff)
--- a/contact/roster.go
+++ b/contact/roster.go
@@ -137,12 +137,12 @@
 	vm := VM{Name: name, Address: address, Listed: old.Listed, HasTimeout: true}
 	next.VMs = append(r.Except(name), vm)
 	slices.SortFunc(next.VMs, func(a, b VM) int { return strings.Compare(a.Name, b.Name) })
-	next.rule()
+	next.updateTimeoutSince()
 	return next
 }
 
 // rule sets TimeoutSince after a change of the VMs.
-func (r *Roster) rule() {
+func (r *Roster) updateTimeoutSince() {
 	switch {
 	case len(r.VMs) < MinTimeoutVMs:
 		r.TimeoutSince = 0
--- a/contact/stable.go
+++ b/contact/stable.go
@@ -9,21 +9,21 @@
 )
 
 // askWorkers bounds how many VMs are asked at the same time.
-const askWorkers = 16
+const maxConcurrentQueries = 16
 
 // Query asks one VM and returns what it then holds.
 type Query func(ctx context.Context, vm VM) (Ack, error)
 
 // Collect asks the VMs side by side and returns the answers by name. A VM that
 // fails to answer is missing from them.
-func Collect(ctx context.Context, vms []VM, ask Query) map[string]Ack {
+func Collect(ctx context.Context, vms []VM, query Query) map[string]Ack {
 	var mu sync.Mutex
 	acks := make(map[string]Ack, len(vms))
 	var g errgroup.Group
-	g.SetLimit(askWorkers)
+	g.SetLimit(maxConcurrentQueries)
 	for _, vm := range vms {
 		g.Go(func() error {
-			ack, err := ask(ctx, vm)
+			ack, err := query(ctx, vm)
 			if err != nil {
 				return nil // the VM stays missing, which is the caller's finding
 			}
@@ -46,16 +46,16 @@
 // One that started earlier is met by the second round, under a new instance.
 // So when ConfirmStable succeeds, every process that is or comes to be on these VMs
 // holds enough, even if it never reaches the table.
-func ConfirmStable(ctx context.Context, vms []VM, first, second Query, enough func(Ack) bool) error {
-	before, err := round(ctx, vms, first, enough)
+func ConfirmStable(ctx context.Context, vms []VM, first, second Query, sufficient func(Ack) bool) error {
+	before, err := queryRound(ctx, vms, first, sufficient)
 	if err != nil {
 		return err
 	}
 	after := Collect(ctx, vms, second)
 	same := func(name string, ack Ack) bool {
-		return enough(ack) && ack.Instance == before[name].Instance
+		return sufficient(ack) && ack.Instance == before[name].Instance
 	}
-	if missing := lacking(vms, after, same); len(missing) > 0 {
+	if missing := missingVMs(vms, after, same); len(missing) > 0 {
 		return &UnstableError{Missing: missing}
 	}
 	return nil
@@ -63,25 +63,25 @@
 
 // ConfirmOnce asks every VM once and succeeds if each answer is enough. That says
 // nothing about processes that start later. The error is *UnstableError.
-func ConfirmOnce(ctx context.Context, vms []VM, ask Query, enough func(Ack) bool) error {
-	_, err := round(ctx, vms, ask, enough)
+func ConfirmOnce(ctx context.Context, vms []VM, query Query, sufficient func(Ack) bool) error {
+	_, err := queryRound(ctx, vms, query, sufficient)
 	return err
 }
 
-func round(ctx context.Context, vms []VM, ask Query, enough func(Ack) bool) (map[string]Ack, error) {
-	acks := Collect(ctx, vms, ask)
-	missing := lacking(vms, acks, func(_ string, ack Ack) bool { return enough(ack) })
+func queryRound(ctx context.Context, vms []VM, query Query, sufficient func(Ack) bool) (map[string]Ack, error) {
+	acks := Collect(ctx, vms, query)
+	missing := missingVMs(vms, acks, func(_ string, ack Ack) bool { return sufficient(ack) })
 	if len(missing) > 0 {
 		return acks, &UnstableError{Missing: missing}
 	}
 	return acks, nil
 }
 
-func lacking(vms []VM, acks map[string]Ack, ok func(string, Ack) bool) []string {
+func missingVMs(vms []VM, acks map[string]Ack, ok func(string, Ack) bool) []string {
 	var missing []string
 	for _, vm := range vms {
-		ack, answered := acks[vm.Name]
-		if !answered || !ok(vm.Name, ack) {
+		ack, responded := acks[vm.Name]
+		if !responded || !ok(vm.Name, ack) {
 			missing = append(missing, vm.Name)
 		}
 	}
--- a/order/account.go
+++ b/order/account.go
@@ -11,58 +11,58 @@
 	"github.com/springweir/springweir/peer/controllerpb"
 )
 
-// account returns nil once no copy of entry's order may still arrive:
+// accountForCopies returns nil once no copy of entry's order can still arrive:
 //
-//   - Own copies: each was answered, or its hard deadline and the settling time
-//     have passed (Gate).
-//   - Other senders' copies, at an engine that checks fences and has seen this
-//     tenure's or has a new incarnation: it refuses them (fenced).
-//   - Other senders' copies, at any other engine: each sender confirmed that it
-//     dropped its authority and has nothing in flight, or marked so in the row,
-//     or its VM is gone for good and a window has passed.
+//   - Copies sent by this process: the engine responded to each, or its send timeout and
+//     MaxTransit have passed (Gate).
+//   - Copies of other senders, to an engine that checks fences and has seen the fence of this
+//     tenure or has a new incarnation: the engine refuses them (refusesLowerFences).
+//   - Copies of other senders, to any other engine: each sender confirmed that it dropped its
+//     authority and has nothing in flight, or marked this in the row, or its VM was removed
+//     permanently and a SendTimeout has passed since.
 //
-// If any copy could not be told by its answer, the engine must then answer two
-// looks at its state a settling time apart, so that an engine that was frozen
-// with a copy in its receive buffer has had that time to read it.
-func (s *Sender) account(ctx context.Context, target Target, entry Entry, refusesOlder bool) error {
+// If any copy had no response, the engine must also report its state twice, MaxTransit apart.
+// An engine that was frozen with a copy in its receive buffer has then had that time to read
+// it.
+func (s *Sender) accountForCopies(ctx context.Context, target Target, entry Entry, refusesLowerFences bool) error {
 	var others []SenderRecord
-	if !refusesOlder && !s.faults.broken(guardConfirm) {
-		others = s.others(entry)
+	if !refusesLowerFences && !s.faults.disabled(guardConfirm) {
+		others = s.otherSenders(entry)
 	}
 	gate := s.cfg.Gate
-	if s.faults.broken(guardAccount) || gate.allAnswered(entry.Engine) && len(others) == 0 {
+	if s.faults.disabled(guardAccount) || gate.allAcknowledged(entry.Engine) && len(others) == 0 {
 		return nil
 	}
-	if err := s.waitQuiet(ctx, entry.Engine); err != nil {
+	if err := s.waitNoneInFlight(ctx, entry.Engine); err != nil {
 		return err
 	}
 	for _, c := range others {
-		if err := s.confirm(ctx, entry, c); err != nil {
+		if err := s.awaitDropped(ctx, entry, c); err != nil {
 			return err
 		}
 	}
-	if err := s.settle(ctx, target); err != nil {
+	if err := s.observeTwice(ctx, target); err != nil {
 		return err
 	}
-	gate.settled(entry.Engine)
+	gate.clearUnacknowledged(entry.Engine)
 	return nil
 }
 
-// waitQuiet waits until no own copy may still arrive.
-func (s *Sender) waitQuiet(ctx context.Context, engineName string) error {
-	for !s.cfg.Gate.Quiet(engineName) {
+// waitNoneInFlight waits until no copy sent by this process can still arrive.
+func (s *Sender) waitNoneInFlight(ctx context.Context, engineName string) error {
+	for !s.cfg.Gate.NoneInFlight(engineName) {
 		count(ReasonUnsettled)
-		if !loop.Sleep(ctx, s.timing.Poll) {
-			return ended(ctx, engineName)
+		if !loop.Sleep(ctx, s.timing.PollInterval) {
+			return contextError(ctx, engineName)
 		}
 	}
 	return nil
 }
 
-// drop marks in an open row that this process has nothing in flight. The gate
-// must refuse this tenure's sends already.
+// drop marks an open row to record that this process has nothing in flight. The gate must
+// already refuse sends of this tenure.
 func (s *Sender) drop(ctx context.Context, engineName string) error {
-	if err := s.waitQuiet(ctx, engineName); err != nil {
+	if err := s.waitNoneInFlight(ctx, engineName); err != nil {
 		return err
 	}
 	entry, err := s.cfg.Journal.Read(ctx, engineName)
@@ -73,8 +73,8 @@
 	return err
 }
 
-// others returns the other processes whose copies may still arrive.
-func (s *Sender) others(entry Entry) []SenderRecord {
+// otherSenders returns the other processes whose copies may still arrive.
+func (s *Sender) otherSenders(entry Entry) []SenderRecord {
 	var others []SenderRecord
 	for _, c := range entry.Senders {
 		if c.Process != s.lease.Holder().Process && !c.Dropped {
@@ -84,34 +84,34 @@
 	return others
 }
 
-// confirm waits until c's process has nothing of the order in flight and never
-// sends it again. There is no time after which it gives up waiting.
-func (s *Sender) confirm(ctx context.Context, entry Entry, c SenderRecord) error {
-	var goneSince time.Time
-	for tries := 0; ; tries++ {
-		if s.cfg.Removals.Removed(c.VM) && goneSince.IsZero() {
-			goneSince = clock.Now()
+// awaitDropped waits until c's process has nothing of the order in flight and never sends it
+// again. It has no timeout of its own; only ctx ends the wait.
+func (s *Sender) awaitDropped(ctx context.Context, entry Entry, c SenderRecord) error {
+	var removedSince time.Time
+	for attempts := 0; ; attempts++ {
+		if s.cfg.Removals.Removed(c.VM) && removedSince.IsZero() {
+			removedSince = clock.Now()
 		}
-		if !goneSince.IsZero() && clock.Since(goneSince) >= s.timing.Window {
+		if !removedSince.IsZero() && clock.Since(removedSince) >= s.timing.SendTimeout {
 			return nil
 		}
-		if s.askDropped(ctx, entry, c) {
+		if s.confirmDropped(ctx, entry, c) {
 			return nil
 		}
-		if tries == 0 {
-			klog.Warningf("order: %s waits for %s on %s to confirm", entry.Order.ID, c.Process, c.VM)
+		if attempts == 0 {
+			klog.Warningf("order: %s: waiting for process %s on VM %s to confirm that it dropped its authority", entry.Order.ID, c.Process, c.VM)
 		}
 		count(ReasonUnconfirmed)
-		if !loop.Sleep(ctx, s.timing.Poll) {
-			return ended(ctx, entry.Engine)
+		if !loop.Sleep(ctx, s.timing.PollInterval) {
+			return contextError(ctx, entry.Engine)
 		}
 	}
 }
 
-func (s *Sender) askDropped(ctx context.Context, entry Entry, c SenderRecord) bool {
-	call, cancel := context.WithTimeout(ctx, s.timing.Call)
+func (s *Sender) confirmDropped(ctx context.Context, entry Entry, c SenderRecord) bool {
+	call, cancel := context.WithTimeout(ctx, s.timing.CallTimeout)
 	defer cancel()
-	answer, err := s.cfg.Confirmer.ConfirmDropped(call, c.Address, &controllerpb.ConfirmDroppedRequest{
+	resp, err := s.cfg.Confirmer.ConfirmDropped(call, c.Address, &controllerpb.ConfirmDroppedRequest{
 		Pool:    entry.Pool,
 		Zone:    entry.Zone,
 		Fence:   c.Fence,
@@ -120,16 +120,16 @@
 		Address: c.Address,
 		Engine:  entry.Engine,
 	})
-	return err == nil && answer.GetDropped()
+	return err == nil && resp.GetDropped()
 }
 
-// settle looks at the engine twice, a settling time apart.
-func (s *Sender) settle(ctx context.Context, target Target) error {
+// observeTwice reads the engine's state twice, MaxTransit apart.
+func (s *Sender) observeTwice(ctx context.Context, target Target) error {
 	if _, err := s.state(ctx, target); err != nil {
 		return err
 	}
-	if !loop.Sleep(ctx, s.timing.Settle) {
-		return ended(ctx, target.Name)
+	if !loop.Sleep(ctx, s.timing.MaxTransit) {
+		return contextError(ctx, target.Name)
 	}
 	_, err := s.state(ctx, target)
 	return err
--- a/order/confirm.go
+++ b/order/confirm.go
@@ -9,62 +9,62 @@
 	"github.com/springweir/springweir/peer/controllerpb"
 )
 
-// Confirmer asks other controllers whether they dropped their authority. The
-// generated twirp client of package controllerpb, dialled by address, is one.
+// Confirmer asks other controllers to confirm that they dropped their authority. The generated
+// twirp client of package controllerpb, dialled by address, implements it.
 type Confirmer interface {
-	// ConfirmDropped asks the process at address.
+	// ConfirmDropped sends the request to the process at address.
 	ConfirmDropped(ctx context.Context, address string, req *controllerpb.ConfirmDroppedRequest) (*controllerpb.ConfirmDroppedResponse, error)
 }
 
-// Removals tells which VMs have left for good.
+// Removals reports which VMs were removed permanently.
 type Removals interface {
-	// Removed tells whether the VM was on the membership list and has been dropped
-	// from it. A VM that was never seen on the list is not gone.
+	// Removed reports whether the VM was on the membership list and has been deleted from it.
+	// It is false for a VM that never was on the list.
 	Removed(vm string) bool
 }
 
-// Responder answers ConfirmDropped for this process, and for one that ran on
-// the same VM before it.
+// Responder serves ConfirmDropped for this process, and for an earlier process on the same VM.
 type Responder struct {
-	gate *Gate
-	self lease.Identity
-	// since is when this process had bound self.Address.
-	since  time.Time
-	window time.Duration
+	gate     *Gate
+	identity lease.Identity
+	// startedAt is a time at which this process had already bound identity.Address.
+	startedAt  time.Time
+	proofDelay time.Duration
 }
 
 var _ controllerpb.Controller = (*Responder)(nil)
 
-// NewResponder returns a responder. It must be made after self.Address was
-// bound, and the address must stay bound until the process exits: the proof
-// for a predecessor at the same address rests on it (see proves).
-func NewResponder(gate *Gate, self lease.Identity, timing Timing) *Responder {
+// NewResponder returns a responder. Call it after identity.Address was bound, and keep the
+// address bound until the process exits: provesExit relies on it to confirm for an earlier
+// process at the same address.
+func NewResponder(gate *Gate, identity lease.Identity, timing Timing) *Responder {
 	t := timing.withDefaults()
-	return &Responder{gate: gate, self: self, since: clock.Now(), window: t.Window + t.Settle}
+	return &Responder{gate: gate, identity: identity, startedAt: clock.Now(), proofDelay: t.SendTimeout + t.MaxTransit}
 }
 
 // ConfirmDropped implements controllerpb.Controller.
 func (r *Responder) ConfirmDropped(_ context.Context, req *controllerpb.ConfirmDroppedRequest) (*controllerpb.ConfirmDroppedResponse, error) {
-	answer := &controllerpb.ConfirmDroppedResponse{Process: r.self.Process}
-	if req.GetProcess() != r.self.Process {
-		answer.Dropped = r.proves(req)
-		return answer, nil
+	resp := &controllerpb.ConfirmDroppedResponse{Process: r.identity.Process}
+	if req.GetProcess() != r.identity.Process {
+		resp.Dropped = r.provesExit(req)
+		return resp, nil
 	}
-	// Drop comes before Quiet: the other way round a send could slip between.
+	// Drop must come before NoneInFlight; in the other order a send could start between the two
+	// calls.
 	r.gate.Drop(req.GetPool(), req.GetZone(), req.GetFence())
-	answer.Dropped = r.gate.Quiet(req.GetEngine())
-	return answer, nil
+	resp.Dropped = r.gate.NoneInFlight(req.GetEngine())
+	return resp, nil
 }
 
-// proves tells whether this process proves that the one asked about is dead. A
-// listening address is bound by one process at a time and is kept until its
-// process exits; VM names are never used again. So having bound the same
-// address on the same VM proves that the other has exited. What its kernel
-// still held unsent has gone once the hard deadline of its last connection has
-// passed, which is at most one window after this process bound the address.
-func (r *Responder) proves(req *controllerpb.ConfirmDroppedRequest) bool {
-	if req.GetVm() != r.self.VM || req.GetAddress() != r.self.Address {
+// provesExit reports whether this process proves that the requested process has exited. Only
+// one process at a time can bind a listening address, it stays bound until that process exits,
+// and VM names are never reused. So having bound the same address on the same VM proves that
+// the other process has exited. Data that its kernel had not yet sent is discarded when the
+// hard deadline of its last connection passes, at most proofDelay after this process bound the
+// address.
+func (r *Responder) provesExit(req *controllerpb.ConfirmDroppedRequest) bool {
+	if req.GetVm() != r.identity.VM || req.GetAddress() != r.identity.Address {
 		return false
 	}
-	return clock.Since(r.since) >= r.window
+	return clock.Since(r.startedAt) >= r.proofDelay
 }
--- a/order/deliver.go
+++ b/order/deliver.go
@@ -12,16 +12,16 @@
 
 // send sends one copy of o with a hard deadline that ends before the lease does.
 //
-// The check of the lease saves useless sends; it is not what makes a late copy
-// harmless, since the process may pause right after it. That is the open row of
-// the journal, together with Gate and account.
+// The check of the lease only avoids useless sends. It does not make a late copy harmless,
+// since the process may be paused right after the check. The open journal row does, together
+// with Gate and accountForCopies.
 func (s *Sender) send(ctx context.Context, target Target, o engine.Order) error {
 	deadline, err := s.deadline()
 	if err != nil {
 		countError(err)
 		return err
 	}
-	f, err := s.cfg.Gate.enter(s.lease, target.Name)
+	f, err := s.cfg.Gate.begin(s.lease, target.Name)
 	if err != nil {
 		countError(err)
 		return err
@@ -29,7 +29,7 @@
 	s.faults.at(beforeSend)
 	countSend()
 	_, err = target.Engine.Order(ctx, o, deadline)
-	s.cfg.Gate.leave(f, s.arrivesUntil(err, deadline))
+	s.cfg.Gate.end(f, s.latestArrival(err, deadline))
 	s.faults.at(afterSend)
 	if err == nil {
 		return nil
@@ -37,44 +37,44 @@
 	countError(err)
 	var stale *engine.StaleFenceError
 	if errors.As(err, &stale) {
-		return s.stale(stale)
+		return s.handleStaleFence(stale)
 	}
 	return err
 }
 
-// deadline returns the hard deadline of a copy sent now.
+// deadline returns the hard deadline for a copy sent now.
 func (s *Sender) deadline() (time.Time, error) {
 	a, err := s.lease.Authority()
 	if err != nil {
 		return time.Time{}, err
 	}
-	if a.Remaining() < s.timing.Margin+s.timing.Window {
+	if a.Remaining() < s.timing.LeaseMargin+s.timing.SendTimeout {
 		return time.Time{}, &RefusedError{Engine: s.lease.Pool(), Code: ReasonLeaseShort}
 	}
-	return clock.Now().Add(s.timing.Window), nil
+	return clock.Now().Add(s.timing.SendTimeout), nil
 }
 
-// arrivesUntil returns until when a copy may still arrive, given how its send
-// ended; zero if the engine answered it or nothing of it left.
-func (s *Sender) arrivesUntil(err error, deadline time.Time) time.Time {
+// latestArrival returns until when a copy may still arrive, given the error of its send. It is
+// zero if the engine responded or nothing was sent.
+func (s *Sender) latestArrival(err error, deadline time.Time) time.Time {
 	var unreachable *engine.UnreachableError
 	switch {
 	case err == nil:
 		return time.Time{}
 	case errors.As(err, &unreachable) && !unreachable.Sent:
 		return time.Time{}
-	case answered(err):
+	case isEngineRefusal(err):
 		return time.Time{}
 	}
 	now := clock.Now()
 	if now.After(deadline) {
 		deadline = now
 	}
-	return deadline.Add(s.timing.Settle)
+	return deadline.Add(s.timing.MaxTransit)
 }
 
-// answered tells whether err is a refusal by the engine itself.
-func answered(err error) bool {
+// isEngineRefusal reports whether err is a refusal returned by the engine.
+func isEngineRefusal(err error) bool {
 	var stale *engine.StaleFenceError
 	var incarnation *engine.IncarnationError
 	var busy *engine.BusyError
@@ -82,9 +82,9 @@
 	return errors.As(err, &stale) || errors.As(err, &incarnation) || errors.As(err, &busy) || errors.As(err, &refused)
 }
 
-// stale gives up a tenure whose fence an engine has seen passed. The next one
-// has a higher fence, also if the engine came from another pool.
-func (s *Sender) stale(err *engine.StaleFenceError) error {
+// handleStaleFence ends the tenure after an engine refused its fence as too low. The next
+// tenure gets a higher fence, even if the engine came from another pool.
+func (s *Sender) handleStaleFence(err *engine.StaleFenceError) error {
 	if s.cfg.OnStaleFence != nil {
 		s.cfg.OnStaleFence(err.Highest)
 	}
@@ -93,7 +93,7 @@
 	return lost
 }
 
-func isLost(err error) bool {
+func isLeaseLost(err error) bool {
 	var lost *lease.LostError
 	return errors.As(err, &lost)
 }
--- a/order/entry.go
+++ b/order/entry.go
@@ -9,47 +9,47 @@
 	"github.com/springweir/springweir/table"
 )
 
-// TableName is the table that holds the journal, one row an engine.
+// TableName is the table that holds the journal, with one row for each engine.
 const TableName = "order"
 
-// Outcome tells how an order ended; it is empty while the order is open.
+// Outcome is the result of an order; it is empty while the order is open.
 type Outcome string
 
-// The outcomes.
+// Outcomes of an order.
 const (
-	// Done is an order that the engine reported done.
+	// Done means that the engine reported the order done.
 	Done Outcome = "done"
-	// Failed is an order that the engine reported failed.
+	// Failed means that the engine reported the order failed.
 	Failed Outcome = "failed"
-	// SupersededByCrash is an order whose engine came back with a new
-	// incarnation. What the engine is now has to be observed.
+	// SupersededByCrash means that the engine restarted with a new incarnation. Its current
+	// role must be observed.
 	SupersededByCrash Outcome = "superseded-by-crash"
-	// NotRun is an order that never reached the engine and no longer can.
+	// NotRun means that the order never reached the engine and no longer can.
 	NotRun Outcome = "not-run"
-	// EngineRemoved is an order whose engine's VM is gone for good.
+	// EngineRemoved means that the engine's VM was removed permanently.
 	EngineRemoved Outcome = "engine-gone"
 )
 
-// SenderRecord is a process that may have sent copies of an order.
+// SenderRecord identifies a process that may have sent copies of an order.
 type SenderRecord struct {
 	lease.Identity
-	// Fence is the highest fencing number that the process sent it under.
+	// Fence is the highest fence under which the process sent the order.
 	Fence uint64 `json:"fence"`
-	// Dropped is set by the process itself once it has nothing in flight and
-	// never sends under Fence again.
+	// Dropped is set by the process itself once it has nothing in flight and will never send
+	// under Fence again.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
 // Entry is the value of a journal row.
 type Entry struct {
-	// WriteID is the id of the write that made the value.
+	// WriteID identifies the write that produced this value.
 	WriteID string `json:"write_id"`
 	Engine  string `json:"engine"`
 	// VM is the engine's VM.
 	VM   string `json:"vm"`
 	Pool string `json:"pool"`
 	Zone string `json:"zone"`
-	// Order is the order as first journaled.
+	// Order is the order as first written to the journal.
 	Order engine.Order `json:"order"`
 	// Senders are all processes that may have sent a copy of it.
 	Senders []SenderRecord `json:"senders"`
@@ -62,11 +62,11 @@
 	version table.Version
 }
 
-// IsOpen tells whether the order is open.
+// IsOpen reports whether the order is open.
 func (e Entry) IsOpen() bool { return e.version != table.Absent && e.Outcome == "" }
 
-// sentBy returns the entry with id among its senders, at fence.
-func (e Entry) sentBy(id lease.Identity, fence uint64) Entry {
+// withSender returns the entry with id among its senders, at fence.
+func (e Entry) withSender(id lease.Identity, fence uint64) Entry {
 	e.Senders = slices.DeleteFunc(slices.Clone(e.Senders), func(c SenderRecord) bool {
 		return c.Process == id.Process
 	})
@@ -74,8 +74,8 @@
 	return e
 }
 
-// droppedBy returns the entry with the mark that id has dropped it.
-func (e Entry) droppedBy(id lease.Identity) Entry {
+// withDropped returns the entry with id's sender record marked as dropped.
+func (e Entry) withDropped(id lease.Identity) Entry {
 	e.Senders = slices.Clone(e.Senders)
 	for i := range e.Senders {
 		if e.Senders[i].Process == id.Process {
@@ -88,7 +88,7 @@
 // Key returns the key of an engine's row.
 func Key(engineName string) table.Key { return table.Key{Table: TableName, Row: engineName} }
 
-// decode reads a row; an absent one gives an entry that is not open.
+// decode decodes a row; an absent row yields an entry that is not open.
 func decode(row table.Row) (Entry, error) {
 	entry := Entry{Engine: row.Key.Row}
 	if row.Version == table.Absent {
--- a/order/errors.go
+++ b/order/errors.go
@@ -9,31 +9,37 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Reasons of this package's failures and retries.
+// Reasons of failures and retries in this package.
 const (
-	// ReasonOpen is an order not opened because another is open.
+	// ReasonOpen means that an order was not opened because another is open.
 	ReasonOpen failure.Reason = "order-open"
-	// ReasonPending is a change refused because the engine has one already.
+	// ReasonPending means that a change was refused because the engine already has one, or
+	// because the executor has reached maxEngines.
 	ReasonPending failure.Reason = "order-pending"
-	// ReasonNotLeading is a change refused because this process does not act for the pool.
+	// ReasonNotLeading means that a change was refused because this process does not hold the
+	// pool's lease.
 	ReasonNotLeading failure.Reason = "not-leading"
-	// ReasonLeaseShort is a send put off because too little of the lease is left.
+	// ReasonLeaseShort means that a send was postponed because too little of the lease is left.
 	ReasonLeaseShort failure.Reason = "lease-short"
-	// ReasonUnconfirmed is an order kept open because a sender has not confirmed.
+	// ReasonUnconfirmed means that an order stays open because a sender has not confirmed that
+	// it dropped its authority.
 	ReasonUnconfirmed failure.Reason = "predecessor-unconfirmed"
-	// ReasonUnsettled is an order kept open because a copy may still arrive.
+	// ReasonUnsettled means that an order stays open because a copy may still arrive.
 	ReasonUnsettled failure.Reason = "copy-unsettled"
-	// ReasonWithhold is an order not sent because an entry VM may still use the engine.
+	// ReasonWithhold means that an order was not sent because an entry VM may still use the
+	// engine.
 	ReasonWithhold failure.Reason = "withhold-unconfirmed"
-	// ReasonRestore is an order ended while entry VMs may still withhold the engine.
+	// ReasonRestore means that an order was closed while entry VMs may still withhold the
+	// engine.
 	ReasonRestore failure.Reason = "restore-unconfirmed"
-	// ReasonUnfinished is an order left open because its worker's time was up.
+	// ReasonUnfinished means that an order was left open because the time slice of its worker
+	// ended.
 	ReasonUnfinished failure.Reason = "unfinished"
-	// ReasonNoEngine is a change for an engine that is not in the tree.
+	// ReasonNoEngine means that a change names an engine that is not in the configuration tree.
 	ReasonNoEngine failure.Reason = "no-such-engine"
 )
 
-// OpenError is an order not opened because another one is open.
+// OpenError reports that an order was not opened because another one is open.
 type OpenError struct{ Engine, OrderID, Pool, Zone string }
 
 // Error implements error.
@@ -44,7 +50,7 @@
 // Reason implements failure.Coded.
 func (e *OpenError) Reason() failure.Reason { return ReasonOpen }
 
-// RefusedError is a change or a step refused for the reason in Code.
+// RefusedError reports that a change or a step was refused for the reason in Code.
 type RefusedError struct {
 	Engine string
 	Code   failure.Reason
@@ -56,9 +62,9 @@
 // Reason implements failure.Coded.
 func (e *RefusedError) Reason() failure.Reason { return e.Code }
 
-// ended is the failure of work on an engine that ended with ctx: why the lease
-// was lost, or that the time was up.
-func ended(ctx context.Context, engineName string) error {
+// contextError returns the error for work on an engine that ended with ctx: the loss of the
+// lease if that is the cause, otherwise a *RefusedError with ReasonUnfinished.
+func contextError(ctx context.Context, engineName string) error {
 	cause := context.Cause(ctx)
 	var coded failure.Coded
 	if errors.As(cause, &coded) {
@@ -67,7 +73,7 @@
 	return &RefusedError{Engine: engineName, Code: ReasonUnfinished}
 }
 
-// DecodeError is a row that cannot be understood.
+// DecodeError reports a journal row that cannot be decoded.
 type DecodeError struct {
 	Key   table.Key
 	Cause error
--- a/order/executor.go
+++ b/order/executor.go
@@ -15,70 +15,71 @@
 	"github.com/springweir/springweir/lease"
 )
 
-// DefaultWorkers is how many engines an executor changes at once. A worker
-// mostly waits: for streams to finish, for the engine, or for a confirmation.
+// DefaultWorkers is the default number of engines that an executor changes at once. A worker
+// spends most of its time waiting: for streams to finish, for the engine, or for a
+// confirmation.
 const DefaultWorkers = 32
 
-// retryDelay is how long an engine rests after a step that failed.
+// retryDelay is the delay before an engine is retried after a failed step.
 const retryDelay = time.Second
 
-// slot is the work on one engine.
-type slot struct {
+// task is the pending and running work on one engine.
+type task struct {
 	// change is the next change, or nil.
 	change *Change
-	// id is the order id of the last change, or empty.
+	// id is the order ID of the last change, or empty.
 	id string
-	// resolve is set while the engine's row may need work; it comes first.
+	// resolve is set while the engine's journal row may need work, which is done before change.
 	resolve bool
-	// running is set while a worker is on it; queued while it waits for one.
+	// running is set while a worker processes the task; queued while it waits for a worker.
 	running, queued bool
-	last            Outcome
+	lastOutcome     Outcome
 	err             error
 }
 
-// EngineStatus is what an executor knows of one engine.
+// EngineStatus is an executor's state for one engine.
 type EngineStatus struct {
 	Engine string
-	// Change is the change under way or waiting, or nil.
+	// Change is the running or waiting change, or nil.
 	Change *Change
-	// Resolving is set while an open order of the journal comes first.
+	// Resolving is set while an open order of the journal is resolved first.
 	Resolving bool
-	// LastOutcome is how the last change ended; empty while it hasn't, and for one that
-	// was never journaled.
+	// LastOutcome is the outcome of the last change. It is empty while the change is in
+	// progress, and for a change that was never written to the journal.
 	LastOutcome Outcome
-	// Err is why the last step failed, or nil.
+	// Err is the error of the last step, or nil.
 	Err error
 }
 
-// Executor carries out planners' changes under a lease: one at a time for each
-// engine, several engines at once by a pool of workers over a shared table. It
-// is safe for concurrent use. mu guards the table and is held during no call;
-// see the package comment for the lock order.
+// Executor executes planned changes under a lease: one at a time for each engine, and several
+// engines at once with a pool of workers. It is safe for concurrent use. mu guards the tasks
+// and is not held during any call; see the package comment for the lock order.
 type Executor struct {
 	cfg     Config
 	workers int
 	faults  faults
 
 	mu    sync.Mutex
-	slots map[string]*slot
-	// ready has the name of each queued slot; nil while this process does not lead.
+	tasks map[string]*task
+	// ready holds the engine name of each queued task. It is nil while this process holds no
+	// lease.
 	ready chan string
 }
 
-// maxEngines bounds the engines that one executor works on.
+// maxEngines bounds the engines with a task in one executor.
 const maxEngines = 4096
 
-// NewExecutor returns an executor that changes up to workers engines at once;
-// zero takes DefaultWorkers.
+// NewExecutor returns an executor that changes up to workers engines at once; zero means
+// DefaultWorkers.
 func NewExecutor(cfg Config, workers int) *Executor {
 	if workers == 0 {
 		workers = DefaultWorkers
 	}
-	return &Executor{cfg: cfg, workers: workers, slots: make(map[string]*slot)}
+	return &Executor{cfg: cfg, workers: workers, tasks: make(map[string]*task)}
 }
 
-// Submit asks for a change. It fails with *RefusedError if this process does
-// not lead or the engine has a change already; the planner plans anew then.
+// Submit queues a change. It returns *RefusedError if this process does not hold the lease or
+// the engine already has a change; the planner then plans again.
 func (x *Executor) Submit(c Change) error {
 	err := x.submit(c)
 	if err != nil {
@@ -93,72 +94,73 @@
 	if x.ready == nil {
 		return &RefusedError{Engine: c.Engine, Code: ReasonNotLeading}
 	}
-	s := x.slots[c.Engine]
-	if s == nil && len(x.slots) == maxEngines {
+	s := x.tasks[c.Engine]
+	if s == nil && len(x.tasks) == maxEngines {
 		return &RefusedError{Engine: c.Engine, Code: ReasonPending}
 	}
 	if s == nil {
-		s = &slot{}
-		x.slots[c.Engine] = s
+		s = &task{}
+		x.tasks[c.Engine] = s
 	}
 	if s.change != nil || s.resolve || s.running {
 		return &RefusedError{Engine: c.Engine, Code: ReasonPending}
 	}
 	s.change = &c
 	s.id = rand.Text()
-	s.last = ""
+	s.lastOutcome = ""
 	x.queueLocked(c.Engine, s)
 	return nil
 }
 
-// Status returns the engines worked on in this tenure, by name.
+// Status returns the state of every engine that has had work in this tenure, sorted by name.
 func (x *Executor) Status() []EngineStatus {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	all := make([]EngineStatus, 0, len(x.slots))
-	for name, s := range x.slots {
-		all = append(all, EngineStatus{Engine: name, Change: s.change, Resolving: s.resolve, LastOutcome: s.last, Err: s.err})
+	all := make([]EngineStatus, 0, len(x.tasks))
+	for name, s := range x.tasks {
+		all = append(all, EngineStatus{Engine: name, Change: s.change, Resolving: s.resolve, LastOutcome: s.lastOutcome, Err: s.err})
 	}
 	slices.SortFunc(all, func(a, b EngineStatus) int { return strings.Compare(a.Engine, b.Engine) })
 	return all
 }
 
-// Idle tells whether nobody can want an engine withheld: this tenure has read
-// the whole journal and has no work on the engine, and the engine's row, read
-// now, holds no open order of any pool. Before that, an order that a predecessor
-// sent may still arrive, and letting streams back would get them cut.
+// Idle reports whether no order can require the engine to be withheld: this tenure has read the
+// whole journal and has no work on the engine, and the engine's row, read now, holds no open
+// order of any pool. Until then an order sent by a predecessor may still arrive, and would cut
+// streams that were admitted again.
 func (x *Executor) Idle(ctx context.Context, engineName string) (bool, error) {
-	if !x.unused(engineName) {
+	if !x.hasNoWork(engineName) {
 		return false, nil
 	}
 	entry, err := x.cfg.Journal.Read(ctx, engineName)
 	if err != nil {
 		return false, err
 	}
-	return !entry.IsOpen() && x.unused(engineName), nil
+	return !entry.IsOpen() && x.hasNoWork(engineName), nil
 }
 
-// unused tells whether the journal has been read and no work is on the engine.
-func (x *Executor) unused(engineName string) bool {
+// hasNoWork reports whether the journal has been read and the engine has no pending or running
+// work.
+func (x *Executor) hasNoWork(engineName string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	s := x.slots[engineName]
+	s := x.tasks[engineName]
 	return x.ready != nil && (s == nil || s.change == nil && !s.resolve && !s.running)
 }
 
-// Run works under l until ctx ends. Open orders of predecessors come first: no
-// change is taken before the whole journal has been read, and none for an
-// engine before its open order has been resolved. When a planned stop ends ctx
-// with the lease still held, Run marks the open orders as dropped, so that the
-// successor need not ask.
+// Run executes changes under l until ctx ends. It first resolves the open orders of
+// predecessors: it accepts no change before the whole journal has been read, and none for an
+// engine before that engine's open order has been resolved. If a planned stop ends ctx while
+// the lease is still held, Run marks the open orders as dropped, so that the successor need not
+// ask for confirmation.
 func (x *Executor) Run(ctx context.Context, l *lease.Lease) error {
 	sender := NewSender(x.cfg, l)
 	sender.faults = x.faults
-	entries, err := x.takeover(ctx, sender)
+	entries, err := x.loadEntries(ctx, sender)
 	if err != nil {
 		return err
 	}
-	if x.faults.broken(guardResolve) {
+	if x.faults.disabled(guardResolve) {
 		entries = nil
 	}
 	ready := x.start(entries)
@@ -171,21 +173,21 @@
 	}
 	err = group.Wait()
 	x.stop()
-	x.dropOpen(context.WithoutCancel(ctx), sender)
+	x.markOpenDropped(context.WithoutCancel(ctx), sender)
 	return err
 }
 
-// takeover reads which engines need work, until the table answers.
-func (x *Executor) takeover(ctx context.Context, sender *Sender) ([]Entry, error) {
+// loadEntries lists the entries that need work, and retries until the table responds.
+func (x *Executor) loadEntries(ctx context.Context, sender *Sender) ([]Entry, error) {
 	for {
 		entries, err := x.cfg.Journal.List(ctx, sender.lease.Pool(), sender.lease.Zone())
 		if err == nil {
 			return entries, nil
 		}
 		countError(err)
-		klog.Warningf("order: journal not read: %v", err)
+		klog.Warningf("order: reading the journal failed: %v", err)
 		if !loop.Sleep(ctx, retryDelay) {
-			return nil, ended(ctx, "")
+			return nil, contextError(ctx, "")
 		}
 	}
 }
@@ -193,11 +195,11 @@
 func (x *Executor) start(entries []Entry) chan string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.slots = make(map[string]*slot)
+	x.tasks = make(map[string]*task)
 	x.ready = make(chan string, maxEngines)
 	for _, e := range entries {
-		s := &slot{resolve: true}
-		x.slots[e.Engine] = s
+		s := &task{resolve: true}
+		x.tasks[e.Engine] = s
 		x.queueLocked(e.Engine, s)
 	}
 	return x.ready
@@ -209,9 +211,9 @@
 	x.ready = nil
 }
 
-// queueLocked hands a slot to the workers. It never blocks: a slot is queued
-// once at a time, and there are at most maxEngines.
-func (x *Executor) queueLocked(name string, s *slot) {
+// queueLocked passes a task to the workers. The caller holds x.mu. It never blocks, because a
+// task is queued at most once and there are at most maxEngines tasks.
+func (x *Executor) queueLocked(name string, s *task) {
 	if s.queued || s.running || x.ready == nil {
 		return
 	}
@@ -225,16 +227,16 @@
 		case <-ctx.Done():
 			return
 		case name := <-ready:
-			x.turn(ctx, sender, name)
+			x.runTask(ctx, sender, name)
 		}
 	}
 }
 
-// turn gives one engine a worker for at most one slice of time. What is left
-// undone then stands in the journal, and its next turn resolves it.
-func (x *Executor) turn(ctx context.Context, sender *Sender, name string) {
-	id, change, resolve := x.begin(name)
-	slice, cancel := context.WithTimeout(ctx, sender.timing.Slice)
+// runTask works on one engine for at most one time slice. Unfinished work stays in the journal
+// and is resolved by a later run of the task.
+func (x *Executor) runTask(ctx context.Context, sender *Sender, name string) {
+	id, change, resolve := x.beginTask(name)
+	slice, cancel := context.WithTimeout(ctx, sender.timing.TimeSlice)
 	defer cancel()
 	var result Result
 	var err error
@@ -243,56 +245,56 @@
 	} else {
 		result, err = sender.Execute(slice, id, *change)
 	}
-	x.finish(ctx, name, result, err)
+	x.finishTask(ctx, name, result, err)
 }
 
-func (x *Executor) begin(name string) (string, *Change, bool) {
+func (x *Executor) beginTask(name string) (string, *Change, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	s := x.slots[name]
+	s := x.tasks[name]
 	s.queued = false
 	s.running = true
 	return s.id, s.change, s.resolve
 }
 
-// finish notes how a turn ended. After a failure the engine's row is resolved
-// before anything else, since it may hold an open order. A change that never
-// came to be journaled is not tried again and has no outcome: its planner plans anew.
-func (x *Executor) finish(ctx context.Context, name string, result Result, err error) {
+// finishTask records the result of runTask. After a failure the engine's row is resolved first,
+// since it may hold an open order. A change that was never written to the journal is not
+// retried and has no outcome; its planner plans again.
+func (x *Executor) finishTask(ctx context.Context, name string, result Result, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	s := x.slots[name]
+	s := x.tasks[name]
 	s.running = false
 	s.err = err
 	s.change = nil
 	if err == nil && (s.id == "" || s.id == result.OrderID) {
-		s.last = result.Outcome
+		s.lastOutcome = result.Outcome
 	}
 	if err == nil {
 		s.resolve = false
 		return
 	}
 	countError(err)
-	klog.Warningf("order: %s: %v", name, err)
-	s.resolve = !x.faults.broken(guardResolve)
+	klog.Warningf("order: engine %s: %v", name, err)
+	s.resolve = !x.faults.disabled(guardResolve)
 	if ctx.Err() != nil || !s.resolve {
 		return
 	}
 	time.AfterFunc(retryDelay, func() { x.requeue(name, s) })
 }
 
-// requeue queues s again unless a new tenure has replaced it.
-func (x *Executor) requeue(name string, s *slot) {
+// requeue queues s again unless it belongs to an earlier tenure.
+func (x *Executor) requeue(name string, s *task) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.slots[name] == s {
+	if x.tasks[name] == s {
 		x.queueLocked(name, s)
 	}
 }
 
-// dropOpen marks this process's open orders as dropped while the lease is still
-// held. Nothing is sent any more when it is called, and the gate keeps it so.
-func (x *Executor) dropOpen(ctx context.Context, sender *Sender) {
+// markOpenDropped marks this process's open orders as dropped while the lease is still held. By
+// then no worker sends any more, and the gate refuses later sends.
+func (x *Executor) markOpenDropped(ctx context.Context, sender *Sender) {
 	l := sender.lease
 	a, err := l.Authority()
 	if err != nil {
@@ -307,7 +309,7 @@
 		}
 		if err := sender.drop(call, st.Engine); err != nil {
 			countError(err)
-			klog.Warningf("order: %s not dropped: %v", st.Engine, err)
+			klog.Warningf("order: marking the order of engine %s as dropped failed: %v", st.Engine, err)
 		}
 	}
 }
--- a/order/fakeorder/fakeorder.go
+++ b/order/fakeorder/fakeorder.go
@@ -1,6 +1,6 @@
-// Package fakeorder holds in-memory fakes of what package order works with: the
-// entry VMs that withhold engines, the way to other controllers, and the list of
-// VMs that have left. They work in a synctest bubble.
+// Package fakeorder provides in-memory fakes of the dependencies of package order: the entry
+// VMs that withhold engines, the network to other controllers, and the set of removed VMs. They
+// work in a synctest bubble.
 package fakeorder
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/springweir/springweir/peer/controllerpb"
 )
 
-// drainPoll is how often Withhold looks whether the last stream has ended.
+// drainPoll is how often Withhold checks whether the last stream has ended.
 const drainPoll = 20 * time.Millisecond
 
-// StaleEpochError is an engine not withheld because a higher epoch was seen.
+// StaleEpochError reports that an engine was not withheld because a higher epoch was seen.
 type StaleEpochError struct{ Epoch, Seen uint64 }
 
 // Error implements error.
@@ -28,54 +28,54 @@
 // Reason implements failure.Coded.
 func (e *StaleEpochError) Reason() failure.Reason { return failure.EndpointWithheld }
 
-// Withholder is the fake of order.Withholder: one entry VM and its streams. It
-// is safe for concurrent use.
+// Withholder is a fake order.Withholder: one entry VM and its streams. It is safe for
+// concurrent use.
 type Withholder struct {
 	mu      sync.Mutex
-	engines map[string]*gate
+	engines map[string]*engineState
 }
 
-type gate struct {
+type engineState struct {
 	epoch    uint64
 	withheld bool
 	streams  int
 }
 
 // NewWithholder returns an entry VM that withholds nothing.
-func NewWithholder() *Withholder { return &Withholder{engines: make(map[string]*gate)} }
-
-// gate returns an engine's gate, with w.mu held.
-func (w *Withholder) gate(name string) *gate {
-	g := w.engines[name]
-	if g == nil {
-		g = &gate{}
-		w.engines[name] = g
+func NewWithholder() *Withholder { return &Withholder{engines: make(map[string]*engineState)} }
+
+// engine returns an engine's state; the caller holds w.mu.
+func (w *Withholder) engine(name string) *engineState {
+	e := w.engines[name]
+	if e == nil {
+		e = &engineState{}
+		w.engines[name] = e
 	}
-	return g
+	return e
 }
 
-// Acquire lets a stream on an engine begin, unless it is withheld. The stream
-// ends with release.
+// Acquire starts a stream on an engine, unless the engine is withheld. The stream ends when
+// release is called.
 func (w *Withholder) Acquire(name string) (release func(), ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	g := w.gate(name)
-	if g.withheld {
+	e := w.engine(name)
+	if e.withheld {
 		return nil, false
 	}
-	g.streams++
+	e.streams++
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		g.streams--
+		e.streams--
 	}, true
 }
 
-// Withheld tells whether an engine is withheld.
+// Withheld reports whether an engine is withheld.
 func (w *Withholder) Withheld(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gate(name).withheld
+	return w.engine(name).withheld
 }
 
 // Withhold implements order.Withholder.
@@ -94,60 +94,60 @@
 func (w *Withholder) withhold(name string, epoch uint64) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	g := w.gate(name)
-	if epoch < g.epoch {
-		return false, &StaleEpochError{Epoch: epoch, Seen: g.epoch}
+	e := w.engine(name)
+	if epoch < e.epoch {
+		return false, &StaleEpochError{Epoch: epoch, Seen: e.epoch}
 	}
-	g.epoch, g.withheld = epoch, true
-	return g.streams == 0, nil
+	e.epoch, e.withheld = epoch, true
+	return e.streams == 0, nil
 }
 
 // Restore implements order.Withholder.
 func (w *Withholder) Restore(_ context.Context, name string, epoch uint64) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	g := w.gate(name)
-	if epoch >= g.epoch {
-		g.epoch, g.withheld = epoch, false
+	e := w.engine(name)
+	if epoch >= e.epoch {
+		e.epoch, e.withheld = epoch, false
 	}
 	return nil
 }
 
-// Network is the fake of order.Confirmer: it carries calls to the process that
-// has bound an address. It is safe for concurrent use.
+// Network is a fake order.Confirmer that delivers calls to the process bound to an address. It
+// is safe for concurrent use.
 type Network struct {
 	mu    sync.Mutex
 	bound map[string]controllerpb.Controller
-	// silent has the addresses whose process takes calls and answers nothing.
-	silent map[string]bool
+	// unresponsive holds the addresses whose process accepts calls and never responds.
+	unresponsive map[string]bool
 }
 
 // NewNetwork returns a network without processes.
 func NewNetwork() *Network {
-	return &Network{bound: make(map[string]controllerpb.Controller), silent: make(map[string]bool)}
+	return &Network{bound: make(map[string]controllerpb.Controller), unresponsive: make(map[string]bool)}
 }
 
-// Bind gives an address to a process; nil frees it.
+// Bind binds a process to an address; nil unbinds it.
 func (n *Network) Bind(address string, c controllerpb.Controller) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bound[address] = c
-	n.silent[address] = false
+	n.unresponsive[address] = false
 }
 
-// SetUnresponsive makes the process at an address answer nothing, or ends that.
+// SetUnresponsive sets whether the process at an address leaves calls without a response.
 func (n *Network) SetUnresponsive(address string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent[address] = on
+	n.unresponsive[address] = on
 }
 
 // ConfirmDropped implements order.Confirmer.
 func (n *Network) ConfirmDropped(ctx context.Context, address string, req *controllerpb.ConfirmDroppedRequest) (*controllerpb.ConfirmDroppedResponse, error) {
 	n.mu.Lock()
-	c, silent := n.bound[address], n.silent[address]
+	c, unresponsive := n.bound[address], n.unresponsive[address]
 	n.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, context.Cause(ctx)
 	}
@@ -157,7 +157,7 @@
 	return c.ConfirmDropped(ctx, req)
 }
 
-// UnboundError is a call to an address that no process has bound.
+// UnboundError reports a call to an address that no process has bound.
 type UnboundError struct{ Address string }
 
 // Error implements error.
@@ -166,25 +166,25 @@
 // Reason implements failure.Coded.
 func (e *UnboundError) Reason() failure.Reason { return failure.PeerUnreachable }
 
-// Removals is the fake of order.Removals. It is safe for concurrent use.
+// Removals is a fake order.Removals. It is safe for concurrent use.
 type Removals struct {
-	mu   sync.Mutex
-	gone map[string]bool
+	mu      sync.Mutex
+	removed map[string]bool
 }
 
-// Remove makes a VM gone for good.
+// Remove marks a VM as permanently removed.
 func (d *Removals) Remove(vm string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.gone == nil {
-		d.gone = make(map[string]bool)
+	if d.removed == nil {
+		d.removed = make(map[string]bool)
 	}
-	d.gone[vm] = true
+	d.removed[vm] = true
 }
 
 // Removed implements order.Removals.
 func (d *Removals) Removed(vm string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gone[vm]
+	return d.removed[vm]
 }
--- a/order/faults.go
+++ b/order/faults.go
@@ -1,24 +1,24 @@
 package order
 
-// place is a point in the sending of an order where tests pause or stop a process.
-type place string
+// pausePoint is a point in the processing of an order at which tests pause or stop a process.
+type pausePoint string
 
-// The places, in the order in which Execute and Resolve pass them.
+// Pause points, in the order in which Execute and Resolve reach them.
 const (
-	beforeOpen    place = "before-open"
-	afterOpen     place = "after-open"
-	beforeAdopt   place = "before-adopt"
-	afterWithhold place = "after-withhold"
-	beforeSend    place = "before-send"
-	afterSend     place = "after-send"
-	beforeClose   place = "before-close"
+	beforeOpen    pausePoint = "before-open"
+	afterOpen     pausePoint = "after-open"
+	beforeAdopt   pausePoint = "before-adopt"
+	afterWithhold pausePoint = "after-withhold"
+	beforeSend    pausePoint = "before-send"
+	afterSend     pausePoint = "after-send"
+	beforeClose   pausePoint = "before-close"
 )
 
-// guard is a step that keeps a promise. Tests break one to show that the
-// checks of the promises can fail.
+// guard is a step that one of the package's guarantees depends on. Tests disable one to show
+// that their checks detect a violation.
 type guard string
 
-// The guards.
+// Guards that tests can disable.
 const (
 	guardWithhold guard = "withhold"
 	guardAccount  guard = "account"
@@ -26,17 +26,17 @@
 	guardResolve  guard = "resolve"
 )
 
-// faults are set by tests of this package only. The zero value does nothing.
+// faults are set only by tests of this package. The zero value has no effect.
 type faults struct {
-	// pause is called at each place and may take its time.
-	pause func(place)
-	off   guard
+	// pause is called at each pause point and may block.
+	pause         func(pausePoint)
+	disabledGuard guard
 }
 
-func (f faults) at(p place) {
+func (f faults) at(p pausePoint) {
 	if f.pause != nil {
 		f.pause(p)
 	}
 }
 
-func (f faults) broken(g guard) bool { return f.off == g }
+func (f faults) disabled(g guard) bool { return f.disabledGuard == g }
--- a/order/gate.go
+++ b/order/gate.go
@@ -8,95 +8,95 @@
 	"github.com/springweir/springweir/lease"
 )
 
-// scope is what a lease is for.
+// scope identifies what a lease covers.
 type scope struct{ pool, zone string }
 
-// flight is one copy of an order from just before it is sent until it can't
-// arrive any more.
-type flight struct {
+// inFlightCopy is one copy of an order, from just before it is sent until it can no longer
+// arrive.
+type inFlightCopy struct {
 	engine string
-	// until is when the copy has certainly arrived or been lost; zero while the
-	// call that sends it has not returned.
-	until time.Time
+	// latestArrival is the time after which the copy can no longer arrive; zero while the call
+	// that sends it has not returned.
+	latestArrival time.Time
 }
 
-// Gate knows every copy of an order that this process has in flight, and the
-// fences that it has dropped for good. There is one for a process, whatever
-// its leases. It is safe for concurrent use; mu is its only lock.
+// Gate tracks every copy of an order that this process has in flight, and the fences that it
+// has dropped permanently. Each process has one, shared by all its leases. It is safe for
+// concurrent use; mu is its only lock.
 //
-// Invariant: enter refuses a dropped fence, and notes the copy in the same
-// critical section. So once Drop has returned and Quiet says true, nothing of
-// that fence is or will be in flight, even if a sender was paused just before
-// its send.
+// Invariant: begin refuses a dropped fence, and records the copy in the same critical section.
+// So once Drop has returned and NoneInFlight reports true, no copy under that fence is or will
+// be in flight, even if a sender was paused just before its send.
 type Gate struct {
-	mu      sync.Mutex
-	dropped map[scope]uint64
-	flights map[*flight]struct{}
-	leases  map[scope]*lease.Lease
-	// unanswered has the engines with a copy that no answer accounted for.
-	unanswered map[string]struct{}
+	mu       sync.Mutex
+	dropped  map[scope]uint64
+	inFlight map[*inFlightCopy]struct{}
+	leases   map[scope]*lease.Lease
+	// unacknowledged holds the engines with a copy that got no response.
+	unacknowledged map[string]struct{}
 }
 
 // NewGate returns a gate with nothing in flight.
 func NewGate() *Gate {
 	return &Gate{
-		dropped:    make(map[scope]uint64),
-		flights:    make(map[*flight]struct{}),
-		leases:     make(map[scope]*lease.Lease),
-		unanswered: make(map[string]struct{}),
+		dropped:        make(map[scope]uint64),
+		inFlight:       make(map[*inFlightCopy]struct{}),
+		leases:         make(map[scope]*lease.Lease),
+		unacknowledged: make(map[string]struct{}),
 	}
 }
 
-// enter notes a copy that is about to be sent under l. The error is *lease.LostError.
-func (g *Gate) enter(l *lease.Lease, engineName string) (*flight, error) {
+// begin records a copy that is about to be sent under l. It returns *lease.LostError if the
+// fence of l was dropped.
+func (g *Gate) begin(l *lease.Lease, engineName string) (*inFlightCopy, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l.Fence() <= g.dropped[scope{l.Pool(), l.Zone()}] {
 		return nil, &lease.LostError{Pool: l.Pool(), Zone: l.Zone(), Fence: l.Fence(), Cause: lease.Revoked}
 	}
-	f := &flight{engine: engineName}
-	g.flights[f] = struct{}{}
+	f := &inFlightCopy{engine: engineName}
+	g.inFlight[f] = struct{}{}
 	return f, nil
 }
 
-// leave notes that the send has returned. The copy may still arrive until that
-// time; zero says that it has arrived or was never sent.
-func (g *Gate) leave(f *flight, until time.Time) {
+// end records that the send has returned. The copy may still arrive until latestArrival; zero
+// means that it has arrived or was never sent.
+func (g *Gate) end(f *inFlightCopy, latestArrival time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f.until = until
-	if until.IsZero() {
-		delete(g.flights, f)
+	f.latestArrival = latestArrival
+	if latestArrival.IsZero() {
+		delete(g.inFlight, f)
 		return
 	}
-	g.unanswered[f.engine] = struct{}{}
+	g.unacknowledged[f.engine] = struct{}{}
 }
 
-// allAnswered tells whether every copy sent to the engine was accounted for by
-// its answer, or by settled.
-func (g *Gate) allAnswered(engineName string) bool {
+// allAcknowledged reports whether every copy sent to the engine got a response, or was covered
+// by clearUnacknowledged.
+func (g *Gate) allAcknowledged(engineName string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, open := g.unanswered[engineName]
-	return !open
+	_, unacknowledged := g.unacknowledged[engineName]
+	return !unacknowledged
 }
 
-// settled notes that no copy sent to the engine can still be waiting there.
-func (g *Gate) settled(engineName string) {
+// clearUnacknowledged records that no copy sent to the engine can still be waiting there.
+func (g *Gate) clearUnacknowledged(engineName string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.unanswered, engineName)
+	delete(g.unacknowledged, engineName)
 }
 
-// Watch makes Drop revoke l.
-func (g *Gate) Watch(l *lease.Lease) {
+// RevokeOnDrop makes Drop revoke l.
+func (g *Gate) RevokeOnDrop(l *lease.Lease) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leases[scope{l.Pool(), l.Zone()}] = l
 }
 
-// Drop drops for good the authority over pool and zone up to fence. A later
-// tenure of this process has a higher fence and is not touched.
+// Drop permanently gives up the authority over pool and zone up to fence. A later tenure of
+// this process has a higher fence and is not affected.
 func (g *Gate) Drop(pool, zone string, fence uint64) {
 	l := g.forbid(scope{pool, zone}, fence)
 	if l != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// forbid refuses later sends up to fence. It returns the lease to be revoked, or nil.
+// forbid refuses later sends up to fence. It returns the lease to revoke, or nil.
 func (g *Gate) forbid(s scope, fence uint64) *lease.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,18 +117,18 @@
 	return l
 }
 
-// Quiet tells whether no copy of an order for the engine may still arrive from
-// this process.
-func (g *Gate) Quiet(engineName string) bool {
+// NoneInFlight reports whether no copy of an order for the engine, sent by this process, may
+// still arrive.
+func (g *Gate) NoneInFlight(engineName string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	quiet := true
-	for f := range g.flights {
-		if !f.until.IsZero() && clock.Until(f.until) <= 0 {
-			delete(g.flights, f)
+	none := true
+	for f := range g.inFlight {
+		if !f.latestArrival.IsZero() && clock.Until(f.latestArrival) <= 0 {
+			delete(g.inFlight, f)
 			continue
 		}
-		quiet = quiet && f.engine != engineName
+		none = none && f.engine != engineName
 	}
-	return quiet
+	return none
 }
--- a/order/gate_test.go
+++ b/order/gate_test.go
@@ -15,43 +15,42 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// TestDroppedFenceSendsNothing asks a process to drop its authority while a copy
-// is on its way and a sender stands between its look at the lease and its send.
-// The process says dropped only once the copy has arrived or been lost, and the
-// sender that goes on after the question is refused.
+// TestDroppedFenceSendsNothing asks a process to drop its authority while a copy is in flight
+// and a sender has checked the lease but not yet sent. The process must confirm only once the
+// copy has arrived or been lost, and must refuse the paused sender's later send.
 func TestDroppedFenceSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		self := lease.Identity{VM: "vm1", Process: "vm1-1", Address: "vm1:1"}
 		gate := NewGate()
-		answers := NewResponder(gate, self, Timing{})
-		lead := func(ctx context.Context, l *lease.Lease) {
-			ask := func(name string) bool {
-				answer, err := answers.ConfirmDropped(ctx, &controllerpb.ConfirmDroppedRequest{
+		responder := NewResponder(gate, self, Timing{})
+		whileLeading := func(ctx context.Context, l *lease.Lease) {
+			confirmDropped := func(name string) bool {
+				resp, err := responder.ConfirmDropped(ctx, &controllerpb.ConfirmDroppedRequest{
 					Pool: l.Pool(), Zone: l.Zone(), Fence: l.Fence(), Process: self.Process, Engine: name,
 				})
-				return err == nil && answer.GetDropped()
+				return err == nil && resp.GetDropped()
 			}
-			gate.Watch(l)
-			copies, err := gate.enter(l, "e")
+			gate.RevokeOnDrop(l)
+			inFlight, err := gate.begin(l, "e")
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			sending := ask("e")
-			gate.leave(copies, time.Now().Add(time.Second)) // no answer came
-			unanswered := ask("e")
-			other := ask("another")
+			sending := confirmDropped("e")
+			gate.end(inFlight, time.Now().Add(time.Second)) // no response
+			unacknowledged := confirmDropped("e")
+			other := confirmDropped("another")
 			time.Sleep(time.Second)
-			lost := ask("e")
-			if diff := cmp.Diff([]bool{false, false, true, true}, []bool{sending, unanswered, other, lost}); diff != "" {
-				t.Errorf("dropped while sending, unanswered, for another engine, lost (-want +got):\n%s", diff)
+			lost := confirmDropped("e")
+			if diff := cmp.Diff([]bool{false, false, true, true}, []bool{sending, unacknowledged, other, lost}); diff != "" {
+				t.Errorf("dropped while sending, unacknowledged, for another engine, lost (-want +got):\n%s", diff)
 			}
 			var refused *lease.LostError
-			if _, err := gate.enter(l, "e"); !errors.As(err, &refused) {
-				t.Errorf("a sender that looked at its lease before got past: %v", err)
+			if _, err := gate.begin(l, "e"); !errors.As(err, &refused) {
+				t.Errorf("a sender that checked its lease before the drop was not refused: %v", err)
 			}
 		}
-		withLease(t, self, memtable.New(), lead)
+		withLease(t, self, memtable.New(), whileLeading)
 	})
 }
 
@@ -65,8 +64,8 @@
 	})
 }
 
-// TestJournalOpensOneOrder tries to open a second order of an engine, from the
-// row as it stands and from the row as it was before.
+// TestJournalOpensOneOrder tries to open a second order of an engine, both from the current row
+// and from the row version before the first order.
 func TestJournalOpensOneOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := memtable.New()
@@ -83,10 +82,10 @@
 				t.Errorf("opened over an open order: %v", err)
 			}
 			if _, err := j.Open(ctx, l, before, "vm-e", engine.Order{ID: "two"}); err == nil {
-				t.Error("opened over a row that it had not read")
+				t.Error("opened over a stale row version")
 			}
 			if now, err := j.Read(ctx, "e"); err != nil || now.Order.ID != "one" {
-				t.Errorf("the row holds %q, %v", now.Order.ID, err)
+				t.Errorf("journal row holds order %q, error %v", now.Order.ID, err)
 			}
 		})
 	})
--- a/order/guards_test.go
+++ b/order/guards_test.go
@@ -11,20 +11,20 @@
 	"github.com/springweir/springweir/engine/fakeengine"
 )
 
-// The checks of the promises can fail: each run below breaks none with the
-// guard in place, and some without it.
-func TestBrokenGuardsAreFoundOut(t *testing.T) {
-	for g, scenario := range map[guard]func(*world){
+// Shows that the checks of the guarantees can fail: each scenario must find no violation with
+// its guard enabled, and at least one with it disabled.
+func TestDisabledGuardsAreDetected(t *testing.T) {
+	for g, scenario := range map[guard]func(*testbed){
 		guardWithhold: changeUnderStream,
-		guardAccount:  lastCopyIsLate,
-		guardConfirm:  predecessorWakesLate,
-		guardResolve:  predecessorWakesLate,
+		guardAccount:  lastCopyArrivesLate,
+		guardConfirm:  predecessorResumesLate,
+		guardResolve:  predecessorResumesLate,
 	} {
 		for _, off := range []guard{"", g} {
 			t.Run(fmt.Sprintf("%s/off=%v", g, off != ""), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t)
-					w.off = off
+					w := newTestbed(t)
+					w.disabledGuard = off
 					scenario(w)
 					found := w.violations()
 					if t.Logf("violations: %v", found); len(found) > 0 != (off != "") {
@@ -36,38 +36,38 @@
 	}
 }
 
-func changeUnderStream(w *world) {
+func changeUnderStream(w *testbed) {
 	w.start("vm1", "vm1-1")
-	w.until("led", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
-	w.until("done", time.Minute, func() bool { return w.entryOf(checkedEngine).Outcome == Done })
-	w.chat(ignoredEngine)
-	time.Sleep(100 * time.Millisecond) // the stream is under way
+	w.waitFor("lease acquired and change accepted", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
+	w.waitFor("done", time.Minute, func() bool { return w.entryOf(checkedEngine).Outcome == Done })
+	w.startStream(ignoredEngine)
+	time.Sleep(100 * time.Millisecond) // the stream has started
 	w.submit(ignoredEngine, engine.Decode)
 	time.Sleep(time.Minute)
 }
 
-// lastCopyIsLate loses each copy but the last that may be sent, which comes
-// after its sender gave the order up.
-func lastCopyIsLate(w *world) {
+// lastCopyArrivesLate loses every copy except the last, which arrives after its sender has
+// given up the order.
+func lastCopyArrivesLate(w *testbed) {
 	var sent atomic.Int32
 	w.engines[ignoredEngine].ScriptOrders(func(engine.Order) fakeengine.OrderBehaviour {
-		if sent.Add(1) < DefaultTries {
+		if sent.Add(1) < DefaultMaxSends {
 			return fakeengine.OrderBehaviour{Lost: true}
 		}
-		return fakeengine.OrderBehaviour{Late: DefaultWindow + DefaultSettle - time.Second/2}
+		return fakeengine.OrderBehaviour{Late: DefaultSendTimeout + DefaultMaxTransit - time.Second/2}
 	})
 	w.start("vm1", "vm1-1")
-	w.until("a change is taken", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
+	w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
 	time.Sleep(time.Minute)
 }
 
-// predecessorWakesLate pauses a controller just before it sends. Its successor
-// is asked for another change, and then the first one wakes.
-func predecessorWakesLate(w *world) {
+// predecessorResumesLate pauses a controller just before it sends. Another change is submitted
+// to its successor, and then the first controller resumes.
+func predecessorResumesLate(w *testbed) {
 	failed := w.failFirst(beforeSend, (*process).freeze)
 	w.start("vm1", "vm1-1")
 	w.start("vm2", "vm2-1")
-	w.until("a change is taken", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
+	w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
 	for range 10 {
 		time.Sleep(10 * time.Second)
 		w.submit(ignoredEngine, engine.Prefill)
--- a/order/journal.go
+++ b/order/journal.go
@@ -10,19 +10,18 @@
 	"github.com/springweir/springweir/table"
 )
 
-// scanPage is how many rows one Scan asks for.
+// scanPage is the number of rows requested by one Scan.
 const scanPage = 500
 
-// Journal keeps the orders in the table service. Every write checks the lease's
-// row and the engine's row in its own transaction, so a process that lost its
-// lease writes nothing, and two writes never start from the same row.
-// Rows are never deleted.
+// Journal stores the orders in the table service. Every write checks the lease's row and the
+// engine's row in the same transaction, so a process that lost its lease writes nothing, and
+// two writes never start from the same row version. Rows are never deleted.
 type Journal struct{ svc table.Service }
 
-// NewJournal returns the journal kept in svc.
+// NewJournal returns the journal stored in svc.
 func NewJournal(svc table.Service) *Journal { return &Journal{svc: svc} }
 
-// Read returns the entry of an engine. It is not open if there is none.
+// Read returns the entry of an engine. If there is none, the returned entry is not open.
 func (j *Journal) Read(ctx context.Context, engineName string) (Entry, error) {
 	rows, err := j.svc.Get(ctx, Key(engineName))
 	if err != nil {
@@ -31,8 +30,8 @@
 	return decode(rows[0])
 }
 
-// List returns the entries that pool and zone own and that need work: open
-// ones, and closed ones whose engine may still be withheld.
+// List returns the entries of pool and zone that need work: open entries, and closed ones whose
+// engine may still be withheld.
 func (j *Journal) List(ctx context.Context, pool, zone string) ([]Entry, error) {
 	var found []Entry
 	after := ""
@@ -41,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		// A short page is not the end: the service may return fewer than asked.
+		// A short page is not the last one: the service may return fewer rows than requested.
 		if len(rows) == 0 {
 			return found, nil
 		}
@@ -59,8 +58,8 @@
 	}
 }
 
-// Open writes a new order over prev, which must not be open. The order is not
-// sent before this has returned without an error.
+// Open writes a new order over prev, which must not be open. Callers send the order only after
+// Open has returned without an error.
 func (j *Journal) Open(ctx context.Context, l *lease.Lease, prev Entry, vm string, o engine.Order) (Entry, error) {
 	if prev.IsOpen() {
 		return Entry{}, &OpenError{Engine: prev.Engine, OrderID: prev.Order.ID, Pool: prev.Pool, Zone: prev.Zone}
@@ -73,11 +72,11 @@
 		Order:   o,
 		version: prev.version,
 	}
-	return j.put(ctx, l, next.sentBy(l.Holder(), l.Fence()))
+	return j.put(ctx, l, next.withSender(l.Holder(), l.Fence()))
 }
 
-// Adopt makes the holder of l one of the senders of an open order. It comes
-// before the holder's first copy, so that whoever succeeds it asks it too.
+// Adopt adds the holder of l to the senders of an open order. It must come before the holder's
+// first copy, so that a successor also asks this holder for confirmation.
 func (j *Journal) Adopt(ctx context.Context, l *lease.Lease, e Entry) (Entry, error) {
 	if e.Pool != l.Pool() || e.Zone != l.Zone() {
 		return Entry{}, &OpenError{Engine: e.Engine, OrderID: e.Order.ID, Pool: e.Pool, Zone: e.Zone}
@@ -85,20 +84,21 @@
 	if slices.Contains(e.Senders, SenderRecord{Identity: l.Holder(), Fence: l.Fence()}) {
 		return e, nil
 	}
-	return j.put(ctx, l, e.sentBy(l.Holder(), l.Fence()))
+	return j.put(ctx, l, e.withSender(l.Holder(), l.Fence()))
 }
 
-// Close ends an order. withheld tells that entry VMs may still withhold the engine.
+// Close closes an order with an outcome. withheld means that entry VMs may still withhold the
+// engine.
 func (j *Journal) Close(ctx context.Context, l *lease.Lease, e Entry, outcome Outcome, withheld bool) (Entry, error) {
 	e.Outcome = outcome
 	e.Withheld = withheld
 	return j.put(ctx, l, e)
 }
 
-// Drop marks that the holder of l has nothing of the open order in flight and
-// never sends it again.
+// Drop records that the holder of l has nothing of the open order in flight and will never send
+// it again.
 func (j *Journal) Drop(ctx context.Context, l *lease.Lease, e Entry) (Entry, error) {
-	return j.put(ctx, l, e.droppedBy(l.Holder()))
+	return j.put(ctx, l, e.withDropped(l.Holder()))
 }
 
 func (j *Journal) put(ctx context.Context, l *lease.Lease, e Entry) (Entry, error) {
@@ -108,11 +108,11 @@
 		Checks: []table.Check{{Key: key, Version: e.version}},
 		Writes: []table.Write{{Key: key, Value: e.encode()}},
 	}
-	mine := func(row table.Row) bool {
-		have, err := decode(row)
-		return err == nil && have.WriteID == e.WriteID
+	isOwnWrite := func(row table.Row) bool {
+		stored, err := decode(row)
+		return err == nil && stored.WriteID == e.WriteID
 	}
-	versions, err := l.Commit(ctx, txn, mine)
+	versions, err := l.Commit(ctx, txn, isOwnWrite)
 	if err != nil {
 		return Entry{}, err
 	}
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -17,20 +17,20 @@
 	"github.com/springweir/springweir/peer/controllerpb"
 )
 
-// until waits in virtual time for a condition and returns how long it took.
-func (w *world) until(what string, limit time.Duration, cond func() bool) time.Duration {
+// waitFor waits in virtual time for a condition and returns how long it took.
+func (w *testbed) waitFor(what string, limit time.Duration, cond func() bool) time.Duration {
 	began := time.Now()
 	for !cond() {
 		if time.Since(began) > limit {
-			w.t.Fatalf("not within %v: %s", limit, what)
+			w.t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// submit asks whoever leads for a change of role.
-func (w *world) submit(name string, role engine.Role) bool {
+// submit submits a change of role to the current leader and reports whether it was accepted.
+func (w *testbed) submit(name string, role engine.Role) bool {
 	for _, p := range w.processes() {
 		c := Change{Engine: name, Kind: engine.ChangeRole, Role: role}
 		if !p.Dead() && p.executor.Submit(c) == nil {
@@ -40,23 +40,23 @@
 	return false
 }
 
-// running starts a controller and waits until its order runs on the engine.
-func (w *world) running(name string) *process {
+// startOrder starts a controller and waits until its order runs on the engine.
+func (w *testbed) startOrder(name string) *process {
 	p := w.start("vm1", "vm1-1")
-	w.until("a change is taken", time.Minute, func() bool { return w.submit(name, engine.Decode) })
-	w.until("the order runs", time.Minute, func() bool { return len(w.engines[name].Orders()) > 0 })
+	w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(name, engine.Decode) })
+	w.waitFor("the order runs", time.Minute, func() bool { return len(w.engines[name].Orders()) > 0 })
 	return p
 }
 
-func (w *world) entryOf(name string) Entry {
+func (w *testbed) entryOf(name string) Entry {
 	e, err := NewJournal(w.table).Read(context.Background(), name)
 	if err != nil {
-		return Entry{Engine: name, version: 1} // not known: counts as open
+		return Entry{Engine: name, version: 1} // unreadable: counts as open
 	}
 	return e
 }
 
-func (w *world) roleOf(name string) engine.Role {
+func (w *testbed) roleOf(name string) engine.Role {
 	st, err := w.engines[name].State(context.Background())
 	if err != nil {
 		return ""
@@ -64,7 +64,7 @@
 	return st.Role
 }
 
-func (w *world) check() {
+func (w *testbed) check() {
 	w.t.Helper()
 	for _, v := range w.violations() {
 		w.t.Error(v)
@@ -94,15 +94,15 @@
 		{"another order runs", Ignored, state("w", engine.OrderRunning, 4, 0), stepWait, "", false},
 		{"it runs", Checked, state("x", engine.OrderRunning, 5, 5), stepWait, "", true},
 		{"done under an older fence", Checked, state("x", engine.OrderDone, 4, 4), stepSend, Done, false},
-		{"done under an older fence, ignored", Ignored, state("x", engine.OrderDone, 4, 0), stepEnd, Done, false},
-		{"done", Checked, state("x", engine.OrderDone, 4, 5), stepEnd, Done, true},
-		{"failed", Checked, state("x", engine.OrderFailed, 5, 5), stepEnd, Failed, true},
-		{"a new incarnation", Checked, engine.State{Incarnation: "two"}, stepEnd, SupersededByCrash, true},
-		{"a new incarnation, ignored", Ignored, engine.State{Incarnation: "two"}, stepEnd, SupersededByCrash, false},
+		{"done under an older fence, ignored", Ignored, state("x", engine.OrderDone, 4, 0), stepClose, Done, false},
+		{"done", Checked, state("x", engine.OrderDone, 4, 5), stepClose, Done, true},
+		{"failed", Checked, state("x", engine.OrderFailed, 5, 5), stepClose, Failed, true},
+		{"a new incarnation", Checked, engine.State{Incarnation: "two"}, stepClose, SupersededByCrash, true},
+		{"a new incarnation, ignored", Ignored, engine.State{Incarnation: "two"}, stepClose, SupersededByCrash, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			next, outcome := progress(o, tc.fencing, tc.st)
-			got := []any{next, outcome, fenced(o, tc.fencing, tc.st)}
+			next, outcome := nextStep(o, tc.fencing, tc.st)
+			got := []any{next, outcome, refusesLowerFences(o, tc.fencing, tc.st)}
 			if diff := cmp.Diff([]any{tc.step, tc.outcome, tc.fenced}, got); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
@@ -110,10 +110,10 @@
 	}
 }
 
-// At each place of an order its controller is paused for longer than a lease,
-// or killed; another takes over and ends the same order.
-func TestControllerFailsAtEachPlace(t *testing.T) {
-	for _, at := range []place{beforeOpen, afterOpen, afterWithhold, beforeSend, afterSend, beforeClose} {
+// At each pause point of an order the controller is paused for longer than a lease, or killed;
+// another controller must take over and complete the same order.
+func TestControllerFailsAtEachPoint(t *testing.T) {
+	for _, at := range []pausePoint{beforeOpen, afterOpen, afterWithhold, beforeSend, afterSend, beforeClose} {
 		for _, name := range []string{checkedEngine, ignoredEngine} {
 			for _, how := range []string{"paused", "killed", "vanished"} {
 				t.Run(fmt.Sprintf("%s/%s/%s", at, name, how), func(t *testing.T) {
@@ -124,11 +124,11 @@
 	}
 }
 
-// failFirst makes the first process that comes to a place fail there. The
-// result is that process, once there is one.
-func (w *world) failFirst(at place, fail func(*process)) *atomic.Pointer[process] {
+// failFirst makes the first process that reaches a pause point fail there. The result holds
+// that process, or nil until one has failed.
+func (w *testbed) failFirst(at pausePoint, fail func(*process)) *atomic.Pointer[process] {
 	var failed atomic.Pointer[process]
-	w.pause = func(p *process, now place) {
+	w.pause = func(p *process, now pausePoint) {
 		if now == at && failed.CompareAndSwap(nil, p) {
 			fail(p)
 		}
@@ -136,8 +136,8 @@
 	return &failed
 }
 
-func failAt(t *testing.T, at place, name, how string) {
-	w := newWorld(t)
+func failAt(t *testing.T, at pausePoint, name, how string) {
+	w := newTestbed(t)
 	failed := w.failFirst(at, func(p *process) {
 		if how == "paused" {
 			p.freeze()
@@ -148,43 +148,43 @@
 	})
 	w.start("vm1", "vm1-1")
 	w.start("vm2", "vm2-1")
-	w.chat(name)
-	w.until("a change is taken", time.Minute, func() bool { return w.submit(name, engine.Decode) })
-	w.until("the failure", time.Minute, func() bool { return failed.Load() != nil })
+	w.startStream(name)
+	w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(name, engine.Decode) })
+	w.waitFor("the failure", time.Minute, func() bool { return failed.Load() != nil })
 	if how == "killed" {
-		w.start(failed.Load().self.VM, "restarted")
+		w.start(failed.Load().identity.VM, "restarted")
 	}
 	if how == "vanished" {
-		time.AfterFunc(30*time.Second, func() { w.Remove(failed.Load().self.VM) })
+		time.AfterFunc(30*time.Second, func() { w.Remove(failed.Load().identity.VM) })
 	}
 	if at == beforeOpen {
-		// Nothing stands in the journal: the planner has to ask again.
+		// The journal has no entry yet, so the planner has to submit the change again.
 		time.Sleep(2 * time.Minute)
-		w.until("a change is taken again", time.Minute, func() bool { return w.submit(name, engine.Decode) })
+		w.waitFor("a change is accepted again", time.Minute, func() bool { return w.submit(name, engine.Decode) })
 	}
-	took := w.until("the order is closed", 5*time.Minute, func() bool {
+	took := w.waitFor("the order is closed", 5*time.Minute, func() bool {
 		return w.entryOf(name).Outcome == Done
 	})
 	time.Sleep(2 * time.Minute)
 	if got := w.roleOf(name); got != engine.Decode {
 		t.Errorf("role %q", got)
 	}
-	w.until("the entry VM may use the engine", time.Minute, func() bool { return !w.entry.Withheld(name) })
+	w.waitFor("the entry VM may use the engine", time.Minute, func() bool { return !w.entry.Withheld(name) })
 	w.check()
 	t.Logf("closed %v after the failure", took)
 }
 
-// A predecessor that can't be asked holds up other orders for an engine that
-// ignores fences, and none for one that checks them.
+// An unreachable predecessor blocks further orders for an engine that ignores fences, but not
+// for one that checks them.
 func TestUnconfirmedPredecessor(t *testing.T) {
 	for name, open := range map[string]bool{checkedEngine: false, ignoredEngine: true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t)
+				w := newTestbed(t)
 				failed := w.failFirst(beforeSend, (*process).freeze)
 				successor := w.start("vm1", "vm1-1")
 				other := w.start("vm2", "vm2-1")
-				w.until("a change is taken", time.Minute, func() bool { return w.submit(name, engine.Decode) })
+				w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(name, engine.Decode) })
 				time.Sleep(time.Hour)
 				if successor == failed.Load() {
 					successor = other
@@ -196,10 +196,10 @@
 					t.Errorf("idle: %v, %v", idle, err)
 				}
 				if taken := w.submit(name, engine.Prefill); taken == open {
-					t.Errorf("another change taken: %v", taken)
+					t.Errorf("another change accepted: %v", taken)
 				}
 				failed.Load().wake()
-				w.until("closed", time.Minute, func() bool { return !w.entryOf(name).IsOpen() })
+				w.waitFor("closed", time.Minute, func() bool { return !w.entryOf(name).IsOpen() })
 				time.Sleep(time.Minute)
 				w.check()
 			})
@@ -207,11 +207,12 @@
 	}
 }
 
-// A planned stop hands the open order over without asking the predecessor.
+// After a planned stop the successor completes the open order without a confirmation by the
+// predecessor.
 func TestPlannedStopDropsOpenOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		a := w.running(ignoredEngine)
+		w := newTestbed(t)
+		a := w.startOrder(ignoredEngine)
 		a.stop()
 		<-a.done
 		entry := w.entryOf(ignoredEngine)
@@ -220,137 +221,137 @@
 		}
 		a.kill()
 		w.start("vm2", "vm2-1")
-		w.until("closed", 30*time.Second, func() bool { return w.entryOf(ignoredEngine).Outcome == Done })
+		w.waitFor("closed", 30*time.Second, func() bool { return w.entryOf(ignoredEngine).Outcome == Done })
 		w.check()
 	})
 }
 
-// An engine that crashes in the middle of an order is observed, not assumed, and
-// its order ends when it leaves for good.
+// After an engine crashes during an order, its state is observed rather than assumed, and an
+// open order is closed when its VM is removed.
 func TestEngineCrashesInOrder(t *testing.T) {
 	for _, name := range []string{checkedEngine, ignoredEngine} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t)
-				p := w.running(name)
+				w := newTestbed(t)
+				p := w.startOrder(name)
 				w.engines[name].Crash()
 				time.Sleep(time.Minute)
 				if !w.entryOf(name).IsOpen() {
-					t.Error("closed while the engine could not be seen")
+					t.Error("order closed while the engine was unreachable")
 				}
 				w.engines[name].Restart()
-				w.until("closed", time.Minute, func() bool { return w.entryOf(name).Outcome == SupersededByCrash })
+				w.waitFor("closed", time.Minute, func() bool { return w.entryOf(name).Outcome == SupersededByCrash })
 				if got := w.roleOf(name); got != engine.Mixed {
 					t.Errorf("role %q", got)
 				}
 				w.engines[name].Crash()
-				w.until("a change that can't be", time.Minute, func() bool { return w.submit(name, engine.Decode) })
+				w.waitFor("a change of a crashed engine", time.Minute, func() bool { return w.submit(name, engine.Decode) })
 				time.Sleep(time.Minute)
 				if got := p.executor.Status()[0]; got.LastOutcome != "" || got.Err != nil {
-					t.Errorf("a change that was never journaled ended %q, %v", got.LastOutcome, got.Err)
+					t.Errorf("a change that was never written to the journal has outcome %q, error %v", got.LastOutcome, got.Err)
 				}
 				w.engines[name].Restart()
-				w.until("a new change", time.Minute, func() bool { return w.submit(name, engine.Decode) })
-				w.until("done", time.Minute, func() bool { return w.entryOf(name).Outcome == Done })
-				w.until("another change", time.Minute, func() bool { return w.submit(name, engine.Prefill) })
+				w.waitFor("a new change", time.Minute, func() bool { return w.submit(name, engine.Decode) })
+				w.waitFor("done", time.Minute, func() bool { return w.entryOf(name).Outcome == Done })
+				w.waitFor("another change", time.Minute, func() bool { return w.submit(name, engine.Prefill) })
 				time.Sleep(time.Second)
 				w.engines[name].Crash()
 				w.Remove("vm-" + name)
-				w.until("closed as gone", time.Minute, func() bool { return w.entryOf(name).Outcome == EngineRemoved })
+				w.waitFor("closed as engine removed", time.Minute, func() bool { return w.entryOf(name).Outcome == EngineRemoved })
 				w.check()
 			})
 		})
 	}
 }
 
-// Without the platform no order is sent; streams go on.
+// While the platform is down no order is sent, and streams continue.
 func TestPlatformDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestbed(t)
 		a := w.start("vm1", "vm1-1")
-		w.until("a change is taken", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
-		w.until("done", time.Minute, func() bool { return w.entryOf(ignoredEngine).Outcome == Done })
+		w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
+		w.waitFor("done", time.Minute, func() bool { return w.entryOf(ignoredEngine).Outcome == Done })
 		w.table.SetDown(true)
 		time.Sleep(time.Minute)
 		err := a.executor.Submit(Change{Engine: checkedEngine, Kind: engine.ChangeRole, Role: engine.Decode})
 		if diff := cmp.Diff(&RefusedError{Engine: checkedEngine, Code: ReasonNotLeading}, err); diff != "" {
 			t.Errorf("submit (-want +got):\n%s", diff)
 		}
-		w.chat(checkedEngine)
+		w.startStream(checkedEngine)
 		time.Sleep(time.Hour)
 		if got := w.engines[checkedEngine].Orders(); len(got) > 0 {
-			t.Errorf("sent in the outage: %v", got)
+			t.Errorf("orders sent during the outage: %v", got)
 		}
 		if w.entry.Withheld(checkedEngine) {
 			t.Error("the engine is withheld")
 		}
 		w.table.SetDown(false)
-		w.until("orders go on", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
-		w.until("done", time.Minute, func() bool { return w.roleOf(checkedEngine) == engine.Decode })
+		w.waitFor("orders are accepted again", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
+		w.waitFor("done", time.Minute, func() bool { return w.roleOf(checkedEngine) == engine.Decode })
 		w.check()
 	})
 }
 
-// A process that was restarted at the same address answers for the one before
-// it, after the window; one at another address doesn't.
-func TestResponderProves(t *testing.T) {
+// A process that restarted at the same address confirms for its predecessor once the proof
+// delay is over. A process at another address does not.
+func TestResponderConfirmsForPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestbed(t)
 		p := w.start("vm1", "vm1-2")
-		ask := func(vm, address string) bool {
+		confirmDropped := func(vm, address string) bool {
 			req := &controllerpb.ConfirmDroppedRequest{Vm: vm, Address: address, Process: "vm1-1"}
-			answer, err := p.answers.ConfirmDropped(t.Context(), req)
-			return err == nil && answer.GetDropped()
+			resp, err := p.responder.ConfirmDropped(t.Context(), req)
+			return err == nil && resp.GetDropped()
 		}
-		if ask("vm1", "vm1:1") {
-			t.Error("answered before the window was over")
+		if confirmDropped("vm1", "vm1:1") {
+			t.Error("confirmed before the proof delay was over")
 		}
-		time.Sleep(DefaultWindow + DefaultSettle)
-		if !ask("vm1", "vm1:1") {
-			t.Error("no answer for the process at the same address")
+		time.Sleep(DefaultSendTimeout + DefaultMaxTransit)
+		if !confirmDropped("vm1", "vm1:1") {
+			t.Error("no confirmation for the process at the same address")
 		}
-		if ask("vm9", "vm1:1") {
-			t.Error("answered for another VM")
+		if confirmDropped("vm9", "vm1:1") {
+			t.Error("confirmed for another VM")
 		}
-		if ask("vm1", "vm1:2") {
-			t.Error("answered for a process at another address, which may be alive")
+		if confirmDropped("vm1", "vm1:2") {
+			t.Error("confirmed for a process at another address, which may be alive")
 		}
 	})
 }
 
-// An order that was done under an older fence was run, also if no copy gets
-// through that would raise the engine's fence.
+// An order that was done under an older fence is closed as done, even if every copy that would
+// raise the engine's fence is lost.
 func TestDoneUnderAnOlderFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestbed(t)
 		failed := w.failFirst(beforeClose, (*process).kill)
 		w.start("vm1", "vm1-1")
-		w.until("a change is taken", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
-		w.until("the failure", time.Minute, func() bool { return failed.Load() != nil })
+		w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
+		w.waitFor("the failure", time.Minute, func() bool { return failed.Load() != nil })
 		w.engines[checkedEngine].ScriptOrders(func(engine.Order) fakeengine.OrderBehaviour {
 			return fakeengine.OrderBehaviour{Lost: true}
 		})
 		w.start("vm1", "vm1-2")
-		w.until("closed", time.Minute, func() bool { return !w.entryOf(checkedEngine).IsOpen() })
+		w.waitFor("closed", time.Minute, func() bool { return !w.entryOf(checkedEngine).IsOpen() })
 		if got := w.entryOf(checkedEngine).Outcome; got != Done {
 			t.Errorf("outcome %q", got)
 		}
 	})
 }
 
-// An engine that came from another pool has seen higher fences: the tenure ends
-// and the next one's fence is higher still.
+// An engine that came from another pool has seen higher fences: the current tenure ends and the
+// next one uses a higher fence still.
 func TestEngineFromAnotherPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestbed(t)
 		foreign := engine.Order{ID: "foreign", Fence: 100, Incarnation: checkedEngine, Kind: engine.ChangeRole, Role: engine.Prefill}
 		if _, err := w.engines[checkedEngine].Order(t.Context(), foreign, time.Now().Add(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
 		p := w.start("vm1", "vm1-1")
-		w.until("a change is taken", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
-		w.until("done", time.Minute, func() bool { return w.entryOf(checkedEngine).Outcome == Done })
+		w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(checkedEngine, engine.Decode) })
+		w.waitFor("done", time.Minute, func() bool { return w.entryOf(checkedEngine).Outcome == Done })
 		if got := w.entryOf(checkedEngine).Senders[0].Fence; got != 101 {
 			t.Errorf("fence %d, want 101", got)
 		}
@@ -358,26 +359,26 @@
 	})
 }
 
-func TestDeparted(t *testing.T) {
+func TestMembershipRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := fakelist.New()
 		list.Put(membership.VM{Name: "here", Kind: membership.Entry})
 		watcher := membership.NewWatcher(list, membership.WatcherConfig{})
 		d := &MembershipRemovals{Watcher: watcher}
 		var got [][]bool
-		look := func() {
+		observe := func() {
 			_ = watcher.Poll(t.Context())
 			got = append(got, []bool{d.Listed("here"), d.Removed("here"), d.Removed("never-seen")})
 			time.Sleep(DefaultAbsence / 2)
 		}
-		look()
-		look()
-		look()
+		observe()
+		observe()
+		observe()
 		list.Remove("here")
-		look()
+		observe()
 		want := [][]bool{{true, false, false}, {true, false, false}, {true, false, true}, {false, true, true}}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("listed, gone, gone (-want +got):\n%s", diff)
+			t.Errorf("listed, removed, removed (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/order/progress.go
+++ b/order/progress.go
@@ -2,29 +2,28 @@
 
 import "github.com/springweir/springweir/engine"
 
-// step is what to do next about an open order.
+// step is the next action for an open order.
 type step string
 
-// The steps.
+// Actions for an open order.
 const (
 	// stepSend sends a copy of the order.
 	stepSend step = "send"
-	// stepWait looks again later.
+	// stepWait observes the engine again later.
 	stepWait step = "wait"
-	// stepEnd ends the order with an outcome.
-	stepEnd step = "end"
+	// stepClose closes the order with an outcome.
+	stepClose step = "end"
 )
 
-// progress tells what to do next about an order, and how it ended if it did,
-// from what the engine says of itself. It assumes nothing from the journal about
-// what the engine is.
+// nextStep returns the next action for an order, and its outcome if it has ended, from the
+// state that the engine reports. It assumes nothing about the engine from the journal.
 //
-// At an engine that checks fences, an order that ended under an older fence is
-// sent once more: only an engine that has seen the new fence refuses the copies
-// that may still arrive with the old one.
-func progress(o engine.Order, fencing Fencing, st engine.State) (step, Outcome) {
+// An order that ended under an older fence, at an engine that checks fences, is sent once more:
+// the engine refuses copies with the old fence, which may still arrive, only once it has seen
+// the new one.
+func nextStep(o engine.Order, fencing Fencing, st engine.State) (step, Outcome) {
 	if st.Incarnation != o.Incarnation {
-		return stepEnd, SupersededByCrash
+		return stepClose, SupersededByCrash
 	}
 	if st.Order == nil {
 		return stepSend, ""
@@ -42,16 +41,16 @@
 	if st.Order.Phase == engine.OrderFailed {
 		outcome = Failed
 	}
-	if fencing == Checked && !fenced(o, fencing, st) {
+	if fencing == Checked && !refusesLowerFences(o, fencing, st) {
 		return stepSend, outcome
 	}
-	return stepEnd, outcome
+	return stepClose, outcome
 }
 
-// fenced tells whether the engine by itself refuses every copy of the order
-// that carries a lower fence than o. An order given up unseen is the case in
-// which an engine that checks fences does not: it has not met o's fence yet.
-func fenced(o engine.Order, fencing Fencing, st engine.State) bool {
+// refusesLowerFences reports whether the engine itself refuses every copy of the order that
+// carries a lower fence than o. An engine that checks fences does not do so while it has not
+// seen o's fence, as when an order is given up before any copy arrived.
+func refusesLowerFences(o engine.Order, fencing Fencing, st engine.State) bool {
 	if fencing != Checked {
 		return false
 	}
--- a/order/random_test.go
+++ b/order/random_test.go
@@ -17,52 +17,52 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// step kinds of a random run: what spec/orders.pml does to the controllers, the
+// Kinds of action in a random run: the events that spec/orders.pml allows for controllers,
 // engines and the table at any moment.
 const (
 	doSubmit = iota
 	doChat
-	doPause   // a process stands still
-	doPauseAt // the next process to come to a place stands still there
+	doPause   // freezes a process
+	doPauseAt // freezes the next process that reaches a pause point
 	doWake
-	doKill   // and a new process takes its address
-	doVanish // the VM is gone; another one comes
-	doStop   // planned
-	doCrash  // an engine, which comes back
-	doFreeze // an engine that takes calls and answers nothing
+	doKill     // kills a process and starts another at its address
+	doRemoveVM // removes a VM and adds another
+	doStop     // planned stop
+	doCrash    // crashes an engine, which restarts
+	doFreeze   // an engine that accepts calls and never responds
 	doThaw
 	doTableDown
 	doTableUp
 )
 
-// action is one step, and how long to wait after it.
+// action is one action and the delay after it.
 type action struct {
 	kind, who int
 	wait      time.Duration
 }
 
-var pausePlaces = []place{beforeOpen, afterOpen, beforeAdopt, afterWithhold, beforeSend, afterSend, beforeClose}
+var pausePoints = []pausePoint{beforeOpen, afterOpen, beforeAdopt, afterWithhold, beforeSend, afterSend, beforeClose}
 
-// run is one random run.
+// run is the state of one random run.
 type run struct {
-	w   *world
-	vms []string
-	now []*process
-	ids int
+	w       *testbed
+	vms     []string
+	current []*process
+	ids     int
 
-	// arm is the place where the next process to come there is paused, or nil.
-	arm atomic.Pointer[place]
+	// armedPoint is the pause point at which the next process to reach it is paused, or nil.
+	armedPoint atomic.Pointer[pausePoint]
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// play runs the actions against real controllers, heals everything, and returns
-// what broke the promises, or what was left undone.
-func play(t *testing.T, seed uint64, actions []action) []string {
+// runScenario runs the actions against real controllers, clears all faults, and returns the
+// violations and any unfinished work.
+func runScenario(t *testing.T, seed uint64, actions []action) []string {
 	var found []string
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestbed(t)
 		r := &run{w: w, rng: rand.New(rand.NewPCG(seed, 1))}
 		w.pause = r.pauseAt
 		w.table.fault = r.tableFault
@@ -72,22 +72,22 @@
 		}
 		for i := range 2 {
 			r.vms = append(r.vms, fmt.Sprintf("vm%d", i))
-			r.now = append(r.now, nil)
+			r.current = append(r.current, nil)
 			r.restart(i)
 		}
 		for _, a := range actions {
 			r.do(a)
 			time.Sleep(a.wait)
 		}
-		undone := r.heal()
-		found = append(w.violations(), undone...)
+		unfinished := r.clearFaults()
+		found = append(w.violations(), unfinished...)
 	})
 	return found
 }
 
 func (r *run) restart(i int) {
 	r.ids++
-	r.now[i] = r.w.start(r.vms[i], fmt.Sprintf("%s-%d", r.vms[i], r.ids))
+	r.current[i] = r.w.start(r.vms[i], fmt.Sprintf("%s-%d", r.vms[i], r.ids))
 }
 
 func (r *run) random(n int) int {
@@ -96,21 +96,21 @@
 	return r.rng.IntN(n)
 }
 
-// pauseAt is called at each place that a process comes to.
-func (r *run) pauseAt(p *process, at place) {
-	if arm := r.arm.Load(); arm != nil && *arm == at && r.arm.CompareAndSwap(arm, nil) {
+// pauseAt is called at each pause point that a process reaches.
+func (r *run) pauseAt(p *process, at pausePoint) {
+	if armed := r.armedPoint.Load(); armed != nil && *armed == at && r.armedPoint.CompareAndSwap(armed, nil) {
 		p.freeze()
 	}
 }
 
 func (r *run) tableFault() tableFault {
 	if r.random(8) > 0 {
-		return tableFine
+		return noFault
 	}
-	return []tableFault{loseAnswer, loseWrite, applyLate}[r.random(3)]
+	return []tableFault{loseResponse, loseWrite, applyLate}[r.random(3)]
 }
 
-// orderFault delays copies by less than the window and the settling time.
+// orderFault returns a random fault. It delays copies by less than SendTimeout plus MaxTransit.
 func (r *run) orderFault() fakeengine.OrderBehaviour {
 	switch r.random(8) {
 	case 0:
@@ -126,32 +126,32 @@
 }
 
 func (r *run) do(a action) {
-	i := a.who % len(r.now)
+	i := a.who % len(r.current)
 	name := []string{checkedEngine, ignoredEngine}[a.who%2]
 	e := r.w.engines[name]
 	switch a.kind {
 	case doSubmit:
 		r.w.submit(name, []engine.Role{engine.Prefill, engine.Decode, engine.Mixed}[a.who%3])
 	case doChat:
-		r.w.chat(name)
+		r.w.startStream(name)
 	case doPause:
-		r.now[i].freeze()
+		r.current[i].freeze()
 	case doPauseAt:
-		r.arm.Store(&pausePlaces[a.who%len(pausePlaces)])
+		r.armedPoint.Store(&pausePoints[a.who%len(pausePoints)])
 	case doWake:
-		r.now[i].wake()
+		r.current[i].wake()
 	case doKill:
-		r.now[i].kill()
+		r.current[i].kill()
 		r.restart(i)
-	case doVanish:
-		r.now[i].kill()
+	case doRemoveVM:
+		r.current[i].kill()
 		r.w.Remove(r.vms[i])
 		r.ids++
 		r.vms[i] = fmt.Sprintf("vm%d", 10+r.ids)
 		r.restart(i)
 	case doStop:
-		r.arm.Store(nil)
-		p := r.now[i]
+		r.armedPoint.Store(nil)
+		p := r.current[i]
 		p.wake()
 		p.stop()
 		<-p.done
@@ -171,9 +171,10 @@
 	}
 }
 
-// heal ends all faults and tells which orders were then left open.
-func (r *run) heal() []string {
-	r.arm.Store(nil)
+// clearFaults ends all faults and returns a message if an order is still open ten minutes
+// later.
+func (r *run) clearFaults() []string {
+	r.armedPoint.Store(nil)
 	r.w.table.SetDown(false)
 	for _, p := range r.w.processes() {
 		p.wake()
@@ -187,7 +188,7 @@
 		all := true
 		for name, e := range r.w.engines {
 			if r.w.roleOf(name) == "" {
-				e.Restart() // it crashed, perhaps in an order begun before
+				e.Restart() // crashed, possibly during an earlier order
 			}
 			row := r.w.entryOf(name)
 			all = all && !row.IsOpen() && !row.Withheld && !r.w.entry.Withheld(name)
@@ -200,37 +201,38 @@
 		}
 		time.Sleep(time.Second)
 	}
-	return []string{"an order is open or an engine withheld ten minutes after all was healed"}
+	return []string{"an order is open or an engine withheld ten minutes after all faults were cleared"}
 }
 
-// kinds are drawn evenly; a run without changes or streams shows nothing.
-var kinds = []int{
+// actionKinds are drawn with equal probability. Changes, streams and pause points are repeated,
+// because a run without changes or streams checks nothing.
+var actionKinds = []int{
 	doSubmit, doSubmit, doSubmit, doSubmit, doChat, doChat, doPauseAt, doPauseAt, doPauseAt,
-	doPause, doWake, doKill, doVanish, doStop, doCrash, doFreeze, doThaw, doTableDown, doTableUp,
+	doPause, doWake, doKill, doRemoveVM, doStop, doCrash, doFreeze, doThaw, doTableDown, doTableUp,
 }
 
 var anyAction = rapid.Custom(func(rt *rapid.T) action {
 	return action{
-		kind: rapid.SampledFrom(kinds).Draw(rt, "kind"),
+		kind: rapid.SampledFrom(actionKinds).Draw(rt, "kind"),
 		who:  rapid.IntRange(0, 41).Draw(rt, "who"),
 		wait: time.Duration(rapid.IntRange(10, 6000).Draw(rt, "wait")) * time.Millisecond,
 	}
 })
 
-// init fixes the seed, so that CI draws the same runs each time. -rapid.seed and
-// -rapid.checks on the command line search further.
+// init fixes the seed, so that CI draws the same runs each time. The flags -rapid.seed and
+// -rapid.checks override it to explore further.
 func init() {
 	if flag.Set("rapid.seed", "3") != nil || flag.Set("rapid.checks", "300") != nil {
 		panic("rapid's flags have changed")
 	}
 }
 
-// TestPromisesHoldInRandomRuns drives the real code through the steps of
-// spec/orders.pml and checks the same invariants.
-func TestPromisesHoldInRandomRuns(t *testing.T) {
+// TestInvariantsHoldInRandomRuns drives the real code through the events of spec/orders.pml and
+// checks the same invariants.
+func TestInvariantsHoldInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		for _, v := range play(t, seed, rapid.SliceOfN(anyAction, 20, 60).Draw(rt, "actions")) {
+		for _, v := range runScenario(t, seed, rapid.SliceOfN(anyAction, 20, 60).Draw(rt, "actions")) {
 			rt.Error(v)
 		}
 	})
--- a/order/sender.go
+++ b/order/sender.go
@@ -12,8 +12,8 @@
 	"github.com/springweir/springweir/lease"
 )
 
-// Config holds what a Sender works with. All fields but Timing, EngineRemoved and
-// OnStaleFence are needed.
+// Config holds the dependencies and the timing of a Sender. All fields except Timing,
+// EngineRemoved and OnStaleFence are required.
 type Config struct {
 	Journal    *Journal
 	Gate       *Gate
@@ -22,18 +22,18 @@
 	Confirmer  Confirmer
 	Removals   Removals
 	Timing     Timing
-	// EngineRemoved tells whether an engine's VM was on the membership list and has
-	// been dropped (membership.Watcher.Removed). Nil means never. It is apart from
-	// Removals, since MembershipRemovals takes VMs that it never saw for gone, which is
-	// sound for VMs that held a lease and for no others.
+	// EngineRemoved reports whether an engine's VM was on the membership list and has been
+	// deleted from it (membership.Watcher.Removed). Nil means never. It is separate from
+	// Removals because MembershipRemovals also counts VMs that it never saw as removed, which
+	// is sound only for VMs that held a lease.
 	EngineRemoved func(vm string) bool
-	// OnStaleFence hears the highest fence of an engine that refused this
-	// tenure's; lease.Holder.RaiseFloor is meant for it.
+	// OnStaleFence receives the highest fence reported by an engine that refused this tenure's
+	// fence; lease.Holder.RaiseFloor is meant for it.
 	OnStaleFence func(highest uint64)
 }
 
-// Sender sends orders under one lease. It is the only path to engine.Order.
-// For one engine at most one of its methods runs at a time (see Executor).
+// Sender sends orders under one lease. It is the only caller of engine.Order. At most one of
+// its methods may run for an engine at a time (see Executor).
 type Sender struct {
 	cfg    Config
 	timing Timing
@@ -44,21 +44,21 @@
 
 // NewSender returns a sender for one tenure.
 func NewSender(cfg Config, l *lease.Lease) *Sender {
-	cfg.Gate.Watch(l)
+	cfg.Gate.RevokeOnDrop(l)
 	s := &Sender{cfg: cfg, timing: cfg.Timing.withDefaults(), lease: l}
 	s.epochs.Store(l.Fence() * epochsPerFence)
 	return s
 }
 
-// Result is how an order ended.
+// Result is the result of an order.
 type Result struct {
 	OrderID string
 	Outcome Outcome
 }
 
-// Execute journals and sends a new order, named id, for c and returns how it
-// ended. It fails with *OpenError while another order is open; Resolve comes
-// first then.
+// Execute writes a new order with the given id to the journal, sends it and returns its
+// outcome. It returns *OpenError while another order is open, which Resolve must complete
+// first.
 func (s *Sender) Execute(ctx context.Context, id string, c Change) (Result, error) {
 	target, ok := s.cfg.Targets.Target(c.Engine)
 	if !ok {
@@ -90,9 +90,9 @@
 	return Result{OrderID: id, Outcome: outcome}, err
 }
 
-// Resolve brings the open order of an engine to its end, whoever opened it, and
-// returns how it ended. When none is open it returns how the last one ended, and
-// lets the entry VMs use the engine again if that was left undone.
+// Resolve completes the open order of an engine, whoever opened it, and returns its outcome. If
+// none is open it returns the outcome of the last one, and restores the engine at the entry VMs
+// if that was not yet confirmed.
 func (s *Sender) Resolve(ctx context.Context, engineName string) (Result, error) {
 	entry, err := s.cfg.Journal.Read(ctx, engineName)
 	if err != nil {
@@ -122,12 +122,12 @@
 	return err
 }
 
-// complete withholds the engine, sends copies of the open order until its
-// outcome is known, and closes it. On an error the order stays open.
+// complete withholds the engine, sends copies of the open order until its outcome is known, and
+// closes it. On an error the order stays open.
 func (s *Sender) complete(ctx context.Context, entry Entry) (Outcome, error) {
 	epoch := s.epochs.Add(1)
 	if s.cfg.EngineRemoved != nil && entry.VM != "" && s.cfg.EngineRemoved(entry.VM) {
-		return EngineRemoved, s.finish(ctx, entry, EngineRemoved, epoch)
+		return EngineRemoved, s.restoreAndClose(ctx, entry, EngineRemoved, epoch)
 	}
 	target, ok := s.cfg.Targets.Target(entry.Engine)
 	if !ok {
@@ -139,11 +139,11 @@
 	s.faults.at(afterWithhold)
 	o := entry.Order
 	o.Fence = s.lease.Fence()
-	return s.drive(ctx, target, entry, o, epoch)
+	return s.sendUntilResolved(ctx, target, entry, o, epoch)
 }
 
 func (s *Sender) withhold(ctx context.Context, engineName string, epoch uint64) error {
-	if s.faults.broken(guardWithhold) {
+	if s.faults.disabled(guardWithhold) {
 		return nil
 	}
 	err := s.cfg.Withholder.Withhold(ctx, engineName, epoch)
@@ -155,52 +155,52 @@
 
 // open opens the order in the journal.
 func (s *Sender) open(ctx context.Context, prev Entry, vm string, o engine.Order) (Entry, error) {
-	if s.faults.broken(guardResolve) {
+	if s.faults.disabled(guardResolve) {
 		prev.Outcome = Done
 	}
 	return s.cfg.Journal.Open(ctx, s.lease, prev, vm, o)
 }
 
-// drive sends and observes until the order can be closed.
-func (s *Sender) drive(ctx context.Context, target Target, entry Entry, o engine.Order, epoch uint64) (Outcome, error) {
+// sendUntilResolved sends copies and observes the engine until the order can be closed.
+func (s *Sender) sendUntilResolved(ctx context.Context, target Target, entry Entry, o engine.Order, epoch uint64) (Outcome, error) {
 	sent := 0
 	for {
 		if _, err := s.lease.Authority(); err != nil {
 			return "", err
 		}
-		now, err := s.look(ctx, target, o)
+		current, err := s.observe(ctx, target, o)
 		if err != nil {
 			countError(err)
 		}
-		switch next := now.next; {
-		case next == stepSend && sent < s.timing.Tries:
+		switch next := current.next; {
+		case next == stepSend && sent < s.timing.MaxSends:
 			sent++
 			err = s.send(ctx, target, o)
-			if isLost(err) {
+			if isLeaseLost(err) {
 				return "", err
 			}
 		case next == stepSend:
-			now.outcome = cmp.Or(now.outcome, NotRun)
+			current.outcome = cmp.Or(current.outcome, NotRun)
 			fallthrough
-		case next == stepEnd:
-			closed, err := s.end(ctx, target, entry, o, now, epoch)
+		case next == stepClose:
+			closed, err := s.tryClose(ctx, target, entry, o, current, epoch)
 			if closed || err != nil {
-				return now.outcome, err
+				return current.outcome, err
 			}
 		}
-		if !loop.Sleep(ctx, s.timing.Poll) {
-			return "", ended(ctx, target.Name)
+		if !loop.Sleep(ctx, s.timing.PollInterval) {
+			return "", contextError(ctx, target.Name)
 		}
 	}
 }
 
-// end closes the order if no copy of it may still arrive and the engine, looked
-// at again after that, still shows the same outcome.
-func (s *Sender) end(ctx context.Context, target Target, entry Entry, o engine.Order, seen view, epoch uint64) (bool, error) {
-	if err := s.account(ctx, target, entry, seen.fenced); err != nil {
+// tryClose closes the order if no copy of it can still arrive and the engine, observed again
+// after that, still shows the same outcome.
+func (s *Sender) tryClose(ctx context.Context, target Target, entry Entry, o engine.Order, seen observation, epoch uint64) (bool, error) {
+	if err := s.accountForCopies(ctx, target, entry, seen.refusesLowerFences); err != nil {
 		return false, err
 	}
-	again, err := s.look(ctx, target, o)
+	again, err := s.observe(ctx, target, o)
 	if err != nil {
 		countError(err)
 		return false, nil
@@ -212,14 +212,14 @@
 		return false, nil
 	}
 	s.faults.at(beforeClose)
-	return true, s.finish(ctx, entry, seen.outcome, epoch)
+	return true, s.restoreAndClose(ctx, entry, seen.outcome, epoch)
 }
 
-// finish restores the engine and closes the order. The restore comes before the
-// close, so that a successor finds the row open, or marked, until all entry VMs
-// know. An entry VM out of reach doesn't hold up the close.
-func (s *Sender) finish(ctx context.Context, entry Entry, outcome Outcome, epoch uint64) error {
-	call, cancel := context.WithTimeout(ctx, s.timing.Window)
+// restoreAndClose restores the engine and closes the order. The restore comes first, so that
+// until every entry VM has acknowledged it, a successor finds the row open or marked as
+// withheld. An unreachable entry VM does not delay the close beyond SendTimeout.
+func (s *Sender) restoreAndClose(ctx context.Context, entry Entry, outcome Outcome, epoch uint64) error {
+	call, cancel := context.WithTimeout(ctx, s.timing.SendTimeout)
 	err := s.cfg.Withholder.Restore(call, entry.Engine, epoch)
 	cancel()
 	withheld := err != nil
@@ -228,32 +228,32 @@
 		return err
 	}
 	countOutcome(outcome)
-	klog.Infof("order: %s for %s ended: %s", entry.Order.ID, entry.Engine, outcome)
+	klog.Infof("order: %s for engine %s closed: %s", entry.Order.ID, entry.Engine, outcome)
 	if withheld {
 		return &RefusedError{Engine: entry.Engine, Code: ReasonRestore}
 	}
 	return nil
 }
 
-// view is what a look at the engine tells about an order.
-type view struct {
-	next    step
-	outcome Outcome
-	fenced  bool
+// observation is the state of an order as derived from the engine's state.
+type observation struct {
+	next               step
+	outcome            Outcome
+	refusesLowerFences bool
 }
 
-// look reads the engine's state and tells what to do next about o.
-func (s *Sender) look(ctx context.Context, target Target, o engine.Order) (view, error) {
+// observe reads the engine's state and returns the next action for o.
+func (s *Sender) observe(ctx context.Context, target Target, o engine.Order) (observation, error) {
 	st, err := s.state(ctx, target)
 	if err != nil {
-		return view{next: stepWait}, err
+		return observation{next: stepWait}, err
 	}
-	next, outcome := progress(o, target.Fencing, st)
-	return view{next: next, outcome: outcome, fenced: fenced(o, target.Fencing, st)}, nil
+	next, outcome := nextStep(o, target.Fencing, st)
+	return observation{next: next, outcome: outcome, refusesLowerFences: refusesLowerFences(o, target.Fencing, st)}, nil
 }
 
 func (s *Sender) state(ctx context.Context, target Target) (engine.State, error) {
-	call, cancel := context.WithTimeout(ctx, s.timing.Call)
+	call, cancel := context.WithTimeout(ctx, s.timing.CallTimeout)
 	defer cancel()
 	return target.Engine.State(call)
 }
--- a/order/world_test.go
+++ b/order/testbed_test.go
@@ -17,24 +17,24 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// world is everything around the controllers: the table, the engines, one entry
-// VM and the network, all in virtual time. It notes what the promises are about.
-type world struct {
+// testbed is the environment of the controllers: the table, the engines, one entry VM and the
+// network, all in virtual time. It records what the checks of the guarantees need.
+type testbed struct {
 	t       *testing.T
-	table   *recorder
+	table   *tableRecorder
 	engines map[string]*fakeengine.Engine
 	fencing map[string]Fencing
 	entry   *fakeorder.Withholder
 	network *fakeorder.Network
 	fakeorder.Removals
-	off   guard
-	pause func(p *process, at place)
-	// restoreFails tells whether a restore does not reach the entry VM.
+	disabledGuard guard
+	pause         func(p *process, at pausePoint)
+	// restoreFails reports whether a restore fails to reach the entry VM.
 	restoreFails func() bool
 
-	chats atomic.Int64
-	mu    sync.Mutex
-	all   []*process
+	streams atomic.Int64
+	mu      sync.Mutex
+	all     []*process
 }
 
 const (
@@ -42,10 +42,10 @@
 	ignoredEngine = "ignored"
 )
 
-func newWorld(t *testing.T) *world {
-	w := &world{
+func newTestbed(t *testing.T) *testbed {
+	w := &testbed{
 		t:       t,
-		table:   &recorder{Table: memtable.New()},
+		table:   &tableRecorder{Table: memtable.New()},
 		engines: map[string]*fakeengine.Engine{},
 		fencing: map[string]Fencing{checkedEngine: Checked, ignoredEngine: Ignored},
 		entry:   fakeorder.NewWithholder(),
@@ -64,8 +64,8 @@
 	return w
 }
 
-// close ends all that runs, so that the bubble can end.
-func (w *world) close() {
+// close stops all processes and engines, so that the bubble can end.
+func (w *testbed) close() {
 	for _, p := range w.processes() {
 		p.kill()
 		<-p.done
@@ -77,13 +77,14 @@
 	time.Sleep(time.Minute)
 }
 
-func (w *world) processes() []*process {
+func (w *testbed) processes() []*process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*process(nil), w.all...)
 }
 
-// Target implements Targets for a process behind its line.
+// Target implements Targets for a process, whose own pauses also apply to its calls to the
+// engine.
 func (p *process) Target(name string) (Target, bool) {
 	e, ok := p.w.engines[name]
 	vm := "vm-" + name
@@ -92,47 +93,47 @@
 
 // process is one controller process.
 type process struct {
-	w        *world
-	self     lease.Identity
-	gate     *Gate
-	answers  *Responder
-	executor *Executor
-	stop     context.CancelFunc
-	done     chan struct{}
+	w         *testbed
+	identity  lease.Identity
+	gate      *Gate
+	responder *Responder
+	executor  *Executor
+	stop      context.CancelFunc
+	done      chan struct{}
 
 	fakeprocess.Process
 }
 
-func (w *world) start(vm, id string) *process {
+func (w *testbed) start(vm, id string) *process {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &process{
-		w:    w,
-		self: lease.Identity{VM: vm, Process: id, Address: vm + ":1"},
-		gate: NewGate(),
-		stop: stop,
-		done: make(chan struct{}),
+		w:        w,
+		identity: lease.Identity{VM: vm, Process: id, Address: vm + ":1"},
+		gate:     NewGate(),
+		stop:     stop,
+		done:     make(chan struct{}),
 	}
-	p.answers = NewResponder(p.gate, p.self, Timing{})
-	line := &fakeorder.Client{Process: &p.Process, Withholder: w.entry, Network: w.network, RestoreFails: w.restoreFails}
+	p.responder = NewResponder(p.gate, p.identity, Timing{})
+	client := &fakeorder.Client{Process: &p.Process, Withholder: w.entry, Network: w.network, RestoreFails: w.restoreFails}
 	svc := p.Table(w.table)
-	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Identity: p.self})
+	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Identity: p.identity})
 	p.executor = NewExecutor(Config{
 		Journal:       NewJournal(svc),
 		Gate:          p.gate,
 		Targets:       p,
-		Withholder:    line,
-		Confirmer:     line,
+		Withholder:    client,
+		Confirmer:     client,
 		Removals:      w,
 		EngineRemoved: w.Removed,
 		OnStaleFence:  holder.RaiseFloor,
 	}, 4)
-	p.executor.faults = faults{off: w.off, pause: func(at place) {
+	p.executor.faults = faults{disabledGuard: w.disabledGuard, pause: func(at pausePoint) {
 		if w.pause != nil {
 			w.pause(p, at)
 		}
 		_ = p.Wait()
 	}}
-	w.network.Bind(p.self.Address, p.answers)
+	w.network.Bind(p.identity.Address, p.responder)
 	w.mu.Lock()
 	w.all = append(w.all, p)
 	w.mu.Unlock()
@@ -145,11 +146,11 @@
 
 func (p *process) freeze() {
 	p.Pause()
-	p.w.network.SetUnresponsive(p.self.Address, p.Paused())
+	p.w.network.SetUnresponsive(p.identity.Address, p.Paused())
 }
 
 func (p *process) wake() {
-	p.w.network.SetUnresponsive(p.self.Address, false)
+	p.w.network.SetUnresponsive(p.identity.Address, false)
 	p.Wake()
 }
 
@@ -157,19 +158,20 @@
 	if p.Dead() {
 		return
 	}
-	p.w.network.Bind(p.self.Address, nil)
+	p.w.network.Bind(p.identity.Address, nil)
 	p.Kill()
 	p.stop()
 }
 
-// chat starts a stream of a few seconds, unless the engine is withheld.
-func (w *world) chat(name string) {
-	attempt := fmt.Sprintf("attempt-%d", w.chats.Add(1))
+// startStream starts a stream that lasts a few seconds, unless the engine is withheld.
+func (w *testbed) startStream(name string) {
+	attempt := fmt.Sprintf("attempt-%d", w.streams.Add(1))
 	w.entry.Stream(name, w.engines[name], attempt)
 }
 
-// recorder is the table service with faults, noting each state of the journal's rows.
-type recorder struct {
+// tableRecorder is the table service with injected faults. It records each state of the
+// journal's rows.
+type tableRecorder struct {
 	*memtable.Table
 
 	mu      sync.Mutex
@@ -177,29 +179,29 @@
 	history []journalState
 }
 
-// tableFault is what happens to one commit.
+// tableFault is the fault injected into one commit.
 type tableFault int
 
 const (
-	tableFine tableFault = iota
-	loseAnswer
+	noFault tableFault = iota
+	loseResponse
 	loseWrite
 	applyLate
 )
 
-// journalState is a row as it stood from a time on.
+// journalState is a journal entry and the time at which it was written.
 type journalState struct {
 	at    time.Time
 	entry Entry
 }
 
-// Scan returns one row at a time, as a service may.
-func (r *recorder) Scan(ctx context.Context, name, prefix, after string, _ int) ([]table.Row, error) {
+// Scan returns one row at a time, which the table service permits.
+func (r *tableRecorder) Scan(ctx context.Context, name, prefix, after string, _ int) ([]table.Row, error) {
 	return r.Table.Scan(ctx, name, prefix, after, 1)
 }
 
-func (r *recorder) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
-	fault := tableFine
+func (r *tableRecorder) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
+	fault := noFault
 	if r.fault != nil {
 		fault = r.fault()
 	}
@@ -210,14 +212,14 @@
 	case applyLate:
 		time.AfterFunc(700*time.Millisecond, func() { _, _ = r.apply(context.Background(), txn) })
 		return nil, lost
-	case loseAnswer:
+	case loseResponse:
 		_, _ = r.apply(ctx, txn)
 		return nil, lost
 	}
 	return r.apply(ctx, txn)
 }
 
-func (r *recorder) apply(ctx context.Context, txn table.Txn) ([]table.Version, error) {
+func (r *tableRecorder) apply(ctx context.Context, txn table.Txn) ([]table.Version, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	versions, err := r.Table.Commit(ctx, txn)
@@ -237,8 +239,9 @@
 	return versions, nil
 }
 
-// openAt tells whether the engine's row held the order, open, at a time. A row that changed at that very moment counts with both its states.
-func (r *recorder) openAt(name, id string, at time.Time) bool {
+// openAt reports whether the engine's row held the order, open, at a time. For a row that
+// changed at exactly that time, both states count.
+func (r *tableRecorder) openAt(name, id string, at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	open := false
@@ -254,18 +257,18 @@
 	return open
 }
 
-// violations returns what breaks the promises in all that happened so far.
-func (w *world) violations() []string {
+// violations returns all violations of the guarantees so far.
+func (w *testbed) violations() []string {
 	var found []string
-	began := map[string]bool{}
+	executed := map[string]bool{}
 	for name, e := range w.engines {
 		for _, o := range e.Orders() {
 			if !o.Began {
 				continue
 			}
-			began[o.Order.ID] = true
+			executed[o.Order.ID] = true
 			if !w.table.openAt(name, o.Order.ID, o.At) {
-				found = append(found, fmt.Sprintf("order %s took effect on %s at %v while it was not open", o.Order.ID, name, o.At))
+				found = append(found, fmt.Sprintf("order %s took effect on %s at %v while its journal row was not open", o.Order.ID, name, o.At))
 			}
 		}
 		for _, a := range e.Attempts() {
@@ -279,15 +282,15 @@
 	open := map[string]string{}
 	for _, s := range w.table.history {
 		id := s.entry.Order.ID
-		if was := open[s.entry.Engine]; was != "" && was != id {
-			found = append(found, fmt.Sprintf("order %s was opened over open order %s", id, was))
+		if previous := open[s.entry.Engine]; previous != "" && previous != id {
+			found = append(found, fmt.Sprintf("order %s was opened over open order %s", id, previous))
 		}
 		open[s.entry.Engine] = ""
 		if s.entry.IsOpen() {
 			open[s.entry.Engine] = id
 		}
-		if s.entry.Outcome == NotRun && began[id] {
-			found = append(found, fmt.Sprintf("order %s was closed as not run, and ran", id))
+		if s.entry.Outcome == NotRun && executed[id] {
+			found = append(found, fmt.Sprintf("order %s was closed as not run but was executed", id))
 		}
 	}
 	return found
--- a/rollout/applier.go
+++ b/rollout/applier.go
@@ -9,7 +9,7 @@
 
 // keptVersions is how many documents an applier keeps, so that it can send a
 // patch to a peer that is a few versions behind.
-const keptVersions = 4
+const maxRecent = 4
 
 // Applier puts configurations in force in one process. It is safe for
 // concurrent use.
@@ -17,49 +17,49 @@
 // Invariant: the version in force never goes down, and Current tells of a
 // version only after put has returned for it.
 type Applier struct {
-	put func(Document) error
+	onApply func(Document) error
 
 	// applying serialises put. It is taken before mu.
-	applying sync.Mutex
+	applyMu sync.Mutex
 	// mu guards kept; nothing is called while it is held.
-	mu   sync.Mutex
-	kept []Document
+	mu     sync.Mutex
+	recent []Document
 }
 
 // NewApplier returns an applier with nothing in force. put makes a document
 // take effect for every request taken after it returns; when it fails, the
 // earlier version stays in force.
-func NewApplier(put func(Document) error) *Applier {
-	return &Applier{put: put}
+func NewApplier(onApply func(Document) error) *Applier {
+	return &Applier{onApply: onApply}
 }
 
 // Current returns the document in force; its version is None when there is none.
 func (a *Applier) Current() Document {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.kept) == 0 {
+	if len(a.recent) == 0 {
 		return Document{}
 	}
-	return a.kept[len(a.kept)-1]
+	return a.recent[len(a.recent)-1]
 }
 
 // Apply puts doc in force unless an equal or newer version is.
 func (a *Applier) Apply(doc Document) error {
-	a.applying.Lock()
-	defer a.applying.Unlock()
+	a.applyMu.Lock()
+	defer a.applyMu.Unlock()
 	if doc.Version <= a.Current().Version {
 		return nil
 	}
-	if err := a.put(doc); err != nil {
+	if err := a.onApply(doc); err != nil {
 		return eris.Wrapf(err, "apply configuration %d", doc.Version)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.kept = append(a.kept, doc)
-	if len(a.kept) > keptVersions {
-		a.kept = append([]Document(nil), a.kept[1:]...)
+	a.recent = append(a.recent, doc)
+	if len(a.recent) > maxRecent {
+		a.recent = append([]Document(nil), a.recent[1:]...)
 	}
-	showVersion(doc.Version)
+	setVersionMetric(doc.Version)
 	klog.Infof("rollout: configuration %d is in force", doc.Version)
 	return nil
 }
@@ -70,7 +70,7 @@
 	if u.Version <= a.Current().Version {
 		return nil
 	}
-	doc, err := u.Document(a.held(u.Base))
+	doc, err := u.Document(a.recentDocument(u.Base))
 	if err != nil {
 		return eris.Wrapf(err, "read update to configuration %d", u.Version)
 	}
@@ -85,13 +85,13 @@
 	if have == current.Version {
 		return Update{Version: current.Version, Digest: current.Digest, Base: have, Prefix: len(current.Text)}
 	}
-	return NewUpdate(a.held(have), current)
+	return NewUpdate(a.recentDocument(have), current)
 }
 
-func (a *Applier) held(v Version) Document {
+func (a *Applier) recentDocument(v Version) Document {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, doc := range a.kept {
+	for _, doc := range a.recent {
 		if doc.Version == v {
 			return doc
 		}
--- a/rollout/confirmer.go
+++ b/rollout/confirmer.go
@@ -19,8 +19,8 @@
 const (
 	// confirmPoll is between two reads of the head by a zone's confirmer, and
 	// pendingPoll while a version is on its way.
-	confirmPoll = time.Second
-	pendingPoll = 500 * time.Millisecond
+	confirmPollInterval = time.Second
+	pendingPollInterval = 500 * time.Millisecond
 	// reportInterval is between two writes about a version that is on its way.
 	reportInterval = 2 * time.Second
 )
@@ -46,14 +46,14 @@
 
 	// newest is the last document loaded. patch leads to it from the one loaded
 	// before, whole from nothing.
-	newest       Document
-	patch, whole Update
+	newest      Document
+	patch, full Update
 	// confirmed is the newest version seen confirmed for the zone.
 	confirmed Version
 	// lacking names the VMs that did not have the version lacked when last asked.
-	lacked   Version
-	lacking  []string
-	reported time.Time
+	missingVersion Version
+	missing        []string
+	lastReport     time.Time
 }
 
 // NewConfirmer returns the confirmer of a zone. suspect is told which VMs could
@@ -70,9 +70,9 @@
 		if err != nil {
 			klog.V(1).Infof("rollout: zone %s not confirmed: %v", c.zone, err)
 		}
-		pause := confirmPoll
+		pause := confirmPollInterval
 		if err != nil {
-			pause = pendingPoll
+			pause = pendingPollInterval
 		}
 		loop.Sleep(ctx, pause)
 	}
@@ -88,61 +88,61 @@
 	if err != nil {
 		return err
 	}
-	if news, err := c.news(ctx); err != nil || !news {
+	if found, err := c.hasNewVersion(ctx); err != nil || !found {
 		return err
 	}
-	at, err := c.read(ctx)
-	if err != nil || at.newest <= at.done.Version || len(at.roster.VMs) == 0 {
+	zone, err := c.readZone(ctx)
+	if err != nil || zone.newest <= zone.acked.Version || len(zone.roster.VMs) == 0 {
 		return err
 	}
-	checks = append(checks, at.checks...)
-	err = c.push(ctx, at.roster, at.newest)
+	checks = append(checks, zone.checks...)
+	err = c.push(ctx, zone.roster, zone.newest)
 	var unstable *contact.UnstableError
 	switch {
 	case err == nil:
-		return c.confirm(ctx, checks, at.newest)
+		return c.confirm(ctx, checks, zone.newest)
 	case errors.As(err, &unstable):
-		c.lacked, c.lacking = at.newest, unstable.Missing
-		c.suspect(slices.DeleteFunc(slices.Clone(unstable.Missing), func(name string) bool { return !at.roster.IsActive(name) }))
-		now := ack{Version: at.done.Version, Pending: at.newest, Missing: unstable.Missing}
-		return c.report(ctx, checks, at.done, now, err)
+		c.missingVersion, c.missing = zone.newest, unstable.Missing
+		c.suspect(slices.DeleteFunc(slices.Clone(unstable.Missing), func(name string) bool { return !zone.roster.IsActive(name) }))
+		now := ack{Version: zone.acked.Version, Pending: zone.newest, Missing: unstable.Missing}
+		return c.report(ctx, checks, zone.acked, now, err)
 	default:
 		return err
 	}
 }
 
 // standing is how far the zone is behind the head, read in one snapshot.
-type standing struct {
+type zoneState struct {
 	newest Version
 	roster contact.Roster
-	done   ack
+	acked  ack
 	// checks hold the roster's row and the acknowledgement unchanged.
 	checks []table.Check
 }
 
-func (c *Confirmer) read(ctx context.Context) (standing, error) {
+func (c *Confirmer) readZone(ctx context.Context) (zoneState, error) {
 	rows, err := c.rows.Get(ctx, HeadKey(), contact.Key(c.zone), AckKey(c.zone))
 	if err != nil {
-		return standing{}, eris.Wrap(err, "read head, roster and acknowledgement")
+		return zoneState{}, eris.Wrap(err, "read head, roster and acknowledgement")
 	}
 	h, err := decodeRow[head](rows[0])
 	if err != nil {
-		return standing{}, err
+		return zoneState{}, err
 	}
 	roster, err := contact.Decode(rows[1].Value)
 	if err != nil {
-		return standing{}, err
+		return zoneState{}, err
 	}
-	done, err := decodeRow[ack](rows[2])
+	acked, err := decodeRow[ack](rows[2])
 	if err != nil {
-		return standing{}, err
+		return zoneState{}, err
 	}
-	c.confirmed = max(c.confirmed, done.Version)
+	c.confirmed = max(c.confirmed, acked.Version)
 	checks := []table.Check{
 		{Key: rows[1].Key, Version: rows[1].Version},
 		{Key: rows[2].Key, Version: rows[2].Version},
 	}
-	return standing{newest: h.Version, roster: roster, done: done, checks: checks}, nil
+	return zoneState{newest: h.Version, roster: roster, acked: acked, checks: checks}, nil
 }
 
 // confirm writes that version v is in force in the zone.
@@ -157,7 +157,7 @@
 // news tells whether there may be a version to confirm. It reads the head alone,
 // since the roster of a large zone is long: what a zone has confirmed never goes
 // down.
-func (c *Confirmer) news(ctx context.Context) (bool, error) {
+func (c *Confirmer) hasNewVersion(ctx context.Context) (bool, error) {
 	rows, err := c.rows.Get(ctx, HeadKey())
 	if err != nil {
 		return false, eris.Wrap(err, "read head")
@@ -171,9 +171,9 @@
 // and nobody is asked while one of them is shunned: there is nothing to confirm
 // until the keeper has dropped that VM or taken it back.
 func (c *Confirmer) push(ctx context.Context, r contact.Roster, v Version) error {
-	late := c.late(r, v)
-	if held := shunned(late); len(held) > 0 {
-		return &contact.UnstableError{Missing: names(held)}
+	missing := c.missingVMs(r, v)
+	if excluded := excludedVMs(missing); len(excluded) > 0 {
+		return &contact.UnstableError{Missing: vmNames(excluded)}
 	}
 	if err := c.load(ctx, v); err != nil {
 		return err
@@ -181,22 +181,22 @@
 	apply := func(ctx context.Context, vm contact.VM) (contact.Ack, error) {
 		a, err := c.peers.ApplyConfig(ctx, vm, c.patch)
 		if err == nil && a.Config < uint64(v) && c.patch.Base != None {
-			return c.peers.ApplyConfig(ctx, vm, c.whole)
+			return c.peers.ApplyConfig(ctx, vm, c.full)
 		}
 		return a, err
 	}
-	enough := func(a contact.Ack) bool { return a.Config >= uint64(v) }
-	if err := contact.ConfirmOnce(ctx, late, apply, enough); err != nil {
+	sufficient := func(a contact.Ack) bool { return a.Config >= uint64(v) }
+	if err := contact.ConfirmOnce(ctx, missing, apply, sufficient); err != nil {
 		return err
 	}
-	return contact.ConfirmStable(ctx, r.VMs, apply, c.peers.Probe, enough)
+	return contact.ConfirmStable(ctx, r.VMs, apply, c.peers.Probe, sufficient)
 }
 
 // late returns the VMs of the roster that lacked version v when last asked.
-func (c *Confirmer) late(r contact.Roster, v Version) []contact.VM {
+func (c *Confirmer) missingVMs(r contact.Roster, v Version) []contact.VM {
 	var vms []contact.VM
 	for _, vm := range r.VMs {
-		if c.lacked == v && slices.Contains(c.lacking, vm.Name) {
+		if c.missingVersion == v && slices.Contains(c.missing, vm.Name) {
 			vms = append(vms, vm)
 		}
 	}
@@ -205,11 +205,11 @@
 
 // shunned returns those that are shunned but do not leave by plan. A leaving VM
 // answers until it is off the roster.
-func shunned(vms []contact.VM) []contact.VM {
+func excludedVMs(vms []contact.VM) []contact.VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(vm contact.VM) bool { return !vm.Excluded() || vm.Left })
 }
 
-func names(vms []contact.VM) []string { return contact.Roster{VMs: vms}.Names() }
+func vmNames(vms []contact.VM) []string { return contact.Roster{VMs: vms}.Names() }
 
 // load reads version v unless it is the last one read.
 func (c *Confirmer) load(ctx context.Context, v Version) error {
@@ -221,7 +221,7 @@
 		return err
 	}
 	c.patch = NewUpdate(c.newest, doc)
-	c.whole = NewUpdate(Document{}, doc)
+	c.full = NewUpdate(Document{}, doc)
 	c.newest = doc
 	return nil
 }
@@ -229,10 +229,10 @@
 // report writes which VMs keep a version from being confirmed, now and then.
 func (c *Confirmer) report(ctx context.Context, checks []table.Check, old, now ack, cause error) error {
 	same := old.Pending == now.Pending && slices.Equal(old.Missing, now.Missing)
-	if same || clock.Since(c.reported) < reportInterval {
+	if same || clock.Since(c.lastReport) < reportInterval {
 		return cause
 	}
-	c.reported = clock.Now()
+	c.lastReport = clock.Now()
 	if err := c.write(ctx, checks, now); err != nil {
 		return err
 	}
--- a/rollout/fakefleet/fakefleet.go
+++ b/rollout/fakefleet/fakefleet.go
@@ -104,13 +104,13 @@
 	set := leaving.NewSet()
 	n := &Node{Name: name, Zone: zone, Table: &TableView{Service: f.Rows}, Gate: withhold.NewGate(set)}
 	if old := f.Nodes[name]; old != nil {
-		n.Table.cut.Store(old.Table.cut.Load())
+		n.Table.partitioned.Store(old.Table.partitioned.Load())
 	}
 	n.Member = contact.NewMember(zone, name, n.Gate.ApplyRoster)
 	n.Gate.SetPermit(n.Member)
 	instance := f.ids.Add(1)
 	n.Applier = rollout.NewApplier(func(d rollout.Document) error {
-		f.Checker.applied(fmt.Sprintf("%s/%d", name, instance), d.Version)
+		f.Checker.recordApplied(fmt.Sprintf("%s/%d", name, instance), d.Version)
 		return nil
 	})
 	server := peer.NewServer(peer.Parts{
@@ -172,20 +172,20 @@
 
 // Isolate cuts a VM from the table, from all other VMs and from its zone's
 // controllers, or ends that.
-func (f *Fleet) Isolate(name string, cut bool) {
-	f.Nodes[name].Table.SetPartitioned(cut)
+func (f *Fleet) Isolate(name string, partitioned bool) {
+	f.Nodes[name].Table.SetPartitioned(partitioned)
 	for _, other := range f.Names() {
 		if other != name {
-			f.Net.Cut(name, other, cut)
+			f.Net.Cut(name, other, partitioned)
 		}
 	}
-	f.PartitionControllers(name, cut)
+	f.PartitionControllers(name, partitioned)
 }
 
 // PartitionControllers cuts a VM from the controllers of all zones, or ends that.
-func (f *Fleet) PartitionControllers(name string, cut bool) {
+func (f *Fleet) PartitionControllers(name string, partitioned bool) {
 	for _, z := range f.Zones {
-		f.Net.Cut(name, controlHost(z), cut)
+		f.Net.Cut(name, controlHost(z), partitioned)
 	}
 }
 
--- a/rollout/fakefleet/table.go
+++ b/rollout/fakefleet/table.go
@@ -11,14 +11,14 @@
 // TableView is one VM's way to the table, which can be cut.
 type TableView struct {
 	table.Service
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
 // SetPartitioned cuts the way, or ends that.
-func (v *TableView) SetPartitioned(cut bool) { v.cut.Store(cut) }
+func (v *TableView) SetPartitioned(partitioned bool) { v.partitioned.Store(partitioned) }
 
 func (v *TableView) err() error {
-	if !v.cut.Load() {
+	if !v.partitioned.Load() {
 		return nil
 	}
 	return &table.UnavailableError{Cause: &fakenet.CutError{To: "table"}}
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -74,15 +74,15 @@
 // accepted tells whether v is accepted.
 func (f *fleet) accepted(v rollout.Version) bool {
 	f.t.Helper()
-	is, err := f.CheckAccepted(v)
+	accepted, err := f.CheckAccepted(v)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return is
+	return accepted
 }
 
 // await waits until v is accepted, up to limit, and returns how long it took.
-func (f *fleet) await(v rollout.Version, limit time.Duration) time.Duration {
+func (f *fleet) awaitAccepted(v rollout.Version, limit time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	for !f.accepted(v) {
@@ -96,7 +96,7 @@
 }
 
 // watch checks the promise for d, ten times a second.
-func (f *fleet) watch(d time.Duration) {
+func (f *fleet) checkFor(d time.Duration) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		f.Check()
@@ -104,10 +104,10 @@
 }
 
 // verify fails the test if a promise was broken.
-func (f *fleet) verify() {
+func (f *fleet) reportViolations() {
 	f.t.Helper()
-	problems := f.Checker.Violations()
-	for _, p := range problems[:min(3, len(problems))] {
+	violations := f.Checker.Violations()
+	for _, p := range violations[:min(3, len(violations))] {
 		f.t.Error(p)
 	}
 }
--- a/rollout/idle_test.go
+++ b/rollout/idle_test.go
@@ -12,8 +12,8 @@
 
 // TestIdleConfirmerLeavesTheRoster shows that looking for a new version does not
 // read the zone's roster.
-func TestIdleConfirmerLeavesTheRoster(t *testing.T) {
-	r := newRig(nil)
+func TestIdleConfirmerDoesNotReadRoster(t *testing.T) {
+	r := newFixture(nil)
 	if err := r.syncer.SyncTable(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		}
 		return memtable.Fault{}
 	})
-	c := rollout.NewConfirmer("z", r.rows, r.store, nil, anyone{}, func([]string) {}, func() string { return "id" })
+	c := rollout.NewConfirmer("z", r.rows, r.store, nil, noLease{}, func([]string) {}, func() string { return "id" })
 	if err := c.Step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +34,11 @@
 }
 
 // anyone is an authority without a lease.
-type anyone struct{}
+type noLease struct{}
 
-func (anyone) Checks() ([]table.Check, error) { return nil, nil }
+func (noLease) Checks() ([]table.Check, error) { return nil, nil }
 
-func TestUpdateForOneWhoHoldsIt(t *testing.T) {
+func TestUpdateForCurrentVersion(t *testing.T) {
 	doc := rollout.NewDocument(3, []byte("text"))
 	a := rollout.NewApplier(func(rollout.Document) error { return nil })
 	if err := a.Apply(doc); err != nil {
--- a/rollout/membership_test.go
+++ b/rollout/membership_test.go
@@ -14,28 +14,28 @@
 // zones of every size.
 func TestLeave(t *testing.T) {
 	for _, zone := range []int{1, 2, 3} {
-		run(t, func(t *testing.T) {
+		runInBubble(t, func(t *testing.T) {
 			f := newFleet(t, zone, "a", "b")
-			settleDown(f)
+			startAndConfigure(f)
 			left := make(chan error)
 			go func() { left <- f.Nodes["a0"].Syncer.Leave(f.ctx) }()
 			time.Sleep(time.Second)
-			f.await(f.put("while a0 leaves"), target)
+			f.awaitAccepted(f.put("while a0 leaves"), acceptanceTarget)
 			if err := <-left; err != nil {
 				t.Fatal(err)
 			}
 			f.Kill("a0")
-			f.await(f.put("without a0"), target)
-			f.verify()
+			f.awaitAccepted(f.put("without a0"), acceptanceTarget)
+			f.reportViolations()
 		})
 	}
 }
 
 // A zone that comes into being does not make an accepted version pending.
 func TestNewZone(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
-		v := settleDown(f)
+		v := startAndConfigure(f)
 		f.Zones = append(f.Zones, "n")
 		f.Add("n0", "n")
 		for range 100 {
@@ -53,7 +53,7 @@
 // Before any VM has joined, a version is pending and waits for no zone; one that
 // was accepted stays so when all VMs are gone.
 func TestNoVMs(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 0)
 		v := f.put("first")
 		s, err := f.Store.Status(f.ctx, v)
@@ -66,7 +66,7 @@
 		}
 		f.Zones = []string{"a"}
 		f.Add("a0", "a")
-		f.await(v, target)
+		f.awaitAccepted(v, acceptanceTarget)
 		f.StartControllers()
 		time.Sleep(time.Minute)
 		f.Kill("a0")
@@ -82,38 +82,38 @@
 }
 
 // A zone whose VMs are all gone is swept by the others' keepers.
-func TestZoneGone(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestZoneRemoved(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b")
-		settleDown(f)
+		startAndConfigure(f)
 		time.Sleep(time.Minute)
 		f.Kill("b0")
 		f.PartitionControllers("b0", true)
 		f.List.Remove("b0")
-		f.await(f.put("without b"), time.Minute)
+		f.awaitAccepted(f.put("without b"), time.Minute)
 	})
 }
 
 // Two VMs that come and go while the membership list is out of reach hold up
 // changes until they have been silent for contact.UnlistedTimeout, not for ever.
-func TestUnlistedVMsGone(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestUnlistedVMsRemoved(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
-		settleDown(f)
+		startAndConfigure(f)
 		f.List.SetDown(true)
 		f.Add("x1", "a")
 		f.Add("x2", "a")
-		f.watch(30 * time.Second)
+		f.checkFor(30 * time.Second)
 		f.Remove("x1")
 		f.Remove("x2")
-		f.watch(contact.UnlistedTimeout - time.Minute)
+		f.checkFor(contact.UnlistedTimeout - time.Minute)
 		f.List.SetDown(false)
 		v := f.put("edit")
-		f.watch(30 * time.Second)
+		f.checkFor(30 * time.Second)
 		if f.accepted(v) {
 			t.Error("accepted without VMs that may be alive")
 		}
-		f.await(v, time.Minute)
-		f.verify()
+		f.awaitAccepted(v, time.Minute)
+		f.reportViolations()
 	})
 }
--- a/rollout/metrics.go
+++ b/rollout/metrics.go
@@ -36,6 +36,6 @@
 }
 
 // showVersion publishes the version in force in this process.
-func showVersion(v Version) {
+func setVersionMetric(v Version) {
 	metrics.GetOrCreateCounter(`springweir_config_version`).Set(uint64(v))
 }
--- a/rollout/pruner.go
+++ b/rollout/pruner.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	zones, err := p.store.zones(ctx)
+	zones, err := p.store.activeAckKeys(ctx)
 	if err != nil || len(zones) == 0 || zones[0] != AckKey(p.zone) {
 		return 0, err
 	}
--- a/rollout/pruner_test.go
+++ b/rollout/pruner_test.go
@@ -21,7 +21,7 @@
 // The history keeps its newest versions and all young ones, and what it has
 // lost is never taken for somebody else's write.
 func TestPruner(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		rows, objects := memtable.New(), memobject.New()
 		store := rollout.NewStore(rows, objects)
 		for _, zone := range []string{"a", "b"} {
@@ -87,8 +87,8 @@
 		if diff := cmp.Diff([]rollout.Version{101, 102, 103}, kept); diff != "" {
 			t.Errorf("oldest versions (-want +got):\n%s", diff)
 		}
-		var gone *object.MissingError
-		if _, err := objects.Get(t.Context(), first.Object); !errors.As(err, &gone) {
+		var deleted *object.MissingError
+		if _, err := objects.Get(t.Context(), first.Object); !errors.As(err, &deleted) {
 			t.Errorf("the text of version 1: %v", err)
 		}
 		var missing *rollout.MissingVersionError
--- a/rollout/random_test.go
+++ b/rollout/random_test.go
@@ -115,7 +115,7 @@
 }
 
 // chaos does one random thing to the fleet.
-func chaos(f *fleet, rng *rand.Rand) {
+func injectFault(f *fleet, rng *rand.Rand) {
 	names := f.Names()
 	name := names[rng.IntN(len(names))]
 	n := f.Nodes[name]
@@ -146,7 +146,7 @@
 }
 
 // calm ends all faults.
-func calm(f *fleet) {
+func clearFaults(f *fleet) {
 	f.Rows.SetDown(false)
 	f.Rows.SetFault(memtable.Fault{})
 	f.Rows.SetHook(nil)
@@ -156,7 +156,7 @@
 }
 
 // faulty loses or delays some commits.
-func faulty(rng *rand.Rand) func(memtable.Call) memtable.Fault {
+func commitFaults(rng *rand.Rand) func(memtable.Call) memtable.Fault {
 	var mu sync.Mutex
 	return func(c memtable.Call) memtable.Fault {
 		mu.Lock()
@@ -192,9 +192,9 @@
 	if seed%3 == 0 {
 		f = newFleet(t, 4, "a")
 	}
-	settleDown(f)
+	startAndConfigure(f)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	f.Rows.SetHook(faulty(rand.New(rand.NewPCG(seed, 2))))
+	f.Rows.SetHook(commitFaults(rand.New(rand.NewPCG(seed, 2))))
 	ctx, cancel := context.WithCancel(f.ctx)
 	// The first configuration is where the recorded history starts.
 	var mu sync.Mutex
@@ -208,13 +208,13 @@
 		o := &operator{id: id + 1, store: f.Store, rng: rand.New(rand.NewPCG(seed, uint64(id+3))), began: time.Now().Add(-time.Second), mu: &mu, ops: &ops}
 		wg.Go(func() { o.run(ctx) })
 	}
-	accepted := observe(f, rng, 4*time.Minute)
+	accepted := observeAccepted(f, rng, 4*time.Minute)
 	cancel()
 	wg.Wait()
-	calm(f)
+	clearFaults(f)
 	time.Sleep(30 * time.Second)
-	f.await(f.put("after the faults"), 30*time.Second)
-	f.verify()
+	f.awaitAccepted(f.put("after the faults"), 30*time.Second)
+	f.reportViolations()
 	if !porcupine.CheckOperations(history, ops) {
 		t.Error("the history of configurations is not linear")
 	}
@@ -222,12 +222,12 @@
 }
 
 // observe lets faults happen for d and asks all the time what is accepted.
-func observe(f *fleet, rng *rand.Rand, d time.Duration) int {
+func observeAccepted(f *fleet, rng *rand.Rand, d time.Duration) int {
 	accepted := 0
 	next := time.Now()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(next) {
-			chaos(f, rng)
+			injectFault(f, rng)
 			next = time.Now().Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
 		}
 		head, err := f.Store.Head(f.ctx)
@@ -249,7 +249,7 @@
 }
 
 // The model objects when a write is lost or made twice.
-func TestHistoryModelObjects(t *testing.T) {
+func TestHistoryModelRejectsLostAndDuplicateWrites(t *testing.T) {
 	put := func(base rollout.Version, id string, at int64) porcupine.Operation {
 		return porcupine.Operation{
 			Input:  putOp{rollout.Edit{Base: base, WriteID: id}},
--- a/rollout/scenario_test.go
+++ b/rollout/scenario_test.go
@@ -16,31 +16,31 @@
 )
 
 // target is what the users ask for: in force everywhere within 9 s.
-const target = 9 * time.Second
+const acceptanceTarget = 9 * time.Second
 
 // settleDown lets a new fleet join, be listed and take its first configuration.
-func settleDown(f *fleet) rollout.Version {
+func startAndConfigure(f *fleet) rollout.Version {
 	f.t.Helper()
 	f.StartControllers()
 	time.Sleep(5 * time.Second)
 	v := f.put("first")
-	f.await(v, target)
+	f.awaitAccepted(v, acceptanceTarget)
 	return v
 }
 
-func run(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
+func runInBubble(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
 
-func TestEditIsInForceEverywhere(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestEditIsAppliedEverywhere(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b", "c")
-		settleDown(f)
+		startAndConfigure(f)
 		var worst time.Duration
 		for range 10 {
-			worst = max(worst, f.await(f.put("next"), target))
-			f.watch(3 * time.Second)
+			worst = max(worst, f.awaitAccepted(f.put("next"), acceptanceTarget))
+			f.checkFor(3 * time.Second)
 		}
 		t.Logf("edit to accepted: at most %v", worst)
-		f.verify()
+		f.reportViolations()
 	})
 }
 
@@ -48,15 +48,15 @@
 // reads the table far less than it may.
 func TestTargetSize(t *testing.T) {
 	const vmsPerZone, maxReads = 63, 2000
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, vmsPerZone, "a", "b", "c", "d", "e", "f")
 		f.StartControllers()
 		time.Sleep(time.Minute)
 		v := f.put("first")
-		f.await(v, target)
+		f.awaitAccepted(v, acceptanceTarget)
 		time.Sleep(20 * time.Second)
 		before, began := f.Rows.Counts(), time.Now()
-		took := f.await(f.put("next"), target)
+		took := f.awaitAccepted(f.put("next"), acceptanceTarget)
 		time.Sleep(20 * time.Second)
 		after := f.Rows.Counts()
 		seconds := time.Since(began).Seconds()
@@ -71,20 +71,20 @@
 			// A killed process refuses calls; to a machine that is gone they hang.
 			f.Kill(zone + "5")
 			time.Sleep(time.Duration(i) * 170 * time.Millisecond)
-			t.Logf("a process was just killed: %v", f.await(f.put("next"), target))
+			t.Logf("a process was just killed: %v", f.awaitAccepted(f.put("next"), acceptanceTarget))
 			f.Pause(zone + "9")
 			time.Sleep(time.Duration(i) * 170 * time.Millisecond)
-			t.Logf("a VM has just gone: %v", f.await(f.put("next"), target))
+			t.Logf("a VM has just gone: %v", f.awaitAccepted(f.put("next"), acceptanceTarget))
 		}
-		f.verify()
+		f.reportViolations()
 	})
 }
 
-func TestZoneCutFromPlatformAndOthers(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestZonePartitionedFromTableAndControllers(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b")
-		first := settleDown(f)
-		cut := func(on bool) {
+		first := startAndConfigure(f)
+		partition := func(on bool) {
 			for _, n := range f.Nodes {
 				if n.Zone == "b" {
 					n.Table.SetPartitioned(on)
@@ -92,9 +92,9 @@
 				}
 			}
 		}
-		cut(true)
+		partition(true)
 		v := f.put("while b is cut")
-		f.watch(time.Minute)
+		f.checkFor(time.Minute)
 		s, err := f.Store.Status(f.ctx, v)
 		if err != nil {
 			t.Fatal(err)
@@ -110,50 +110,50 @@
 				t.Errorf("%s stopped serving in a cut zone: %v", n.Name, err)
 			}
 		}
-		cut(false)
-		f.await(v, target)
-		f.verify()
+		partition(false)
+		f.awaitAccepted(v, acceptanceTarget)
+		f.reportViolations()
 	})
 }
 
 // A VM that is cut off stops serving, is dropped, and comes back on the newest
 // version, before and after it was dropped.
-func TestVMCutOff(t *testing.T) {
+func TestVMIsolated(t *testing.T) {
 	for _, outage := range []time.Duration{4 * time.Second, time.Minute} {
 		t.Run(outage.String(), func(t *testing.T) {
-			run(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				f := newFleet(t, 3, "a", "b")
-				settleDown(f)
+				startAndConfigure(f)
 				f.Isolate("a1", true)
 				v := f.put("without a1")
-				f.watch(contact.Timeout + time.Second)
+				f.checkFor(contact.Timeout + time.Second)
 				if f.Nodes["a1"].Member.Allow() == nil {
 					t.Error("a VM out of contact serves on")
 				}
-				f.watch(outage - contact.Timeout - time.Second)
+				f.checkFor(outage - contact.Timeout - time.Second)
 				if dropped := outage > 3*contact.RemovalDelay; dropped != f.accepted(v) {
 					t.Errorf("accepted = %v after %v", !dropped, outage)
 				}
 				f.Isolate("a1", false)
-				f.await(v, target)
-				f.watch(20 * time.Second)
+				f.awaitAccepted(v, acceptanceTarget)
+				f.checkFor(20 * time.Second)
 				if err := f.Nodes["a1"].Member.Allow(); err != nil || f.Nodes["a1"].Applier.Current().Version != v {
 					t.Errorf("a1 did not come back: %v", err)
 				}
-				f.verify()
+				f.reportViolations()
 			})
 		})
 	}
 }
 
-func TestVMPausedAndWoken(t *testing.T) {
+func TestVMPausedAndResumed(t *testing.T) {
 	for _, zone := range []int{2, 3} {
-		run(t, func(t *testing.T) {
+		runInBubble(t, func(t *testing.T) {
 			f := newFleet(t, zone, "a")
-			settleDown(f)
+			startAndConfigure(f)
 			f.Pause("a1")
 			v := f.put("while a1 is paused")
-			f.watch(time.Minute)
+			f.checkFor(time.Minute)
 			if got, want := f.accepted(v), zone > 2; got != want {
 				t.Errorf("zone of %d: accepted = %v, want %v", zone, got, want)
 			}
@@ -162,12 +162,12 @@
 				t.Error("a woken VM serves before it has contact")
 			}
 			f.Resume("a1")
-			f.await(v, target)
-			f.watch(20 * time.Second)
+			f.awaitAccepted(v, acceptanceTarget)
+			f.checkFor(20 * time.Second)
 			if err := n.Member.Allow(); err != nil {
 				t.Errorf("a1 did not come back: %v", err)
 			}
-			f.verify()
+			f.reportViolations()
 		})
 	}
 }
@@ -176,24 +176,24 @@
 // zone of three, and in a zone of two until the list drops it.
 func TestDeadVMOnLaggingList(t *testing.T) {
 	for _, zone := range []int{2, 3} {
-		run(t, func(t *testing.T) {
+		runInBubble(t, func(t *testing.T) {
 			f := newFleet(t, zone, "a")
-			settleDown(f)
+			startAndConfigure(f)
 			time.Sleep(6 * time.Minute) // the list must not go back in time
 			f.List.SetLag(5 * time.Minute)
 			f.List.Remove("a1")
 			f.Kill("a1")
 			v := f.put("without a1")
 			if zone > 2 {
-				t.Logf("accepted %v after the VM died", f.await(v, 30*time.Second))
+				t.Logf("accepted %v after the VM died", f.awaitAccepted(v, 30*time.Second))
 				return
 			}
-			f.watch(4 * time.Minute)
+			f.checkFor(4 * time.Minute)
 			if f.accepted(v) {
 				t.Error("accepted without a VM that may be alive")
 			}
-			f.await(v, 2*time.Minute)
-			f.verify()
+			f.awaitAccepted(v, 2*time.Minute)
+			f.reportViolations()
 		})
 	}
 }
@@ -201,9 +201,9 @@
 // With the platform down the fleet serves on, a process that restarts takes
 // the newest version from its peers, and an edit that was pending is taken up.
 func TestPlatformDown(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b")
-		settleDown(f)
+		startAndConfigure(f)
 		f.Isolate("b2", true)
 		pending := f.put("pending")
 		// Until the others have it, which takes less time than shunning b2.
@@ -215,10 +215,10 @@
 		f.Rows.SetDown(true)
 		f.List.SetDown(true)
 		f.Isolate("b2", false)
-		f.watch(time.Minute)
+		f.checkFor(time.Minute)
 		f.Kill("a0")
 		n := f.Start("a0", "a")
-		f.watch(time.Minute)
+		f.checkFor(time.Minute)
 		for _, n := range f.Nodes {
 			if err := n.Member.Allow(); err != nil {
 				t.Errorf("%s does not serve: %v", n.Name, err)
@@ -229,23 +229,23 @@
 		}
 		f.Rows.SetDown(false)
 		f.List.SetDown(false)
-		f.await(pending, target)
-		f.verify()
+		f.awaitAccepted(pending, acceptanceTarget)
+		f.reportViolations()
 	})
 }
 
 // Peers that hang do not cost the others their permission while the platform is
 // down, in zones whose VMs pull at each of the intervals there are.
-func TestDeadPeersCostNoPermission(t *testing.T) {
+func TestUnresponsivePeersCostNoPermission(t *testing.T) {
 	for _, tt := range []struct {
 		vms  int
 		dead []string
 	}{{3, []string{"a1"}}, {5, []string{"a1", "a2"}}, {12, []string{"a1", "a2"}}, {40, []string{"a1", "a2"}}} {
-		run(t, func(t *testing.T) {
+		runInBubble(t, func(t *testing.T) {
 			f := newFleet(t, tt.vms, "a")
-			settleDown(f)
+			startAndConfigure(f)
 			f.awaitJoined("a", tt.vms)
-			f.watch(10 * time.Second) // the last to join is known to all by then
+			f.checkFor(10 * time.Second) // the last to join is known to all by then
 			f.Rows.SetDown(true)
 			f.List.SetDown(true)
 			for _, name := range tt.dead {
@@ -265,17 +265,17 @@
 
 // Two VMs that are cut off together vouch for each other and serve on. So
 // neither may be dropped, though the keeper cannot tell them from dead ones.
-func TestTwoVMsCutOffTogether(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestTwoVMsIsolatedTogether(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 5, "a")
-		settleDown(f)
+		startAndConfigure(f)
 		pair := []string{"a1", "a2"}
 		for _, name := range pair {
 			f.Isolate(name, true)
 		}
 		f.Net.Cut(pair[0], pair[1], false)
 		v := f.put("without the two")
-		f.watch(time.Minute)
+		f.checkFor(time.Minute)
 		for _, name := range pair {
 			if err := f.Nodes[name].Member.Allow(); err != nil {
 				t.Errorf("%s does not serve: %v", name, err)
@@ -287,18 +287,18 @@
 		for _, name := range pair {
 			f.Isolate(name, false)
 		}
-		f.await(v, target)
-		f.verify()
+		f.awaitAccepted(v, acceptanceTarget)
+		f.reportViolations()
 	})
 }
 
 // A process that restarts just after its VM acknowledged a shunning, and reaches
 // only the shunned VM, learns an old roster from it. The two vouch for each other
 // and serve on, so neither may be dropped.
-func TestRestartBesideShunnedVM(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestRestartBesideExcludedVM(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 4, "a")
-		settleDown(f)
+		startAndConfigure(f)
 		f.PartitionControllers("a1", true)
 		f.put("has the keeper find that a1 is silent")
 		for range 5000 {
@@ -323,26 +323,26 @@
 		}
 		f.Isolate("a1", false)
 		f.Isolate("a3", false)
-		f.await(v, target)
-		f.verify()
+		f.awaitAccepted(v, acceptanceTarget)
+		f.reportViolations()
 	})
 }
 
 // A lapse of the whole zone while the platform is down heals by itself: VMs
 // that lapsed may vouch for each other.
-func TestZoneHealsWithPlatformDown(t *testing.T) {
-	run(t, func(t *testing.T) {
+func TestZoneRecoversWithPlatformDown(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
-		settleDown(f)
+		startAndConfigure(f)
 		f.Rows.SetDown(true)
 		for _, name := range f.Names() {
 			f.Isolate(name, true)
 		}
-		f.watch(10 * time.Second)
+		f.checkFor(10 * time.Second)
 		for _, name := range f.Names() {
 			f.Isolate(name, false)
 		}
-		f.watch(10 * time.Second)
+		f.checkFor(10 * time.Second)
 		for _, n := range f.Nodes {
 			if err := n.Member.Allow(); err != nil {
 				t.Errorf("%s does not serve: %v", n.Name, err)
@@ -352,24 +352,24 @@
 }
 
 // broken is a pusher that says what the confirmer wants to hear.
-type broken struct{}
+type lyingPusher struct{}
 
-func (broken) ApplyConfig(context.Context, contact.VM, rollout.Update) (contact.Ack, error) {
+func (lyingPusher) ApplyConfig(context.Context, contact.VM, rollout.Update) (contact.Ack, error) {
 	return contact.Ack{Instance: 1, Config: 1 << 40}, nil
 }
 
-func (broken) Probe(context.Context, contact.VM) (contact.Ack, error) {
+func (lyingPusher) Probe(context.Context, contact.VM) (contact.Ack, error) {
 	return contact.Ack{Instance: 1, Config: 1 << 40}, nil
 }
 
 // The checker objects when a guard is broken.
-func TestCheckerObjects(t *testing.T) {
+func TestCheckerDetectsBrokenGuards(t *testing.T) {
 	tests := []struct {
-		name    string
-		cripple func(f *fleet)
+		name       string
+		breakGuard func(f *fleet)
 	}{
 		{"the confirmer believes VMs that hold nothing", func(f *fleet) {
-			f.Pusher = func(rollout.Pusher) rollout.Pusher { return broken{} }
+			f.Pusher = func(rollout.Pusher) rollout.Pusher { return lyingPusher{} }
 		}},
 		{"VMs serve without permission", func(f *fleet) { f.Allow = func(*fakefleet.Node) error { return nil } }},
 		{"the list drops a VM that is alive", func(f *fleet) {
@@ -383,14 +383,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			run(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				f := newFleet(t, 3, "a")
-				tt.cripple(f)
-				settleDown(f)
+				tt.breakGuard(f)
+				startAndConfigure(f)
 				time.Sleep(29*time.Second - time.Since(f.began))
 				f.Isolate("a1", true)
-				f.await(f.put("next"), time.Minute)
-				f.watch(time.Second)
+				f.awaitAccepted(f.put("next"), time.Minute)
+				f.checkFor(time.Second)
 				if len(f.Checker.Violations()) == 0 {
 					t.Error("the checker saw nothing")
 				}
@@ -401,7 +401,7 @@
 
 // Two operators edit one version: one wins, the other learns what is there.
 func TestTwoOperators(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a")
 		base := f.put("base")
 		mine := rollout.Edit{Base: base, WriteID: "mine", Author: "ann", Text: []byte("mine")}
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -46,12 +46,12 @@
 	if v == None || v > newest {
 		return Status{}, &MissingVersionError{Version: v}
 	}
-	zones, err := s.zones(ctx)
+	zones, err := s.activeAckKeys(ctx)
 	if err != nil {
 		return Status{}, err
 	}
 	if len(zones) == 0 {
-		return s.unserved(ctx, v)
+		return s.statusWithoutVMs(ctx, v)
 	}
 	status := Status{Version: v, Accepted: true}
 	rows, err := s.rows.Get(ctx, zones...)
@@ -79,7 +79,7 @@
 // unserved is the status while no zone has VMs. Rows of acknowledgement outlive
 // the VMs and never go down, so a version that was accepted has one and stays
 // accepted. Without one, no VM ever had it in force.
-func (s *Store) unserved(ctx context.Context, v Version) (Status, error) {
+func (s *Store) statusWithoutVMs(ctx context.Context, v Version) (Status, error) {
 	rows, err := s.rows.Scan(ctx, Table, ackPrefix, "", maxZones)
 	if err != nil {
 		return Status{}, eris.Wrap(err, "read acknowledgements")
@@ -97,7 +97,7 @@
 }
 
 // zones returns the acknowledgement rows of the zones that have VMs.
-func (s *Store) zones(ctx context.Context) ([]table.Key, error) {
+func (s *Store) activeAckKeys(ctx context.Context) ([]table.Key, error) {
 	rows, err := s.rows.Scan(ctx, contact.Table, "", "", maxZones)
 	if err != nil {
 		return nil, eris.Wrap(err, "read rosters")
--- a/rollout/store.go
+++ b/rollout/store.go
@@ -75,7 +75,7 @@
 		return None, err
 	}
 	if h.Version != e.Base {
-		return s.settle(ctx, e)
+		return s.resolveOutcome(ctx, e)
 	}
 	txn := table.Txn{
 		Checks: []table.Check{
@@ -103,7 +103,7 @@
 	case err == nil:
 		return e.Base + 1, nil
 	case errors.As(err, &superseded), errors.As(err, &conflict):
-		return s.settle(ctx, e)
+		return s.resolveOutcome(ctx, e)
 	default:
 		return None, eris.Wrap(err, "commit configuration")
 	}
@@ -111,14 +111,14 @@
 
 // settle reads the version that the edit would have made, and tells whether it
 // is this edit's.
-func (s *Store) settle(ctx context.Context, e Edit) (Version, error) {
-	mine, err := s.Entry(ctx, e.Base+1)
+func (s *Store) resolveOutcome(ctx context.Context, e Edit) (Version, error) {
+	existing, err := s.Entry(ctx, e.Base+1)
 	var missing *MissingVersionError
 	if err != nil && !errors.As(err, &missing) {
 		return None, eris.Wrap(&table.UnknownError{Cause: err}, "settle configuration write")
 	}
-	if err == nil && mine.WriteID == e.WriteID {
-		return mine.Version, nil
+	if err == nil && existing.WriteID == e.WriteID {
+		return existing.Version, nil
 	}
 	newest, err := s.Head(ctx)
 	if err != nil {
@@ -128,11 +128,11 @@
 		// Deleted since: whose write it was cannot be told any more.
 		return None, missing
 	}
-	entry, err := s.Entry(ctx, newest)
+	newestEntry, err := s.Entry(ctx, newest)
 	if err != nil && newest != None {
 		return None, err
 	}
-	return None, &ConflictError{Base: e.Base, Head: entry}
+	return None, &ConflictError{Base: e.Base, Head: newestEntry}
 }
 
 // prepare makes the row of the new version, and stores a long text first: a
--- a/rollout/syncer.go
+++ b/rollout/syncer.go
@@ -18,15 +18,15 @@
 	// tablePoll is the mean time between reads of the head by a VM that is in
 	// contact with its peers. Changes reach it sooner, through its zone's
 	// confirmer and its peers.
-	tablePoll = 10 * time.Second
+	tablePollInterval = 10 * time.Second
 	// tableRetry is the mean time between reads by a VM that is not.
-	tableRetry = 500 * time.Millisecond
+	tableRetryInterval = 500 * time.Millisecond
 	// tableMargin is how long before its permission ends a VM turns to the table.
 	tableMargin = 750 * time.Millisecond
 	// syncCheck is how often the syncer looks whether a read is due.
-	syncCheck = 250 * time.Millisecond
+	syncCheckInterval = 250 * time.Millisecond
 	// departPoll is between two looks of a leaving VM at the roster.
-	departPoll = time.Second
+	leavePollInterval = time.Second
 )
 
 // Syncer keeps one entry's configuration and standing up to date, from the
@@ -56,30 +56,30 @@
 	for ctx.Err() == nil {
 		now := clock.Now()
 		due := next
-		if s.wantsTable(now) && next.Sub(now) > tableRetry {
+		if s.needsTable(now) && next.Sub(now) > tableRetryInterval {
 			due = now
 		}
 		if !now.Before(due) {
 			if err := s.SyncTable(ctx); err != nil {
 				klog.V(1).Infof("rollout: no contact with the table: %v", err)
 			}
-			next = clock.Now().Add(s.pollAfter())
+			next = clock.Now().Add(s.nextPollDelay())
 		}
-		loop.Sleep(ctx, syncCheck)
+		loop.Sleep(ctx, syncCheckInterval)
 	}
 }
 
 // wantsTable tells that this VM's permission is about to end, or has.
-func (s *Syncer) wantsTable(now time.Time) bool {
+func (s *Syncer) needsTable(now time.Time) bool {
 	return s.member.NeedsJoin() || now.Sub(s.member.LastContact()) > contact.Timeout-tableMargin
 }
 
 // pollAfter spreads the reads of the fleet evenly: half to one and a half
 // times the mean.
-func (s *Syncer) pollAfter() time.Duration {
-	mean := tablePoll
-	if s.wantsTable(clock.Now()) {
-		mean = tableRetry
+func (s *Syncer) nextPollDelay() time.Duration {
+	mean := tablePollInterval
+	if s.needsTable(clock.Now()) {
+		mean = tableRetryInterval
 	}
 	return loop.Jitter(mean)
 }
@@ -93,7 +93,7 @@
 }
 
 func (s *Syncer) syncTable(ctx context.Context) error {
-	began := clock.Now()
+	startedAt := clock.Now()
 	keys := []table.Key{HeadKey(), contact.Key(s.member.Zone()), AckKey(s.member.Zone())}
 	rows, err := s.rows.Get(ctx, keys...)
 	if err != nil {
@@ -108,18 +108,18 @@
 		return err
 	}
 	s.member.ApplyRoster(roster)
-	if err := s.follow(ctx, h.Version); err != nil {
+	if err := s.applyVersion(ctx, h.Version); err != nil {
 		return err
 	}
 	if s.member.NeedsJoin() {
 		return s.join(ctx, h, roster, rows)
 	}
-	s.member.RecordContact(began)
+	s.member.RecordContact(startedAt)
 	return nil
 }
 
 // follow puts version v in force unless a newer one is.
-func (s *Syncer) follow(ctx context.Context, v Version) error {
+func (s *Syncer) applyVersion(ctx context.Context, v Version) error {
 	if v <= s.applier.Current().Version {
 		return nil
 	}
@@ -135,7 +135,7 @@
 // version: it is the whole zone. So a zone that comes into being never makes
 // an accepted version pending again.
 func (s *Syncer) join(ctx context.Context, h head, roster contact.Roster, rows []table.Row) error {
-	began := clock.Now()
+	startedAt := clock.Now()
 	next := roster.Join(s.member.Zone(), s.member.Name(), s.address)
 	next.WriteID = s.writeID()
 	txn := table.Txn{Writes: []table.Write{{Key: rows[1].Key, Value: next.Encode()}}}
@@ -152,7 +152,7 @@
 		// roster and joins again, which is harmless.
 		return eris.Wrap(err, "join roster")
 	}
-	s.member.RecordJoin(next, began)
+	s.member.RecordJoin(next, startedAt)
 	klog.Infof("rollout: joined roster of zone %s at revision %d", next.Zone, next.Revision)
 	return nil
 }
@@ -168,43 +168,43 @@
 }
 
 func (s *Syncer) syncPeer(ctx context.Context, vm contact.VM) error {
-	began := clock.Now()
-	got, err := s.peers.Exchange(ctx, vm)
+	startedAt := clock.Now()
+	resp, err := s.peers.Exchange(ctx, vm)
 	if err != nil {
 		return eris.Wrapf(err, "exchange with %s", vm.Address)
 	}
-	fresh := s.member.LastContact().IsZero()
-	if fresh && !got.Serving {
+	firstContact := s.member.LastContact().IsZero()
+	if firstContact && !resp.Serving {
 		return &UntrustedError{Peer: vm.Name}
 	}
-	s.member.ApplyRoster(got.Roster)
-	if Version(got.Ack.Config) > s.applier.Current().Version {
-		if err := s.fetch(ctx, vm); err != nil {
+	s.member.ApplyRoster(resp.Roster)
+	if Version(resp.Ack.Config) > s.applier.Current().Version {
+		if err := s.fetchConfig(ctx, vm); err != nil {
 			return err
 		}
 	}
-	if !got.Confirmed || !(fresh || s.member.Roster().IsActive(vm.Name)) {
-		_ = s.handOver(ctx, vm, got.Ack) // there is no contact either way
+	if !resp.Confirmed || !(firstContact || s.member.Roster().IsActive(vm.Name)) {
+		_ = s.shareRoster(ctx, vm, resp.Ack) // there is no contact either way
 		return &UntrustedError{Peer: vm.Name}
 	}
-	s.member.RecordContact(began)
-	return s.handOver(ctx, vm, got.Ack)
+	s.member.RecordContact(startedAt)
+	return s.shareRoster(ctx, vm, resp.Ack)
 }
 
 // handOver gives the peer the roster if it holds an older one: a VM that knows
 // nobody, as it joined first, pulls from nobody.
-func (s *Syncer) handOver(ctx context.Context, vm contact.VM, holds contact.Ack) error {
-	mine := s.member.Roster()
-	if holds.Roster >= mine.Revision {
+func (s *Syncer) shareRoster(ctx context.Context, vm contact.VM, peerAck contact.Ack) error {
+	roster := s.member.Roster()
+	if peerAck.Roster >= roster.Revision {
 		return nil
 	}
-	_, err := s.peers.PushRoster(ctx, vm, mine)
+	_, err := s.peers.PushRoster(ctx, vm, roster)
 	return err
 }
 
 // fetch puts in force what the peer has. A patch that does not fit is followed
 // by the whole text.
-func (s *Syncer) fetch(ctx context.Context, vm contact.VM) error {
+func (s *Syncer) fetchConfig(ctx context.Context, vm contact.VM) error {
 	have := s.applier.Current().Version
 	u, err := s.peers.FetchConfig(ctx, vm, have)
 	if err != nil {
@@ -224,20 +224,20 @@
 func (s *Syncer) Leave(ctx context.Context) error {
 	s.member.StopServing()
 	for {
-		gone, err := s.leaveOnce(ctx)
-		if gone {
+		removed, err := s.leaveOnce(ctx)
+		if removed {
 			return nil
 		}
 		if err != nil {
 			klog.Warningf("rollout: leaving the roster: %v", err)
 		}
-		if !loop.Sleep(ctx, departPoll) {
+		if !loop.Sleep(ctx, leavePollInterval) {
 			return eris.Wrap(&contact.UnstableError{Missing: []string{s.member.Name()}}, "leave roster")
 		}
 	}
 }
 
-func (s *Syncer) leaveOnce(ctx context.Context) (gone bool, err error) {
+func (s *Syncer) leaveOnce(ctx context.Context) (removed bool, err error) {
 	rows, err := s.rows.Get(ctx, contact.Key(s.member.Zone()))
 	if err != nil {
 		return false, err
