--- a/rollout/syncer_test.go
+++ b/rollout/syncer_test.go
@@ -15,15 +15,15 @@
 )
 
 // rig is one syncer over an in-memory table.
-type rig struct {
+type fixture struct {
 	rows   *memtable.Table
 	store  *rollout.Store
 	member *contact.Member
 	syncer *rollout.Syncer
 }
 
-func newRig(peers rollout.Peers) *rig {
-	r := &rig{rows: memtable.New(), member: contact.NewMember("z", "a", func(contact.Roster) {})}
+func newFixture(peers rollout.Peers) *fixture {
+	r := &fixture{rows: memtable.New(), member: contact.NewMember("z", "a", func(contact.Roster) {})}
 	r.store = rollout.NewStore(r.rows, memobject.New())
 	applier := rollout.NewApplier(func(rollout.Document) error { return nil })
 	r.syncer = rollout.NewSyncer(r.member, applier, r.store, r.rows, peers, "a", func() string { return "id" })
@@ -63,7 +63,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(tt.peer)
+				r := newFixture(tt.peer)
 				if tt.known.Revision != 0 {
 					r.member.RecordJoin(tt.known, time.Now())
 					time.Sleep(contact.Timeout)
@@ -78,20 +78,20 @@
 }
 
 // A contact counts from before it was asked for, not from its answer.
-func TestContactCountsFromQuestion(t *testing.T) {
+func TestContactCountsFromRequestStart(t *testing.T) {
 	const slow = contact.Timeout - time.Second
-	sync := map[string]func(t *testing.T, r *rig) error{
-		"table": func(t *testing.T, r *rig) error {
+	sync := map[string]func(t *testing.T, r *fixture) error{
+		"table": func(t *testing.T, r *fixture) error {
 			r.rows.SetFault(memtable.Fault{Delay: slow})
 			return r.syncer.SyncTable(t.Context())
 		},
-		"peer": func(t *testing.T, r *rig) error {
+		"peer": func(t *testing.T, r *fixture) error {
 			return r.syncer.SyncPeer(t.Context(), contact.VM{Name: "b"})
 		},
 	}
 	for name, contactWith := range sync {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.Scripted{Answer: rollout.ExchangeResponse{Confirmed: true}, Delay: slow})
+			r := newFixture(fakepeer.Scripted{Answer: rollout.ExchangeResponse{Confirmed: true}, Delay: slow})
 			txn := table.Txn{Writes: []table.Write{{Key: contact.Key("z"), Value: abc().Encode()}}}
 			if _, err := r.rows.Commit(t.Context(), txn); err != nil {
 				t.Fatal(err)
@@ -112,7 +112,7 @@
 // A change that is committed between a VM's read and its join makes the join
 // conflict: no VM comes onto a roster with an old version.
 func TestJoinRacesWithEdit(t *testing.T) {
-	r := newRig(fakepeer.Scripted{})
+	r := newFixture(fakepeer.Scripted{})
 	r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 		if c.Op == memtable.OpCommit {
 			r.rows.SetHook(nil)
@@ -134,7 +134,7 @@
 // Contact with the table counts only once the newest version is in force.
 func TestTableContactNeedsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(fakepeer.Scripted{})
+		r := newFixture(fakepeer.Scripted{})
 		if err := r.syncer.SyncTable(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -156,10 +156,10 @@
 }
 
 // A write whose answer is lost, or that takes effect late, is settled.
-func TestPutSettles(t *testing.T) {
+func TestPutResolvesUnknownOutcome(t *testing.T) {
 	for _, fault := range []memtable.Fault{{LoseResponse: true}, {ApplyAfter: 300 * time.Millisecond}, {ApplyAfter: time.Minute}} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.Scripted{})
+			r := newFixture(fakepeer.Scripted{})
 			first := true
 			r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 				if c.Op != memtable.OpCommit || !first {
--- a/rollout/update.go
+++ b/rollout/update.go
@@ -46,8 +46,8 @@
 	if u.Base == None {
 		base = Document{}
 	}
-	bad := u.Prefix < 0 || u.Suffix < 0 || u.Prefix > len(base.Text)-u.Suffix
-	if bad {
+	invalid := u.Prefix < 0 || u.Suffix < 0 || u.Prefix > len(base.Text)-u.Suffix
+	if invalid {
 		return Document{}, &DigestError{Version: u.Version}
 	}
 	body, err := decompress(u.Body)
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -224,7 +224,7 @@
 		fi
 	};
 #ifndef NO_GUARD_SETTLE
-	/* table.CommitSettled: the write's own id is read back. */
+	/* table.CommitAndResolve: the write's own id is read back. */
 	if :: written :: !written -> goto lead_or_lost fi;
 #endif
 #endif
