--- a/contact/decide.go
+++ b/contact/decide.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// ExcludeAfter is how long a VM has to be silent before it is shunned. No safety
-// rests on it: shunning a VM that is alive costs its service until it answers.
+// ExcludeAfter is how long a VM must be unresponsive before it is excluded. Safety does not
+// depend on it: a VM that is excluded while it runs stops serving until it responds.
 const ExcludeAfter = time.Second
 
-// UnlistedTimeout is how long a VM that the membership list never showed has to be
-// silent before its absence from the list means that it is gone. It rests on
-// the platform to show a new VM sooner than that: a VM on the roster started
-// before it fell silent, so a list that is read then would have it.
+// UnlistedTimeout is how long a VM that was never seen on the membership list must be
+// unresponsive before its absence from the list means that it was removed. It relies on the
+// platform to list a new VM sooner than that: a VM on the roster started before it became
+// unresponsive, so a list read after this time would contain it.
 const UnlistedTimeout = 5 * time.Minute
 
-// Observed is what the keeper of a roster knows when it decides.
+// Observed is the input of the reconciler's decision about a roster.
 type Observed struct {
-	// Acks holds the answers of this round by VM name.
+	// Acks holds the responses of this round by VM name.
 	Acks map[string]Ack
-	// Silent is how long each VM has not answered; zero for one that did.
+	// UnresponsiveFor is how long each VM has not responded; a VM that did respond has no
+	// entry.
 	UnresponsiveFor map[string]time.Duration
-	// Settled names the shunned VMs whose shunning is acknowledged by all
-	// others and whose RemovalDelay has passed.
+	// Removable names the excluded VMs whose exclusion all others have acknowledged and for
+	// which RemovalDelay has passed since.
 	Removable map[string]bool
-	// Listed is the membership list's names, read after the roster; nil when
-	// the list could not be read.
+	// Listed holds the names on the membership list, read after the roster; nil when the list
+	// could not be read.
 	Listed map[string]bool
 }
 
-// step is one rule by which a roster changes. It edits the VMs of next, whose
-// revision is already that of the change.
+// rule is one rule by which a roster changes. It edits the VMs of next, whose revision is
+// already that of the change.
 type rule func(old Roster, next *Roster, observed Observed)
 
-// steps in order: drops come first, since the marks are judged by the size
-// that remains.
+// rules are applied in this order: removals come first, because markTimeout depends on the
+// number of VMs that remain.
 var rules = []rule{removeUnlisted, removeExcluded, markListed, markTimeout, readmitResponding, excludeUnresponsive}
 
-// sweepSteps are the rules for the roster of another zone, whose VMs may be
-// out of reach from here: only the platform's word counts.
+// sweepRules apply to the rosters of other zones, whose VMs may be unreachable from here. They
+// use only the platform's membership list.
 var sweepRules = []rule{removeUnlisted, markListed}
 
-// Decide returns the next roster of the keeper's own zone, and whether it
-// differs from old.
+// Decide returns the next roster of the reconciler's zone, and whether its VMs differ from old.
 func Decide(old Roster, observed Observed) (Roster, bool) { return apply(rules, old, observed) }
 
-// DecideSweep returns the next roster of another zone, and whether it differs.
+// DecideSweep returns the next roster of another zone, and whether its VMs differ from old.
 func DecideSweep(old Roster, observed Observed) (Roster, bool) {
 	return apply(sweepRules, old, observed)
 }
@@ -60,10 +60,10 @@
 	return next, !slices.Equal(old.VMs, next.VMs)
 }
 
-// dropGone drops VMs that the membership list had and has no more: they are
-// gone for good. So is one that it never had and that has been silent for
-// UnlistedTimeout, such as a VM that came and went while the list was out of reach.
-// One that answers is alive, whatever the list says.
+// removeUnlisted removes VMs that were on the membership list and no longer are, since they
+// were removed permanently. It also removes a VM that was never on the list and has been
+// unresponsive for UnlistedTimeout, such as one that came and went while the list was
+// unavailable. A VM that responds is alive, whatever the list contains.
 func removeUnlisted(_ Roster, next *Roster, observed Observed) {
 	if observed.Listed == nil {
 		return
@@ -75,27 +75,27 @@
 	})
 }
 
-// dropSettled drops shunned VMs that certainly serve no more. Only a VM known
-// to follow the lapse rule stops without contact; one that left has stopped by
-// itself, and a new process of it follows the rule until it has joined.
+// removeExcluded removes excluded VMs that certainly no longer serve. Only a VM known to follow
+// the timeout rule stops serving without contact. A VM that left has stopped by itself, and a
+// new process on it follows the rule until it has joined.
 func removeExcluded(_ Roster, next *Roster, observed Observed) {
 	next.VMs = slices.DeleteFunc(next.VMs, func(vm VM) bool {
 		return vm.Excluded() && observed.Removable[vm.Name] && (vm.HasTimeout || vm.Left)
 	})
 }
 
-// markListed notes which VMs the membership list has shown.
+// markListed records which VMs the membership list has shown.
 func markListed(_ Roster, next *Roster, observed Observed) {
 	for i := range next.VMs {
 		next.VMs[i].Listed = next.VMs[i].Listed || observed.Listed[next.VMs[i].Name]
 	}
 }
 
-// markLapse notes which VMs follow the lapse rule. A VM follows it for certain
-// if it has held a roster since which the zone was never small: whatever it
-// holds by now demands the rule. From then on the mark itself binds it. In a
-// small zone the marks of listed VMs go off, and each VM stops following the
-// rule once it sees that.
+// markTimeout records which VMs follow the timeout rule. A VM certainly follows it once it has
+// held a roster since which the zone was never small, because every roster it can hold from
+// then on demands the rule. After that HasTimeout itself binds the VM. In a small zone
+// HasTimeout is cleared for listed VMs, and each VM stops following the rule once it receives
+// that roster.
 func markTimeout(old Roster, next *Roster, observed Observed) {
 	for i := range next.VMs {
 		vm := &next.VMs[i]
@@ -110,7 +110,7 @@
 	}
 }
 
-// unshunAnswering takes back a VM that answers again.
+// readmitResponding ends the exclusion of a VM that responds again, unless it left.
 func readmitResponding(_ Roster, next *Roster, observed Observed) {
 	for i := range next.VMs {
 		vm := &next.VMs[i]
@@ -120,9 +120,9 @@
 	}
 }
 
-// shunSilent shuns the one VM that is silent. With two silent no drop could
-// complete, as each would have to acknowledge the other's shunning; and a
-// keeper that is itself cut off must not shun the zone.
+// excludeUnresponsive excludes the only VM that is unresponsive. With two unresponsive VMs no
+// removal could complete, as each would have to acknowledge the exclusion of the other; and a
+// reconciler that is itself partitioned must not exclude the whole zone.
 func excludeUnresponsive(_ Roster, next *Roster, observed Observed) {
 	unresponsive := -1
 	for i, vm := range next.VMs {
--- a/contact/decide_test.go
+++ b/contact/decide_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// vm returns a VM in good standing that follows the lapse rule.
+// vm returns an active VM that follows the timeout rule.
 func vm(name string, change ...func(*VM)) VM {
 	v := VM{Name: name, HasTimeout: true, Listed: true}
 	for _, c := range change {
@@ -52,29 +52,29 @@
 		seen Observed
 		want []VM
 	}{
-		{"nothing happens", abc, Observed{Acks: acks("a", "b", "c")}, abc},
-		{"silent for a moment", abc, Observed{Acks: acks("a", "b"), UnresponsiveFor: map[string]time.Duration{"c": ExcludeAfter - 1}}, abc},
-		{"silent for long", abc, Observed{Acks: acks("a", "b"), UnresponsiveFor: unresponsive("c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(rev+1))}},
-		{"two silent", abc, Observed{Acks: acks("a"), UnresponsiveFor: unresponsive("b", "c")}, abc},
-		{"silent without the lapse rule", []VM{vm("a"), vm("b"), vm("c", noTimeout)}, Observed{Acks: acks("a", "b"), UnresponsiveFor: unresponsive("c")}, []VM{vm("a"), vm("b"), vm("c", noTimeout)}},
-		{"silent in a zone of two", []VM{vm("a", noTimeout), vm("b", noTimeout)}, Observed{Acks: acks("a"), UnresponsiveFor: unresponsive("b")}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
-		{"silent in a zone of two and never listed", []VM{vm("a", noTimeout), vm("b", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: unresponsive("b")}, []VM{vm("a", noTimeout), vm("b", unlisted, excludedAt(rev+1))}},
-		{"never listed and silent for very long", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: absent("b", "c"), Listed: map[string]bool{"a": true}}, []VM{vm("a", noTimeout)}},
-		{"never listed and nearly silent for so long", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: map[string]time.Duration{"b": UnlistedTimeout - 1, "c": UnlistedTimeout - 1}, Listed: map[string]bool{"a": true}}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
-		{"never listed, silent for very long, list out of reach", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: absent("b", "c")}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
+		{"no change", abc, Observed{Acks: acks("a", "b", "c")}, abc},
+		{"unresponsive for less than ExcludeAfter", abc, Observed{Acks: acks("a", "b"), UnresponsiveFor: map[string]time.Duration{"c": ExcludeAfter - 1}}, abc},
+		{"unresponsive for ExcludeAfter", abc, Observed{Acks: acks("a", "b"), UnresponsiveFor: unresponsive("c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(rev+1))}},
+		{"two unresponsive", abc, Observed{Acks: acks("a"), UnresponsiveFor: unresponsive("b", "c")}, abc},
+		{"unresponsive without the timeout rule", []VM{vm("a"), vm("b"), vm("c", noTimeout)}, Observed{Acks: acks("a", "b"), UnresponsiveFor: unresponsive("c")}, []VM{vm("a"), vm("b"), vm("c", noTimeout)}},
+		{"unresponsive in a zone of two", []VM{vm("a", noTimeout), vm("b", noTimeout)}, Observed{Acks: acks("a"), UnresponsiveFor: unresponsive("b")}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
+		{"unresponsive in a zone of two and never listed", []VM{vm("a", noTimeout), vm("b", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: unresponsive("b")}, []VM{vm("a", noTimeout), vm("b", unlisted, excludedAt(rev+1))}},
+		{"never listed and unresponsive for UnlistedTimeout", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: absent("b", "c"), Listed: map[string]bool{"a": true}}, []VM{vm("a", noTimeout)}},
+		{"never listed and unresponsive for less than UnlistedTimeout", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: map[string]time.Duration{"b": UnlistedTimeout - 1, "c": UnlistedTimeout - 1}, Listed: map[string]bool{"a": true}}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
+		{"never listed, unresponsive for UnlistedTimeout, list unavailable", []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}, Observed{Acks: acks("a"), UnresponsiveFor: absent("b", "c")}, []VM{vm("a"), vm("b", unlisted), vm("c", unlisted)}},
 		{"listed in a zone of two", []VM{vm("a", noTimeout), vm("b", unlisted)}, Observed{Acks: acks("a", "b"), Listed: map[string]bool{"a": true, "b": true}}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
-		{"shunned and not settled", []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}, Observed{Acks: acks("a", "b"), UnresponsiveFor: unresponsive("c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}},
-		{"shunned and settled", []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}, Observed{Acks: acks("a", "b"), Removable: removable("c")}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
-		{"settled without the lapse rule", []VM{vm("a"), vm("b"), vm("c", excludedAt(5), noTimeout)}, Observed{Acks: acks("a", "b"), Removable: removable("c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(5), noTimeout)}},
-		{"shunned and back", []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}, Observed{Acks: acks("a", "b", "c")}, abc},
-		{"left is not taken back", []VM{vm("a"), vm("b"), vm("c", excludedAt(5), left)}, Observed{Acks: acks("a", "b", "c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(5), left)}},
-		{"left and settled in a zone of two", []VM{vm("a", noTimeout), vm("c", excludedAt(5), left, noTimeout)}, Observed{Acks: acks("a", "c"), Removable: removable("c")}, []VM{vm("a", noTimeout)}},
-		{"gone from the list", abc, Observed{Acks: acks("a", "b"), Listed: map[string]bool{"a": true, "b": true}}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
-		{"gone from the list but answers", abc, Observed{Acks: acks("a", "b", "c"), Listed: map[string]bool{"a": true, "b": true}}, abc},
+		{"excluded and not removable", []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}, Observed{Acks: acks("a", "b"), UnresponsiveFor: unresponsive("c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}},
+		{"excluded and removable", []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}, Observed{Acks: acks("a", "b"), Removable: removable("c")}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
+		{"removable without the timeout rule", []VM{vm("a"), vm("b"), vm("c", excludedAt(5), noTimeout)}, Observed{Acks: acks("a", "b"), Removable: removable("c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(5), noTimeout)}},
+		{"excluded and responds again", []VM{vm("a"), vm("b"), vm("c", excludedAt(5))}, Observed{Acks: acks("a", "b", "c")}, abc},
+		{"left and not readmitted", []VM{vm("a"), vm("b"), vm("c", excludedAt(5), left)}, Observed{Acks: acks("a", "b", "c")}, []VM{vm("a"), vm("b"), vm("c", excludedAt(5), left)}},
+		{"left and removable in a zone of two", []VM{vm("a", noTimeout), vm("c", excludedAt(5), left, noTimeout)}, Observed{Acks: acks("a", "c"), Removable: removable("c")}, []VM{vm("a", noTimeout)}},
+		{"removed from the list", abc, Observed{Acks: acks("a", "b"), Listed: map[string]bool{"a": true, "b": true}}, []VM{vm("a", noTimeout), vm("b", noTimeout)}},
+		{"removed from the list but responds", abc, Observed{Acks: acks("a", "b", "c"), Listed: map[string]bool{"a": true, "b": true}}, abc},
 		{"not yet on the list", []VM{vm("a"), vm("b"), vm("c", unlisted)}, Observed{Acks: acks("a", "b"), Listed: map[string]bool{"a": true, "b": true}}, []VM{vm("a"), vm("b"), vm("c", unlisted)}},
-		{"list out of reach", abc, Observed{Acks: acks("a", "b")}, abc},
+		{"list unavailable", abc, Observed{Acks: acks("a", "b")}, abc},
 		{"rule acknowledged", []VM{vm("a"), vm("b", noTimeout), vm("c")}, Observed{Acks: acks("a", "b", "c")}, abc},
-		{"rule acknowledged on a roster before it", []VM{vm("a"), vm("b", noTimeout), vm("c")}, Observed{Acks: map[string]Ack{"a": {}, "b": {Roster: timeoutSince - 1}, "c": {}}}, []VM{vm("a"), vm("b", noTimeout), vm("c")}},
+		{"acknowledged a roster older than the rule", []VM{vm("a"), vm("b", noTimeout), vm("c")}, Observed{Acks: map[string]Ack{"a": {}, "b": {Roster: timeoutSince - 1}, "c": {}}}, []VM{vm("a"), vm("b", noTimeout), vm("c")}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/contact/encode.go
+++ b/contact/encode.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// plainRoster is the longest encoded roster that is not compressed, in
-	// bytes. That of a small zone stays readable in the table.
+	// maxPlainRoster is the largest encoded roster that is not compressed, in bytes. The roster
+	// of a small zone thus stays readable in the table.
 	maxPlainRoster = 1 << 10
-	// maxRoster bounds a decoded roster in bytes.
+	// maxRosterSize bounds a decoded roster in bytes.
 	maxRosterSize = 4 << 20
 )
 
-// gzipMagic begins a compressed roster; a plain one begins with a brace.
+// gzipMagic starts a compressed roster; a plain one starts with a brace.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Encode returns the form kept in the table and sent to peers: JSON, and
-// compressed if it is long. All VMs read it now and then, which in a large zone
-// would be most of their control traffic.
+// Encode returns the roster as stored in the table and sent to peers: JSON, compressed if it
+// exceeds maxPlainRoster. Every VM reads the roster periodically, so in a large zone plain
+// rosters would be most of the control traffic.
 func (r Roster) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -33,13 +33,13 @@
 	}
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
-	_, _ = w.Write(data) // a buffer takes all
+	_, _ = w.Write(data) // a bytes.Buffer never fails
 	_ = w.Close()
 	return buf.Bytes()
 }
 
-// Decode reads a roster from a table row or a message; nil data is the empty
-// roster. The error is *MalformedError.
+// Decode decodes a roster from a table row or a message; nil data yields the empty roster. The
+// error is *MalformedError.
 func Decode(data []byte) (Roster, error) {
 	var r Roster
 	if len(data) == 0 {
@@ -55,8 +55,8 @@
 	return r, nil
 }
 
-// inflate returns what was compressed, or data itself if it was not. A longer
-// text than a roster may have comes back cut, which no decoder takes.
+// decompress returns the decompressed data, or data itself if it is not compressed. Text over
+// maxRosterSize is truncated, and then fails to decode.
 func decompress(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, gzipMagic) {
 		return data, nil
--- a/contact/encode_test.go
+++ b/contact/encode_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Rosters of every size come back as they were, and a damaged one is refused.
+// Rosters of every size survive encoding and decoding, and a truncated one is rejected.
 func TestEncode(t *testing.T) {
 	for _, n := range []int{0, 3, 63} {
 		var r Roster
--- a/contact/errors.go
+++ b/contact/errors.go
@@ -6,7 +6,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// MalformedError is a row or message that cannot be decoded.
+// MalformedError reports a row or message that cannot be decoded.
 type MalformedError struct{ Cause error }
 
 // Error implements error.
@@ -18,22 +18,23 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// Status is why a VM may not serve.
+// Status is whether a VM may serve, and if not, why.
 type Status string
 
-// The standings.
+// Statuses of a VM.
 const (
-	// Active is a VM that may serve.
+	// Active means that the VM may serve.
 	Active Status = "in-force"
-	// NotJoined is a VM that is not on its zone's roster, or shunned there.
+	// NotJoined means that the VM is not on its zone's roster, or is excluded there.
 	NotJoined Status = "not-joined"
-	// NoContact is a VM that has been out of contact, or paused, for too long.
+	// NoContact means that the VM has been without contact, or paused, for too long.
 	NoContact Status = "no-contact"
-	// Departed is a VM that stops by plan.
+	// Stopping means that the VM is shutting down as planned.
 	Stopping Status = "departed"
 )
 
-// UnconfirmedError is a refusal to serve: this VM's configuration may be old.
+// UnconfirmedError reports that this VM refuses to serve because its configuration may be
+// stale.
 type UnconfirmedError struct{ Status Status }
 
 // Error implements error.
@@ -49,8 +50,8 @@
 	return failure.ConfigUnconfirmed
 }
 
-// UnstableError is a collection of acknowledgements that a VM kept from
-// completing: it did not answer, holds too little, or restarted between rounds.
+// UnstableError reports that acknowledgements are incomplete because a VM did not respond,
+// holds a version that is too old, or restarted between rounds.
 type UnstableError struct {
 	// Missing names the VMs, sorted.
 	Missing []string
--- a/contact/exclusion.go
+++ b/contact/exclusion.go
@@ -10,24 +10,25 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// settle is a shunning that every other VM has acknowledged.
+// exclusion is an exclusion that every other VM has acknowledged.
 type exclusion struct {
 	excludedAt     uint64
 	acknowledgedAt time.Time
-	// instances are the processes that acknowledged it, by VM.
+	// instances are the processes that acknowledged it, by VM name.
 	instances map[string]uint64
-	// over is set once the settling time has passed without a restart of them.
+	// confirmed is set once RemovalDelay has passed without a restart of these processes.
 	confirmed bool
 }
 
-// settle has the others acknowledge each shunning that still needs it, and looks
-// whether those whose time has passed have settled. A VM that joins meanwhile
-// joins on a roster that already shuns the VM.
+// trackExclusions collects the acknowledgements of each new exclusion, and confirms those whose
+// RemovalDelay has passed. A VM that joins in between joins on a roster that already excludes
+// the VM.
 //
-// Why the second look: until its permission has ended, the shunned VM may be the
-// one from which a process that restarts learns its state. The two would vouch
-// for each other. If the processes that acknowledged are still the same, there
-// was none, and from now on the shunned VM, which may not serve, misleads nobody.
+// The confirmation is needed because until its permission has ended, the excluded VM may be the
+// one from which a restarted process receives its state, and the two would then confirm each
+// other as members. If the processes that acknowledged are still the same, there was no such
+// restart; and from then on the excluded VM may not serve, so no restarted process can take its
+// state from it.
 func (rc *Reconciler) trackExclusions(ctx context.Context, r Roster) {
 	for _, vm := range r.VMs {
 		s := rc.exclusions[vm.Name]
@@ -41,7 +42,7 @@
 	}
 }
 
-// beginSettle has the others acknowledge that vm is shunned.
+// beginExclusion makes the other VMs acknowledge that vm is excluded.
 func (rc *Reconciler) beginExclusion(ctx context.Context, r Roster, vm VM) {
 	instances := map[string]uint64{}
 	var mu sync.Mutex
@@ -54,30 +55,31 @@
 	}
 	sufficient := func(a Ack) bool { return a.Roster >= r.Revision }
 	if err := ConfirmStable(ctx, r.Except(vm.Name), push, push, sufficient); err != nil {
-		klog.Infof("contact: shunning of %s waits: %v", vm.Name, err)
+		klog.Infof("contact: exclusion of %s is waiting: %v", vm.Name, err)
 		return
 	}
-	// Counted from after the last answer, on the monotonic clock.
+	// The delay counts from after the last response, on the monotonic clock.
 	rc.exclusions[vm.Name] = exclusion{excludedAt: vm.ExcludedAt, acknowledgedAt: clock.Now(), instances: instances}
 }
 
-// endSettle looks whether those who acknowledged it still run. If one has
-// restarted, the shunning settles anew; one that does not answer is asked again.
+// finishExclusion checks that the processes that acknowledged the exclusion still run. If one
+// has restarted, the exclusion starts again; one that does not respond is queried again by the
+// next step.
 func (rc *Reconciler) finishExclusion(ctx context.Context, r Roster, vm VM) {
 	s := rc.exclusions[vm.Name]
 	acks := Collect(ctx, r.Except(vm.Name), rc.peers.Probe)
 	for _, other := range r.Except(vm.Name) {
 		before, acknowledged := s.instances[other.Name]
 		if !acknowledged {
-			continue // it has joined since
+			continue // joined after the acknowledgement
 		}
 		ack, responded := acks[other.Name]
 		if !responded {
-			klog.Infof("contact: shunning of %s waits: no answer from %s", vm.Name, other.Name)
+			klog.Infof("contact: exclusion of %s is waiting: no response from %s", vm.Name, other.Name)
 			return
 		}
 		if ack.Instance != before {
-			klog.Infof("contact: shunning of %s begins anew: %s has restarted", vm.Name, other.Name)
+			klog.Infof("contact: exclusion of %s starts again: %s has restarted", vm.Name, other.Name)
 			delete(rc.exclusions, vm.Name)
 			return
 		}
@@ -86,7 +88,7 @@
 	rc.exclusions[vm.Name] = s
 }
 
-// settled names the VMs whose shunning has settled.
+// removable returns the names of the VMs whose exclusion is confirmed.
 func (rc *Reconciler) removable(r Roster) map[string]bool {
 	done := map[string]bool{}
 	for _, vm := range r.VMs {
@@ -98,7 +100,8 @@
 	return done
 }
 
-// shun makes sure that the VM holds the roster. Most have it from their peers.
+// pushRoster ensures that the VM holds the roster. Most VMs have already received it from their
+// peers.
 func (rc *Reconciler) pushRoster(ctx context.Context, vm VM, r Roster) (Ack, error) {
 	ack, err := rc.peers.Probe(ctx, vm)
 	if err != nil || ack.Roster >= r.Revision {
--- a/contact/member.go
+++ b/contact/member.go
@@ -8,59 +8,58 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// Ack tells what a process holds.
+// Ack is what a process reports that it holds.
 type Ack struct {
 	// Instance is unique for each start of the process.
 	Instance uint64
-	// Config is the configuration version in force; zero is none.
+	// Config is the configuration version in effect; zero means none.
 	Config uint64
-	// Roster is the revision of the newest roster held; zero is none.
+	// Roster is the revision of the newest roster held; zero means none.
 	Roster uint64
 }
 
-// tickInterval is how often a running member moves its liveness mark.
+// tickInterval is how often a running member records that the process runs.
 const tickInterval = 250 * time.Millisecond
 
-// Member is this VM's standing in its zone. Its methods are safe for
+// Member is this VM's membership and permission to serve in its zone. Its methods are safe for
 // concurrent use; Allow takes no lock.
 //
 // Invariants:
-//   - roster never goes to a lower revision;
-//   - until is in the future only if this VM was trusted by the newest roster
-//     held, and had contact that it began to ask for less than Timeout before
-//     until, or the lapse rule does not apply and no pause was seen since;
-//   - once departed, it neither serves nor vouches.
+//   - The roster is never replaced by one with a lower revision.
+//   - allowedUntil is in the future only if the newest roster held lists this VM as active, and
+//     either the VM had a contact that it requested less than Timeout before allowedUntil, or
+//     the timeout rule does not apply and no pause was detected since.
+//   - Once departed is set, the member neither serves nor confirms other members.
 type Member struct {
 	name, zone string
 	base       time.Time
-	// follow is called with each roster adopted, in the order of revisions.
+	// onRoster is called with each roster applied, in the order of revisions.
 	onRoster func(Roster)
-	// until is the end of the permission, as a duration since base.
+	// allowedUntil is the end of the permission, as a duration since base.
 	allowedUntil atomic.Int64
 
-	// mu guards all below. It is held while follow runs, so it is taken before
-	// any lock that follow takes.
+	// mu guards the fields below. It is held while onRoster runs, so it is taken before any
+	// lock that onRoster takes.
 	mu       sync.Mutex
 	roster   Roster
 	departed bool
-	// joined is set once this process has joined the roster in the table. Until
-	// then it follows the lapse rule in every zone, so that the settling time
-	// after its predecessor left covers it too.
+	// joined is set once this process has joined the roster in the table. Until then it follows
+	// the timeout rule in every zone, so that the removal delay after its predecessor left
+	// covers this process too.
 	joined bool
-	// contact is when the newest successful contact began; zero is none.
+	// lastContact is when the newest successful contact was requested; zero means none.
 	lastContact time.Time
-	// paused is set by a gap in ticks, until the next contact.
+	// paused is set when a gap between ticks is detected, until the next contact.
 	paused bool
-	// pausedAt is when the process was last seen running before the gap. No
-	// code ran in the gap, so a contact that began Timeout later began after it.
+	// pausedAt is when the process was last known to run before the gap. No code ran in the
+	// gap, so a contact requested at least Timeout later was requested after the gap.
 	pausedAt time.Time
-	// seen is when this member last noted that the process runs.
+	// lastTick is when this member last recorded that the process runs.
 	lastTick time.Time
 }
 
-// NewMember returns a member that may not serve yet. follow is called with
-// each roster adopted, before the member tells anyone that it holds it; it
-// must not call the member.
+// NewMember returns a member that may not serve yet. onRoster is called with each roster
+// applied, before the member reports to anyone that it holds it; it must not call the member.
 func NewMember(zone, name string, onRoster func(Roster)) *Member {
 	now := clock.Now()
 	return &Member{name: name, zone: zone, base: now, lastTick: now, onRoster: onRoster}
@@ -72,8 +71,8 @@
 // Zone returns the VM's availability zone.
 func (m *Member) Zone() string { return m.zone }
 
-// Allow returns nil when this VM may take a new request, and otherwise
-// *UnconfirmedError. It is called for each request.
+// Allow returns nil if this VM may accept a new request, and otherwise *UnconfirmedError. It is
+// called for each request.
 func (m *Member) Allow() error {
 	if int64(clock.Since(m.base)) < m.allowedUntil.Load() {
 		return nil
@@ -81,7 +80,7 @@
 	return &UnconfirmedError{Status: m.Status()}
 }
 
-// Status tells whether this VM may serve, and if not, why.
+// Status returns Active if this VM may serve, and otherwise the reason why not.
 func (m *Member) Status() Status {
 	if int64(clock.Since(m.base)) < m.allowedUntil.Load() {
 		return Active
@@ -105,9 +104,8 @@
 	return m.roster
 }
 
-// ApplyRoster takes in a roster if it is newer than the one held. When it returns,
-// this VM vouches for nobody whom the roster shuns, and serves no more if it
-// is not trusted itself.
+// ApplyRoster replaces the roster held if r is newer. When it returns, this VM no longer
+// confirms any VM that r excludes, and no longer serves if it is not active itself.
 func (m *Member) ApplyRoster(r Roster) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,8 +117,8 @@
 	m.updatePermission(clock.Now())
 }
 
-// RecordJoin records that this process put itself on the roster, by a write that
-// it began at began.
+// RecordJoin records that this process joined the roster by a write that it started at
+// startedAt.
 func (m *Member) RecordJoin(r Roster, startedAt time.Time) {
 	m.ApplyRoster(r)
 	m.mu.Lock()
@@ -129,9 +127,8 @@
 	m.RecordContact(startedAt)
 }
 
-// NeedsJoin tells whether this process has yet to put itself on the roster, or
-// was dropped from it. A VM that is shunned waits for the keeper to take it
-// back or to drop it.
+// NeedsJoin reports whether this process has not yet joined the roster, or was removed from it.
+// A VM that is excluded waits until the reconciler readmits or removes it.
 func (m *Member) NeedsJoin() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,26 +136,27 @@
 	return !m.departed && (!m.joined || !listed)
 }
 
-// LastContact returns when the newest successful contact began; zero is none.
+// LastContact returns when the newest successful contact was requested; zero means none.
 func (m *Member) LastContact() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lastContact
 }
 
-// ConfirmMember tells whether this VM holds that name in good standing. A VM that has
-// itself lapsed may vouch: it was asked to acknowledge the shunning of every
-// VM dropped while it was on the roster, and the asker trusts it only if the
-// asker's own roster does (see docs/design/config.md).
+// ConfirmMember reports whether the VM of that name is active on this VM's roster. It is false
+// if this VM is stopping or never had contact. A VM whose own permission has expired may still
+// confirm: while it is on the roster, it must acknowledge every exclusion before the excluded
+// VM is removed, and the querying VM accepts the confirmation only if its own roster lists this
+// VM as active (see docs/design/config.md).
 func (m *Member) ConfirmMember(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.departed && !m.lastContact.IsZero() && m.roster.IsActive(name)
 }
 
-// RecordContact records a contact that this VM began to ask for at began. The caller
-// has adopted the roster and put the configuration in force that the contact
-// told of: this order matters, as the permission covers both.
+// RecordContact records a contact that this VM requested at startedAt. The caller must first
+// have applied the roster and the configuration received in that contact, because the
+// permission covers both.
 func (m *Member) RecordContact(startedAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -171,7 +169,7 @@
 	m.updatePermission(clock.Now())
 }
 
-// StopServing ends the permission for good: this VM stops by plan.
+// StopServing ends the permission permanently, because this VM is shutting down.
 func (m *Member) StopServing() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,7 +177,7 @@
 	m.allowedUntil.Store(0)
 }
 
-// Run keeps noting that the process runs, until done is closed.
+// Run records periodically that the process runs, until done is closed.
 func (m *Member) Run(done <-chan struct{}) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -199,7 +197,7 @@
 	m.updatePermission(clock.Now())
 }
 
-// update sets until from the state. The caller holds mu.
+// updatePermission sets allowedUntil from the state. The caller holds mu.
 func (m *Member) updatePermission(now time.Time) {
 	m.detectPause(now)
 	if m.departed || m.lastContact.IsZero() || m.paused || !m.roster.IsActive(m.name) {
@@ -208,15 +206,15 @@
 	}
 	from := m.lastContact
 	if m.joined && !m.roster.TimeoutAppliesTo(m.name) {
-		from = now // without the rule only a pause ends the permission
+		from = now // without the timeout rule only a pause ends the permission
 	}
 	m.allowedUntil.Store(int64(from.Add(Timeout).Sub(m.base)))
 }
 
-// notePause finds a gap of Timeout or more, in which the process was paused: it
-// has to learn the newest version before it serves again, by a contact that
-// began after the gap. It runs first in update, so that no other event can
-// bridge the gap. The caller holds mu.
+// detectPause detects a gap of Timeout or more, in which the process was paused. The process
+// must then receive the newest version, by a contact that it requested after the gap, before it
+// serves again. detectPause runs first in updatePermission, so that no other event hides the
+// gap. The caller holds mu.
 func (m *Member) detectPause(now time.Time) {
 	pauseLimit := m.lastTick.Add(Timeout)
 	if !now.Before(pauseLimit) {
--- a/contact/member_test.go
+++ b/contact/member_test.go
@@ -26,11 +26,11 @@
 func expectStatus(t *testing.T, m *Member, want Status) {
 	t.Helper()
 	if got := m.Status(); got != want {
-		t.Errorf("standing %s, want %s", got, want)
+		t.Errorf("status %s, want %s", got, want)
 	}
 	var refused *UnconfirmedError
 	if err := m.Allow(); (err == nil) != (want == Active) || err != nil && !errors.As(err, &refused) {
-		t.Errorf("Allow() = %v at standing %s", err, want)
+		t.Errorf("Allow() = %v at status %s", err, want)
 	}
 }
 
@@ -39,14 +39,14 @@
 		m := newTestMember("a")
 		expectStatus(t, m, NotJoined)
 		began := time.Now()
-		time.Sleep(time.Second) // the answer takes a while
+		time.Sleep(time.Second) // the response takes a second
 		m.RecordJoin(roster(1, vm("a"), vm("b"), vm("c")), began)
 		expectStatus(t, m, Active)
 		tickFor(m, Timeout-time.Second-time.Millisecond)
 		expectStatus(t, m, Active)
 		tickFor(m, time.Millisecond)
 		expectStatus(t, m, NoContact)
-		m.RecordContact(began) // an answer to a question asked long ago
+		m.RecordContact(began) // a response to a request from long before
 		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
 		expectStatus(t, m, Active)
@@ -61,7 +61,7 @@
 		m.RecordContact(time.Now())
 		expectStatus(t, m, Stopping)
 		if m.ConfirmMember("b") {
-			t.Error("a departed VM vouches")
+			t.Error("a stopped VM confirms a member")
 		}
 	})
 }
@@ -75,12 +75,12 @@
 		time.Sleep(Timeout) // paused: nothing ticks
 		tickFor(m, time.Second)
 		expectStatus(t, m, NoContact)
-		m.RecordContact(time.Now().Add(-Timeout)) // a contact from before the pause
+		m.RecordContact(time.Now().Add(-Timeout)) // a contact requested before the pause
 		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
 		tickFor(m, time.Hour)
 		expectStatus(t, m, Active)
-		// A roster that still marks it as following the rule binds it.
+		// A roster that still has HasTimeout set for the VM binds it.
 		m.ApplyRoster(roster(2, vm("a"), vm("b")))
 		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
@@ -89,8 +89,8 @@
 	})
 }
 
-// A new process of a VM that has not joined follows the rule in every zone:
-// its predecessor may have left.
+// A new process of a VM that has not joined follows the timeout rule in every zone, because its
+// predecessor may have left.
 func TestUnjoinedMemberTimesOutInSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
@@ -106,19 +106,19 @@
 	m := newTestMember("a")
 	m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
 	if m.ConfirmMember("b") {
-		t.Error("a VM that never had contact vouches")
+		t.Error("a VM that never had contact confirms a member")
 	}
 	m.RecordContact(time.Now())
 	if !m.ConfirmMember("b") || m.ConfirmMember("x") {
-		t.Error("vouches wrongly")
+		t.Error("ConfirmMember is wrong for an active or an unknown VM")
 	}
 	m.ApplyRoster(roster(2, vm("a"), vm("b", excludedAt(2)), vm("c")))
 	if m.ConfirmMember("b") {
-		t.Error("vouches for a shunned VM")
+		t.Error("confirms an excluded VM")
 	}
 }
 
-// The answers of scripted VMs, one a call.
+// scriptedAcks holds the responses of each VM, one for each query.
 type scriptedAcks map[string][]Ack
 
 func (s scriptedAcks) query(_ context.Context, v VM) (Ack, error) {
@@ -139,9 +139,9 @@
 	}{
 		{"holds", []Ack{ok, ok}, nil},
 		{"holds too little", []Ack{old, ok}, []string{"b"}},
-		{"silent", nil, []string{"b"}},
-		{"silent in the second round", []Ack{ok}, []string{"b"}},
-		{"restarted and behind", []Ack{ok, {Instance: 2, Config: 1}}, []string{"b"}},
+		{"no response", nil, []string{"b"}},
+		{"no response in the second round", []Ack{ok}, []string{"b"}},
+		{"restarted with an older version", []Ack{ok, {Instance: 2, Config: 1}}, []string{"b"}},
 		{"restarted between the rounds", []Ack{ok, other}, []string{"b"}},
 	}
 	for _, tt := range tests {
--- a/contact/metrics.go
+++ b/contact/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// countStep counts a keeper's step that failed, by reason.
+// countStep counts a failed step of the reconciler by reason.
 func countStep(err error) {
 	if err != nil {
 		name := fmt.Sprintf(`springweir_roster_failures_total{reason=%q}`, failure.ReasonOf(err))
@@ -16,7 +16,7 @@
 	}
 }
 
-// countChange counts the VMs that a change of the roster shunned and dropped.
+// countChange counts the VMs that a change of the roster excluded and removed.
 func countChange(old, next Roster) {
 	for _, vm := range old.VMs {
 		now, listed := next.Find(vm.Name)
--- a/contact/probe.go
+++ b/contact/probe.go
@@ -9,11 +9,11 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// probe asks the VMs in doubt, or all of them when their turn has come or one
-// is about to be shunned. The answers of the others stand meanwhile: they only
-// guard against shunning by a keeper that is itself cut off, and no safety
-// rests on their age. A VM that is about to be dropped is not asked: it is
-// dropped whether it answers or not, and waiting for it would hold that up.
+// probe probes the VMs whose state is uncertain, or all VMs when the periodic probe is due or
+// one VM is about to be excluded. The latest responses of the other VMs stay valid meanwhile:
+// they only prevent exclusions by a reconciler that is itself partitioned, and safety does not
+// depend on their age. A VM that is about to be removed is not probed: it is removed whether or
+// not it responds, and waiting for it would delay the removal.
 func (rc *Reconciler) probe(ctx context.Context, r Roster) {
 	targets := rc.uncertainVMs(r)
 	interval := time.Duration(len(r.VMs)) * probeIntervalPerVM
@@ -30,8 +30,8 @@
 	maps.Copy(rc.acks, acks)
 }
 
-// oneSilent tells that a single VM was silent in an earlier round, and can be
-// shunned if it still is. With two, no shunning can follow (see shunSilent).
+// oneUnresponsive reports whether exactly one VM was unresponsive in earlier rounds and can be
+// excluded if it still is. With two, no exclusion can follow (see excludeUnresponsive).
 func (rc *Reconciler) oneUnresponsive(r Roster) bool {
 	unresponsive, excludable := 0, false
 	for _, vm := range r.VMs {
@@ -43,8 +43,8 @@
 	return unresponsive == 1 && excludable
 }
 
-// inDoubt returns the VMs that did not answer, are shunned, are suspected, or
-// have yet to follow the lapse rule.
+// uncertainVMs returns the VMs that did not respond, are excluded, are suspected, or do not yet
+// follow the timeout rule.
 func (rc *Reconciler) uncertainVMs(r Roster) []VM {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -60,7 +60,7 @@
 	return vms
 }
 
-// noteSilent notes which VMs did not answer probes that began at asked.
+// recordUnresponsive records which VMs did not respond to probes that started at probeStart.
 func (rc *Reconciler) recordUnresponsive(r Roster, probeStart time.Time) {
 	since := map[string]time.Time{}
 	for _, vm := range r.VMs {
@@ -75,7 +75,7 @@
 	rc.unresponsiveSince = since
 }
 
-// silent returns how long each silent VM has not answered.
+// unresponsiveFor returns how long each unresponsive VM has not responded.
 func (rc *Reconciler) unresponsiveFor(now time.Time) map[string]time.Duration {
 	durations := map[string]time.Duration{}
 	for name, since := range rc.unresponsiveSince {
--- a/contact/reconciler.go
+++ b/contact/reconciler.go
@@ -13,27 +13,26 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Peers asks the VMs of a roster. Implementations never repeat a call by
-// themselves and bound its time.
+// Peers calls the VMs of a roster. Implementations never retry a call and bound its duration.
 type Peers interface {
-	// Probe asks what the VM holds.
+	// Probe returns what the VM holds.
 	Probe(ctx context.Context, vm VM) (Ack, error)
-	// PushRoster hands the VM a roster and returns what it then holds.
+	// PushRoster sends a roster to the VM and returns what the VM then holds.
 	PushRoster(ctx context.Context, vm VM, r Roster) (Ack, error)
 }
 
-// Authority gives conditions that hold only while this process holds the
-// lease under which it keeps the zone. The error says that it does not.
+// Authority returns table checks that hold only while this process holds the lease under which
+// it reconciles the zone. The error means that it does not hold the lease.
 type Authority interface {
 	Checks() ([]table.Check, error)
 }
 
-// Reconciler keeps the roster of one zone, under the zone's lease. Its state is
-// lost with the process: a successor starts its own count for every shunning.
+// Reconciler reconciles the roster of one zone, under the zone's lease. Its state is lost with
+// the process: a successor starts the removal delay of every exclusion again.
 //
-// Invariant: each write states facts that stay true as long as its checks
-// hold. So a write whose answer was lost needs no settling: if it takes effect
-// late it is still right, and the next Step reads what stands.
+// Invariant: each write states facts that remain true as long as its checks hold. A write whose
+// response was lost therefore needs no resolution: if it takes effect late it is still correct,
+// and the next Step reads the current row.
 type Reconciler struct {
 	zone    string
 	rows    table.Service
@@ -44,25 +43,26 @@
 
 	unresponsiveSince map[string]time.Time
 	exclusions        map[string]exclusion
-	// acks are the newest answers. probed is when all VMs were last asked.
+	// acks are the latest responses. lastProbe is when all VMs were last probed.
 	acks      map[string]Ack
 	lastProbe time.Time
-	// looked is when the newest step began, also one that failed.
+	// stepStart is when the latest step started, even if it failed.
 	stepStart time.Time
-	// wrote tells that the newest step changed the roster.
+	// changed is set if the latest step changed the roster.
 	changed bool
-	// vms is how many VMs it found there.
+	// vmCount is the number of VMs on the roster in the latest step.
 	vmCount time.Duration
 
-	// mu guards suspects, the VMs that others could not reach. It is a leaf.
+	// mu guards suspects, the VMs that others could not reach. No other lock is taken while it
+	// is held.
 	mu       sync.Mutex
 	suspects map[string]bool
-	// suspected holds a token while there are suspects that Run has not seen.
+	// suspected holds a token while there are suspects that Run has not yet handled.
 	suspected chan struct{}
 }
 
-// NewReconciler returns the keeper of a zone's roster. writeID gives a new id for
-// each call.
+// NewReconciler returns the reconciler of a zone's roster. writeID returns a new ID on each
+// call.
 func NewReconciler(zone string, rows table.Service, peers Peers, members membership.List, auth Authority, writeID func() string) *Reconciler {
 	return &Reconciler{
 		zone: zone, rows: rows, peers: peers, members: members, auth: auth, writeID: writeID,
@@ -74,8 +74,8 @@
 	}
 }
 
-// Suspect has the keeper ask these VMs at once, as somebody could not reach
-// them. It may be called from any goroutine.
+// Suspect makes the reconciler probe these VMs immediately, because another component could not
+// reach them. It is safe for concurrent use.
 func (rc *Reconciler) Suspect(names []string) {
 	if len(names) == 0 {
 		return
@@ -91,27 +91,27 @@
 	}
 }
 
-// Limits of the keeper's rounds.
+// Intervals and limits of the reconciler's rounds.
 const (
-	// minRound and maxRound bound the time between two rounds, unless something
-	// is due sooner. A round asks only the VMs that are in doubt, except that
-	// every VM is asked once in a while.
+	// minRoundInterval and maxRoundInterval bound the time between two rounds, unless an
+	// exclusion or removal is due sooner. A round probes only the VMs whose state is uncertain,
+	// apart from a periodic probe of all VMs.
 	minRoundInterval = time.Second
 	maxRoundInterval = 4 * time.Second
-	// roundSpacing is how much of it each VM takes up: the length of the roster
-	// that a round reads grows with their number.
+	// roundIntervalPerVM is the round interval per VM on the roster: a round reads the whole
+	// roster, whose length grows with the number of VMs.
 	roundIntervalPerVM = time.Second / 16
-	// probeSpacing is how much time a probe of each VM takes up, so that the
-	// probes of a large zone stay within the budget for control messages. A dead
-	// VM that holds up a change is found sooner, by Suspect.
+	// probeIntervalPerVM is the interval between probes of all VMs, per VM on the roster, so
+	// that the probes of a large zone stay within the budget for control messages. A dead VM
+	// that blocks a change is found sooner, through Suspect.
 	probeIntervalPerVM = 2 * time.Second
-	// sweepInterval is between two sweeps of the other zones.
+	// sweepInterval is the time between two sweeps of the other zones.
 	sweepInterval = 30 * time.Second
-	// maxZones bounds the rosters read at once.
+	// maxZones bounds the number of rosters read at once.
 	maxZones = 1000
 )
 
-// Run keeps the roster until ctx ends.
+// Run reconciles the roster until ctx ends.
 func (rc *Reconciler) Run(ctx context.Context) {
 	var swept time.Time
 	for ctx.Err() == nil {
@@ -122,7 +122,7 @@
 		}
 		countStep(err)
 		if err != nil {
-			klog.Warningf("contact: roster of zone %s not kept: %v", rc.zone, err)
+			klog.Warningf("contact: reconciling the roster of zone %s failed: %v", rc.zone, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -132,8 +132,9 @@
 	}
 }
 
-// pause returns the time until the next round: at once after a change, so that
-// a shunning begins to settle, and in time for the next shunning or drop.
+// nextDelay returns the time until the next round. It is zero after a change, so that the
+// acknowledgement of an exclusion starts at once, and ends no later than the next exclusion or
+// removal is due.
 func (rc *Reconciler) nextDelay(now time.Time) time.Duration {
 	if rc.changed {
 		return 0
@@ -148,15 +149,15 @@
 	for _, s := range rc.exclusions {
 		due := s.acknowledgedAt.Add(RemovalDelay)
 		if due.After(rc.stepStart) && !due.After(now) {
-			return 0 // it passed while the round waited for answers
+			return 0 // it passed while the round waited for responses
 		}
 		delay = minPositive(delay, due.Sub(now))
 	}
 	return delay
 }
 
-// sooner returns left if it lies between nothing and pause. What was due before
-// has had its round.
+// minPositive returns left if it lies between zero and delay, and otherwise delay. A deadline
+// that has already passed was handled by an earlier round.
 func minPositive(delay, left time.Duration) time.Duration {
 	if left > 0 && left < delay {
 		return left
@@ -164,12 +165,12 @@
 	return delay
 }
 
-// Step probes VMs, decides, and writes what changed. The VMs learn the new
-// roster from their peers.
+// Step probes VMs, decides, and writes the roster if it changed. The VMs receive the new roster
+// from their peers.
 //
-// The order matters: the membership list is read after the roster, so that a
-// VM that the roster shows as listed and the list lacks has been dropped since.
-// What settles comes before the probes, which wait for VMs that hang.
+// The order matters. The membership list is read after the roster, so a VM that the roster
+// marks as listed and the list lacks was removed from the list in between. Exclusions are
+// tracked before the probes, which wait for VMs that hang.
 func (rc *Reconciler) Step(ctx context.Context) error {
 	rc.changed, rc.stepStart = false, clock.Now()
 	checks, err := rc.auth.Checks()
@@ -205,12 +206,12 @@
 	}
 	rc.changed = true
 	countChange(old, next)
-	klog.Infof("contact: roster of zone %s revision %d: %v", rc.zone, next.Revision, next.Names())
+	klog.Infof("contact: updated the roster of zone %s to revision %d: %v", rc.zone, next.Revision, next.Names())
 	return nil
 }
 
-// Sweep drops VMs that are gone for good from the rosters of all other zones,
-// which may have nobody left to keep them.
+// Sweep removes VMs that were deleted permanently from the rosters of all other zones, which
+// may have no VM left to run a reconciler.
 func (rc *Reconciler) Sweep(ctx context.Context) error {
 	rows, err := rc.rows.Scan(ctx, Table, "", "", maxZones)
 	if err != nil {
@@ -233,12 +234,12 @@
 			return eris.Wrap(err, "write roster of another zone")
 		}
 		countChange(old, next)
-		klog.Infof("contact: roster of zone %s revision %d by sweep: %v", next.Zone, next.Revision, next.Names())
+		klog.Infof("contact: sweep updated the roster of zone %s to revision %d: %v", next.Zone, next.Revision, next.Names())
 	}
 	return nil
 }
 
-// list returns the names on the membership list, or nil when it is out of reach.
+// listedNames returns the names on the membership list, or nil if the list is unavailable.
 func (rc *Reconciler) listedNames(ctx context.Context) map[string]bool {
 	vms, err := rc.members.VMs(ctx)
 	if err != nil {
--- a/contact/reconciler_test.go
+++ b/contact/reconciler_test.go
@@ -17,16 +17,16 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// A silent VM is dropped only when all others have acknowledged its shunning
-// and the settling time has passed since.
+// An unresponsive VM is removed only after all others have acknowledged its exclusion and the
+// removal delay has passed since.
 func TestReconcilerRemovesUnresponsiveVM(t *testing.T) {
 	tests := []struct {
 		name string
-		// hinder keeps the drop back and is taken away after a minute.
+		// block prevents the removal, and is ended after a minute.
 		block func(z *fakepeer.Zone, on bool)
 	}{
-		{"at once", func(*fakepeer.Zone, bool) {}},
-		{"another VM takes no roster", func(z *fakepeer.Zone, on bool) { z.Deaf["b"] = on }},
+		{"unobstructed", func(*fakepeer.Zone, bool) {}},
+		{"another VM accepts no roster", func(z *fakepeer.Zone, on bool) { z.Deaf["b"] = on }},
 		{"another VM keeps restarting", func(z *fakepeer.Zone, on bool) {
 			if on {
 				go func() {
@@ -37,7 +37,7 @@
 				}()
 			}
 		}},
-		{"another VM restarts while it settles, and may have learnt from the silent one", func(z *fakepeer.Zone, on bool) {
+		{"another VM restarts during the removal delay, and may have its state from the unresponsive one", func(z *fakepeer.Zone, on bool) {
 			if on {
 				go func() {
 					for range 20 {
@@ -47,7 +47,7 @@
 				}()
 			}
 		}},
-		{"another VM is silent too", func(z *fakepeer.Zone, on bool) { z.Silent["b"] = on }},
+		{"another VM is unresponsive too", func(z *fakepeer.Zone, on bool) { z.Silent["b"] = on }},
 	}
 	for i, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -85,10 +85,10 @@
 				}
 				took := time.Since(began)
 				if early := contact.ExcludeAfter + contact.RemovalDelay; took < early {
-					t.Errorf("dropped after %v, before %v", took, early)
+					t.Errorf("removed after %v, want at least %v", took, early)
 				}
 				if blocked := i > 0; blocked != (len(names()) == 3) {
-					t.Errorf("after a minute: %v", names())
+					t.Errorf("roster after a minute: %v", names())
 				}
 				z.Change(func() { tt.block(z, false) })
 				time.Sleep(time.Minute)
--- a/contact/stable.go
+++ b/contact/stable.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// askWorkers bounds how many VMs are asked at the same time.
+// maxConcurrentQueries bounds the number of VMs queried concurrently.
 const maxConcurrentQueries = 16
 
-// Query asks one VM and returns what it then holds.
+// Query queries one VM and returns what that VM then holds.
 type Query func(ctx context.Context, vm VM) (Ack, error)
 
-// Collect asks the VMs side by side and returns the answers by name. A VM that
-// fails to answer is missing from them.
+// Collect queries the VMs concurrently and returns the responses by name. A VM that fails to
+// respond is missing from the result.
 func Collect(ctx context.Context, vms []VM, query Query) map[string]Ack {
 	var mu sync.Mutex
 	acks := make(map[string]Ack, len(vms))
@@ -25,7 +25,7 @@
 		g.Go(func() error {
 			ack, err := query(ctx, vm)
 			if err != nil {
-				return nil // the VM stays missing, which is the caller's finding
+				return nil // the VM stays missing from acks, which the caller checks
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -37,15 +37,15 @@
 	return acks
 }
 
-// ConfirmStable asks every VM in two rounds, by first and then by second, and succeeds only if each answer of both
-// is enough and no VM's process changed between them. The error is
-// *UnstableError.
+// ConfirmStable queries every VM in two rounds, with first and then with second. It succeeds
+// only if every response of both rounds is sufficient and no VM's process changed between them.
+// The error is *UnstableError.
 //
-// Why two: a process that restarts learns its state from a peer. One that
-// starts after the first round learns from a peer that already holds enough.
-// One that started earlier is met by the second round, under a new instance.
-// So when ConfirmStable succeeds, every process that is or comes to be on these VMs
-// holds enough, even if it never reaches the table.
+// Two rounds are needed because a restarted process receives its state from a peer. A process
+// that starts after the first round receives it from a peer that already holds enough. A
+// process that started earlier is queried by the second round, under a new instance. So when
+// ConfirmStable succeeds, every process that runs or later starts on these VMs holds enough,
+// even if it never reaches the table.
 func ConfirmStable(ctx context.Context, vms []VM, first, second Query, sufficient func(Ack) bool) error {
 	before, err := queryRound(ctx, vms, first, sufficient)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// ConfirmOnce asks every VM once and succeeds if each answer is enough. That says
+// ConfirmOnce queries every VM once and succeeds if every response is sufficient. It guarantees
 // nothing about processes that start later. The error is *UnstableError.
 func ConfirmOnce(ctx context.Context, vms []VM, query Query, sufficient func(Ack) bool) error {
 	_, err := queryRound(ctx, vms, query, sufficient)
--- a/rollout/applier.go
+++ b/rollout/applier.go
@@ -7,33 +7,32 @@
 	"k8s.io/klog/v2"
 )
 
-// keptVersions is how many documents an applier keeps, so that it can send a
-// patch to a peer that is a few versions behind.
+// maxRecent is the number of documents that an applier keeps, so that it can send a patch to a
+// peer that is a few versions behind.
 const maxRecent = 4
 
-// Applier puts configurations in force in one process. It is safe for
-// concurrent use.
+// Applier applies configurations in one process. It is safe for concurrent use.
 //
-// Invariant: the version in force never goes down, and Current tells of a
-// version only after put has returned for it.
+// Invariant: the version in effect never decreases, and Current returns a version only after
+// onApply has returned for it.
 type Applier struct {
 	onApply func(Document) error
 
-	// applying serialises put. It is taken before mu.
+	// applyMu serialises onApply. It is taken before mu.
 	applyMu sync.Mutex
-	// mu guards kept; nothing is called while it is held.
+	// mu guards recent; nothing is called while it is held.
 	mu     sync.Mutex
 	recent []Document
 }
 
-// NewApplier returns an applier with nothing in force. put makes a document
-// take effect for every request taken after it returns; when it fails, the
-// earlier version stays in force.
+// NewApplier returns an applier with no configuration in effect. onApply makes a document take
+// effect for every request accepted after it returns; if it fails, the earlier version stays in
+// effect.
 func NewApplier(onApply func(Document) error) *Applier {
 	return &Applier{onApply: onApply}
 }
 
-// Current returns the document in force; its version is None when there is none.
+// Current returns the document in effect; its version is None if there is none.
 func (a *Applier) Current() Document {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -43,7 +42,7 @@
 	return a.recent[len(a.recent)-1]
 }
 
-// Apply puts doc in force unless an equal or newer version is.
+// Apply applies doc unless an equal or newer version is in effect.
 func (a *Applier) Apply(doc Document) error {
 	a.applyMu.Lock()
 	defer a.applyMu.Unlock()
@@ -60,12 +59,12 @@
 		a.recent = append([]Document(nil), a.recent[1:]...)
 	}
 	setVersionMetric(doc.Version)
-	klog.Infof("rollout: configuration %d is in force", doc.Version)
+	klog.Infof("rollout: configuration %d is in effect", doc.Version)
 	return nil
 }
 
-// ApplyUpdate puts the update's document in force unless an equal or newer
-// version is. The error is *BaseMissingError when the whole text is needed.
+// ApplyUpdate applies the update's document unless an equal or newer version is in effect. The
+// error is *BaseMissingError if the full text is needed.
 func (a *Applier) ApplyUpdate(u Update) error {
 	if u.Version <= a.Current().Version {
 		return nil
@@ -77,9 +76,9 @@
 	return a.Apply(doc)
 }
 
-// UpdateFor returns the update to the version in force for one who holds have.
-// It is empty for one who holds that version, who asks often: the text is not
-// gone through.
+// UpdateFor returns the update from version have to the version in effect. For a peer that
+// already has that version, which is the most frequent request, it returns an empty update
+// without comparing texts.
 func (a *Applier) UpdateFor(have Version) Update {
 	current := a.Current()
 	if have == current.Version {
--- a/rollout/confirmer.go
+++ b/rollout/confirmer.go
@@ -17,23 +17,22 @@
 
 // Timing of the confirmer.
 const (
-	// confirmPoll is between two reads of the head by a zone's confirmer, and
-	// pendingPoll while a version is on its way.
+	// confirmPollInterval is the time between two reads of the head by a zone's confirmer, and
+	// pendingPollInterval the time while a version is pending.
 	confirmPollInterval = time.Second
 	pendingPollInterval = 500 * time.Millisecond
-	// reportInterval is between two writes about a version that is on its way.
+	// reportInterval is the time between two reports about a pending version.
 	reportInterval = 2 * time.Second
 )
 
-// Confirmer brings new versions to the VMs of one zone, under the zone's
-// lease, and writes that they are in force there.
+// Confirmer distributes new versions to the VMs of one zone, under the zone's lease, and
+// records in the table that they are in effect there.
 //
-// Invariant: the zone's row names a version only if all VMs of the zone's
-// roster have it in force. Versions never go down and a VM joins only with the
-// head in force, so the write is right whenever it takes effect, also from a
-// confirmer that was paused and has lost its lease. The check of the roster's
-// row makes each write a statement about one roster; the check of the lease
-// keeps two confirmers from writing in turns.
+// Invariant: the zone's row names a version only if all VMs of the zone's roster have it in
+// effect. Versions never decrease and a VM joins only with the head in effect, so the write is
+// correct whenever it takes effect, even from a confirmer that was paused and has lost its
+// lease. The check of the roster's row ties each write to one roster; the check of the lease
+// prevents two confirmers from overwriting each other in turn.
 type Confirmer struct {
 	zone    string
 	rows    table.Service
@@ -41,23 +40,23 @@
 	peers   Pusher
 	auth    contact.Authority
 	writeID func() string
-	// suspect is told which VMs could not be reached.
+	// suspect receives the names of VMs that could not be reached.
 	suspect func(names []string)
 
-	// newest is the last document loaded. patch leads to it from the one loaded
-	// before, whole from nothing.
+	// newest is the last document loaded. patch is the update to it from the previously loaded
+	// document, full the update with its full text.
 	newest      Document
 	patch, full Update
-	// confirmed is the newest version seen confirmed for the zone.
+	// confirmed is the newest version known to be confirmed for the zone.
 	confirmed Version
-	// lacking names the VMs that did not have the version lacked when last asked.
+	// missing names the VMs that did not have missingVersion when last queried.
 	missingVersion Version
 	missing        []string
 	lastReport     time.Time
 }
 
-// NewConfirmer returns the confirmer of a zone. suspect is told which VMs could
-// not be reached (contact.Reconciler.Suspect); writeID gives a new id for each call.
+// NewConfirmer returns the confirmer of a zone. suspect receives the names of VMs that could
+// not be reached (contact.Reconciler.Suspect); writeID returns a new ID on each call.
 func NewConfirmer(zone string, rows table.Service, store *Store, peers Pusher, auth contact.Authority, suspect func([]string), writeID func() string) *Confirmer {
 	return &Confirmer{zone: zone, rows: rows, store: store, peers: peers, auth: auth, suspect: suspect, writeID: writeID}
 }
@@ -68,7 +67,7 @@
 		err := c.Step(ctx)
 		countConfirmation(err)
 		if err != nil {
-			klog.V(1).Infof("rollout: zone %s not confirmed: %v", c.zone, err)
+			klog.V(1).Infof("rollout: confirming the version of zone %s failed: %v", c.zone, err)
 		}
 		pause := confirmPollInterval
 		if err != nil {
@@ -78,11 +77,11 @@
 	}
 }
 
-// Step brings the newest version to the zone and confirms it if it can. The
-// error is *contact.UnstableError when VMs are missing.
+// Step distributes the newest version to the zone and confirms it if all VMs have it. The error
+// is *contact.UnstableError if VMs are missing.
 //
-// The roster is read before the VMs are asked and checked unchanged by the
-// write, so a VM that joins meanwhile makes the write conflict.
+// The roster is read before the VMs are queried, and the write checks that it is unchanged, so
+// a VM that joins in between makes the write conflict.
 func (c *Confirmer) Step(ctx context.Context) error {
 	checks, err := c.auth.Checks()
 	if err != nil {
@@ -111,12 +110,12 @@
 	}
 }
 
-// standing is how far the zone is behind the head, read in one snapshot.
+// zoneState is the head and the zone's progress towards it, read in one snapshot.
 type zoneState struct {
 	newest Version
 	roster contact.Roster
 	acked  ack
-	// checks hold the roster's row and the acknowledgement unchanged.
+	// checks make a write fail if the roster's row or the acknowledgement has changed.
 	checks []table.Check
 }
 
@@ -145,7 +144,7 @@
 	return zoneState{newest: h.Version, roster: roster, acked: acked, checks: checks}, nil
 }
 
-// confirm writes that version v is in force in the zone.
+// confirm writes that version v is in effect in the zone.
 func (c *Confirmer) confirm(ctx context.Context, checks []table.Check, v Version) error {
 	if err := c.write(ctx, checks, ack{Version: v}); err != nil {
 		return err
@@ -154,9 +153,9 @@
 	return nil
 }
 
-// news tells whether there may be a version to confirm. It reads the head alone,
-// since the roster of a large zone is long: what a zone has confirmed never goes
-// down.
+// hasNewVersion reports whether there may be a version to confirm. It reads only the head,
+// since the roster of a large zone is long. This suffices because a zone's confirmed version
+// never decreases.
 func (c *Confirmer) hasNewVersion(ctx context.Context) (bool, error) {
 	rows, err := c.rows.Get(ctx, HeadKey())
 	if err != nil {
@@ -166,10 +165,10 @@
 	return h.Version > c.confirmed, err
 }
 
-// push brings version v to the VMs and returns nil once all have it in force
-// in two stable rounds. VMs that lacked it are asked alone until they have it,
-// and nobody is asked while one of them is shunned: there is nothing to confirm
-// until the keeper has dropped that VM or taken it back.
+// push distributes version v to the VMs and returns nil once all have it in effect in two
+// stable rounds. VMs known to lack it are queried alone until they have it, and no VM is
+// queried while one of those is excluded: nothing can be confirmed until the reconciler has
+// removed or readmitted that VM.
 func (c *Confirmer) push(ctx context.Context, r contact.Roster, v Version) error {
 	missing := c.missingVMs(r, v)
 	if excluded := excludedVMs(missing); len(excluded) > 0 {
@@ -192,7 +191,7 @@
 	return contact.ConfirmStable(ctx, r.VMs, apply, c.peers.Probe, sufficient)
 }
 
-// late returns the VMs of the roster that lacked version v when last asked.
+// missingVMs returns the VMs of the roster that lacked version v when last queried.
 func (c *Confirmer) missingVMs(r contact.Roster, v Version) []contact.VM {
 	var vms []contact.VM
 	for _, vm := range r.VMs {
@@ -203,15 +202,15 @@
 	return vms
 }
 
-// shunned returns those that are shunned but do not leave by plan. A leaving VM
-// answers until it is off the roster.
+// excludedVMs returns the VMs that are excluded and are not leaving as planned. A leaving VM
+// responds until it is off the roster.
 func excludedVMs(vms []contact.VM) []contact.VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(vm contact.VM) bool { return !vm.Excluded() || vm.Left })
 }
 
 func vmNames(vms []contact.VM) []string { return contact.Roster{VMs: vms}.Names() }
 
-// load reads version v unless it is the last one read.
+// load reads version v unless it is the last version read.
 func (c *Confirmer) load(ctx context.Context, v Version) error {
 	if c.newest.Version == v {
 		return nil
@@ -226,7 +225,8 @@
 	return nil
 }
 
-// report writes which VMs keep a version from being confirmed, now and then.
+// report writes which VMs prevent a version from being confirmed, at most once per
+// reportInterval and only if they changed. It returns cause, or the error of the write.
 func (c *Confirmer) report(ctx context.Context, checks []table.Check, old, now ack, cause error) error {
 	same := old.Pending == now.Pending && slices.Equal(old.Missing, now.Missing)
 	if same || clock.Since(c.lastReport) < reportInterval {
--- a/rollout/document.go
+++ b/rollout/document.go
@@ -1,11 +1,11 @@
-// Package rollout carries the operators' configuration to every VM and tells
-// when it is in force everywhere.
+// Package rollout distributes the operators' configuration to every VM and reports when it is
+// in effect everywhere.
 //
-// The history is linear: each version is one row that is never rewritten, and
-// the head moves by compare-and-swap. A version is accepted once the confirmer
-// of every availability zone has written that all VMs of the zone's roster
-// have it in force; until then it is pending. Package contact keeps the VMs
-// that such a write leaves out from serving. See docs/design/config.md.
+// The history is linear: each version is one row that is never rewritten, and the head moves by
+// compare-and-swap. A version is accepted once the confirmer of every availability zone has
+// written that all VMs of the zone's roster have it in effect; until then it is pending.
+// Package contact prevents VMs that are not covered by such a write from serving. See
+// docs/design/config.md.
 package rollout
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Version counts the configurations of the history, from 1. Zero is none.
+// Version is the number of a configuration in the history, starting at 1. Zero means none.
 type Version uint64
 
 // None is the version before the first configuration.
@@ -28,14 +28,14 @@
 // Digest is the SHA-256 of a document's text.
 type Digest [sha256.Size]byte
 
-// Document is one configuration. It is never changed.
+// Document is one configuration. It is immutable.
 type Document struct {
 	Version Version
 	Digest  Digest
 	Text    []byte
 }
 
-// NewDocument returns the document with its digest.
+// NewDocument returns a document with its digest computed.
 func NewDocument(v Version, text []byte) Document {
 	return Document{Version: v, Digest: sha256.Sum256(text), Text: text}
 }
@@ -43,19 +43,20 @@
 // Entry describes one version of the history.
 type Entry struct {
 	Version Version `json:"version"`
-	// WriteID is the id of the write that made the version.
+	// WriteID identifies the write that created the version.
 	WriteID string `json:"write_id"`
-	// Author names the operator; Note is the operator's remark.
+	// Author names the operator; Note is the operator's comment.
 	Author string `json:"author"`
 	Note   string `json:"note,omitempty"`
-	// Written is the writer's wall clock, for people only, in seconds since 1970.
+	// Written is the writer's wall-clock time in Unix seconds. It is shown to operators and
+	// used by Pruner.
 	Written int64  `json:"written"`
 	Digest  []byte `json:"digest"`
 	// Size is the length of the text in bytes.
 	Size int `json:"size"`
 	// Text is the compressed document, or empty when Object names it.
 	Text []byte `json:"text,omitempty"`
-	// Object is the name in the object store of a long compressed document.
+	// Object is the name of a long compressed document in the object store.
 	Object string `json:"object,omitempty"`
 }
 
@@ -65,12 +66,12 @@
 	WriteID string  `json:"write_id"`
 }
 
-// ack is the row in which a zone's confirmer writes what is in force there.
+// ack is the row in which a zone's confirmer records the version in effect.
 type ack struct {
-	// Version is in force on all VMs of the zone's roster.
+	// Version is in effect on all VMs of the zone's roster.
 	Version Version `json:"version"`
 	WriteID string  `json:"write_id"`
-	// Pending is a newer version on its way, and Missing the VMs without it.
+	// Pending is a newer version being distributed, and Missing the VMs without it.
 	Pending Version  `json:"pending,omitempty"`
 	Missing []string `json:"missing,omitempty"`
 }
@@ -83,19 +84,19 @@
 	ackPrefix     = "ack/"
 )
 
-// HeadKey names the row that points to the newest version.
+// HeadKey returns the key of the row that points to the newest version.
 func HeadKey() table.Key { return table.Key{Table: Table, Row: "head"} }
 
-// VersionKey names the row of one version. Its byte order is the order of versions.
+// VersionKey returns the key of the row of one version. Keys sort in the order of versions.
 func VersionKey(v Version) table.Key {
 	return table.Key{Table: Table, Row: fmt.Sprintf("%s%020d", versionPrefix, v)}
 }
 
-// AckKey names the row in which a zone's confirmer writes.
+// AckKey returns the key of the row of a zone's acknowledgement.
 func AckKey(zone string) table.Key { return table.Key{Table: Table, Row: ackPrefix + zone} }
 
-// decodeRow reads a row's JSON value; an absent row leaves the zero value. The
-// error is *MalformedError.
+// decodeRow decodes a row's JSON value; an absent row yields the zero value. The error is
+// *MalformedError.
 func decodeRow[T any](row table.Row) (T, error) {
 	var v T
 	if row.Version == table.Absent {
@@ -115,7 +116,7 @@
 	return data
 }
 
-// document checks the text against the entry's digest.
+// document returns the document after checking the text against the entry's digest.
 func (e Entry) document(text []byte) (Document, error) {
 	doc := NewDocument(e.Version, text)
 	if !bytes.Equal(doc.Digest[:], e.Digest) {
--- a/rollout/errors.go
+++ b/rollout/errors.go
@@ -6,9 +6,9 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// ConflictError is a change made against a version that is not the newest.
+// ConflictError reports a change based on a version that is not the newest.
 type ConflictError struct {
-	// Base is the version that the change was made against.
+	// Base is the version that the change is based on.
 	Base Version
 	// Head is the newest version, with its author and write id.
 	Head Entry
@@ -23,7 +23,7 @@
 // Reason implements failure.Coded.
 func (e *ConflictError) Reason() failure.Reason { return failure.TableConflict }
 
-// TooLargeError is a document over the limit.
+// TooLargeError reports a document over the size limit.
 type TooLargeError struct{ Size, Limit int }
 
 // Error implements error.
@@ -34,7 +34,7 @@
 // Reason implements failure.Coded.
 func (e *TooLargeError) Reason() failure.Reason { return failure.TooLarge }
 
-// MalformedError is a row or update that cannot be decoded.
+// MalformedError reports a row or update that cannot be decoded.
 type MalformedError struct {
 	What  string
 	Cause error
@@ -49,7 +49,7 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// DigestError is a document whose text is not the one that was committed.
+// DigestError reports that a document's text does not match the digest of its version.
 type DigestError struct{ Version Version }
 
 // Error implements error.
@@ -60,7 +60,7 @@
 // Reason implements failure.Coded.
 func (e *DigestError) Reason() failure.Reason { return failure.Internal }
 
-// BaseMissingError is a patch on a version that is not held.
+// BaseMissingError reports a patch whose base version is not available.
 type BaseMissingError struct{ Base Version }
 
 // Error implements error.
@@ -71,8 +71,8 @@
 // Reason implements failure.Coded.
 func (e *BaseMissingError) Reason() failure.Reason { return failure.ConfigUnconfirmed }
 
-// MissingVersionError is a version that is not in the history: it was never
-// made, or is no longer kept.
+// MissingVersionError reports a version that is not in the history: it was never created, or
+// has been pruned.
 type MissingVersionError struct{ Version Version }
 
 // Error implements error.
@@ -83,11 +83,11 @@
 // Reason implements failure.Coded.
 func (e *MissingVersionError) Reason() failure.Reason { return failure.BadRequest }
 
-// UntrustedError is a peer whose answer gives no contact.
+// UntrustedError reports that the response of a peer does not count as contact.
 type UntrustedError struct{ Peer string }
 
 // Error implements error.
-func (e *UntrustedError) Error() string { return fmt.Sprintf("peer %s does not vouch", e.Peer) }
+func (e *UntrustedError) Error() string { return fmt.Sprintf("peer %s is untrusted", e.Peer) }
 
 // Reason implements failure.Coded.
 func (e *UntrustedError) Reason() failure.Reason { return failure.ConfigUnconfirmed }
--- a/rollout/fakefleet/checker.go
+++ b/rollout/fakefleet/checker.go
@@ -7,8 +7,8 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// Checker holds what must be true of a fleet at every moment: a VM that may
-// serve has every accepted version in force, and no process goes back.
+// Checker checks the invariants of a fleet: a VM that may serve has every accepted version in
+// effect, and no process goes back to an older version.
 type Checker struct {
 	mu              sync.Mutex
 	highestAccepted rollout.Version
@@ -16,42 +16,42 @@
 	violations      []string
 }
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns an empty checker.
 func NewChecker() *Checker { return &Checker{active: map[string]rollout.Version{}} }
 
-// RecordAccepted notes that somebody was told that v is accepted.
+// RecordAccepted records that v was reported as accepted.
 func (c *Checker) RecordAccepted(v rollout.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.highestAccepted = max(c.highestAccepted, v)
 }
 
-// Highest returns the highest version that anybody was told is accepted.
+// Highest returns the highest version that was reported as accepted.
 func (c *Checker) Highest() rollout.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.highestAccepted
 }
 
-// Violations returns what was not as it must be.
+// Violations returns the violations found so far.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.violations
 }
 
-// applied notes that a process put v in force.
+// recordApplied records that a process applied v.
 func (c *Checker) recordApplied(process string, v rollout.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old := c.active[process]; v <= old {
-		c.violations = append(c.violations, fmt.Sprintf("%s went from version %d to %d", process, old, v))
+		c.violations = append(c.violations, fmt.Sprintf("%s went back from version %d to %d", process, old, v))
 	}
 	c.active[process] = v
 }
 
-// Check looks at every VM. The permission is read last: a VM may refuse by
-// then, but one that still serves must not be behind.
+// Check checks every VM. It reads the permission last: a VM that stopped serving in between is
+// fine, but one that still serves must have the highest accepted version.
 func (f *Fleet) Check() {
 	highest := f.Checker.Highest()
 	for _, name := range f.Names() {
--- a/rollout/fakefleet/fakefleet.go
+++ b/rollout/fakefleet/fakefleet.go
@@ -1,6 +1,6 @@
-// Package fakefleet is a fleet of entries in memory, for tests in virtual time.
-// The parts that keep contact, spread configurations and withhold endpoints are
-// the real ones; the platform, the network and the leases are fakes.
+// Package fakefleet provides an in-memory fleet of entry processes, for tests in virtual time.
+// The components for contact, rollout and withholding are real; the platform, the network and
+// the leases are fakes.
 package fakefleet
 
 import (
@@ -25,19 +25,18 @@
 	"github.com/springweir/springweir/withhold"
 )
 
-// Fleet is a set of entries over an in-memory platform and network. A test
-// drives it from one goroutine.
+// Fleet is a set of entry processes over an in-memory platform and network. It is driven from
+// one goroutine.
 type Fleet struct {
 	Rows  *memtable.Table
 	Store *rollout.Store
 	List  *fakelist.List
 	Net   *fakenet.Net
 	Zones []string
-	// Nodes holds the newest process of each VM.
+	// Nodes holds the current process of each VM.
 	Nodes   map[string]*Node
 	Checker *Checker
-	// Pusher and Allow replace a guard by a broken one, to see whether the
-	// checker objects.
+	// Pusher and Allow can be replaced to break a guard, which the checker must detect.
 	Pusher func(rollout.Pusher) rollout.Pusher
 	Allow  func(*Node) error
 
@@ -45,7 +44,7 @@
 	ids atomic.Uint64
 }
 
-// Node is one process of an entry.
+// Node is one entry process.
 type Node struct {
 	Name, Zone string
 	Member     *contact.Member
@@ -59,7 +58,7 @@
 	stop      context.CancelFunc
 }
 
-// New returns a fleet whose VMs have started. They run until ctx ends.
+// New returns a fleet whose VMs have been started. They run until ctx ends.
 func New(ctx context.Context, vmsPerZone int, zones ...string) *Fleet {
 	f := &Fleet{
 		ctx: ctx, Rows: memtable.New(), List: fakelist.New(), Net: fakenet.New(),
@@ -77,26 +76,26 @@
 	return f
 }
 
-// Add lists a new VM and starts its process.
+// Add adds a new VM to the membership list and starts its process.
 func (f *Fleet) Add(name, zone string) *Node {
 	f.List.Put(membership.VM{Name: name, Kind: membership.Entry, Zone: zone, Address: name})
 	return f.Start(name, zone)
 }
 
-// StartControllers runs each zone's keeper and confirmer, from a host of its own.
+// StartControllers runs each zone's reconciler and confirmer, on a separate host.
 func (f *Fleet) StartControllers() {
 	for _, z := range f.Zones {
 		client := peer.NewControllerClient(f.Net.Transport(controlHost(z)))
-		keeper := contact.NewReconciler(z, f.Rows, client, f.List, fakepeer.Held{}, f.NewID)
-		confirmer := rollout.NewConfirmer(z, f.Rows, f.Store, f.Pusher(client), fakepeer.Held{}, keeper.Suspect, f.NewID)
-		go keeper.Run(f.ctx)
+		reconciler := contact.NewReconciler(z, f.Rows, client, f.List, fakepeer.Held{}, f.NewID)
+		confirmer := rollout.NewConfirmer(z, f.Rows, f.Store, f.Pusher(client), fakepeer.Held{}, reconciler.Suspect, f.NewID)
+		go reconciler.Run(f.ctx)
 		go confirmer.Run(f.ctx)
 	}
 }
 
 func controlHost(zone string) string { return "control-" + zone }
 
-// NewID returns a new id.
+// NewID returns a unique ID.
 func (f *Fleet) NewID() string { return fmt.Sprint(f.ids.Add(1)) }
 
 // Start starts a new process on a VM.
@@ -127,7 +126,7 @@
 	return n
 }
 
-// seedCount is how many of a zone's first VMs a process knows from its settings.
+// seedCount is how many of a zone's first VMs are seeds in a process's settings.
 const seedCount = 3
 
 func seeds(name, zone string) []string {
@@ -146,20 +145,20 @@
 	f.Net.Listen(name, nil)
 }
 
-// Remove kills a VM for good and takes it off the list.
+// Remove kills a VM permanently and deletes it from the membership list.
 func (f *Fleet) Remove(name string) {
 	f.Kill(name)
 	f.List.Remove(name)
 	delete(f.Nodes, name)
 }
 
-// Pause stops a process: its loops stand still and calls to it hang.
+// Pause pauses a process: its loops stop and calls to it hang.
 func (f *Fleet) Pause(name string) {
 	f.Nodes[name].stop()
 	f.Net.Listen(name, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 }
 
-// Resume lets a process run on.
+// Resume resumes a paused process.
 func (f *Fleet) Resume(name string) {
 	n := f.Nodes[name]
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -170,8 +169,8 @@
 	go n.exchanger.Run(ctx)
 }
 
-// Isolate cuts a VM from the table, from all other VMs and from its zone's
-// controllers, or ends that.
+// Isolate partitions a VM from the table, from all other VMs and from the controllers of all
+// zones, or reconnects it.
 func (f *Fleet) Isolate(name string, partitioned bool) {
 	f.Nodes[name].Table.SetPartitioned(partitioned)
 	for _, other := range f.Names() {
@@ -182,14 +181,14 @@
 	f.PartitionControllers(name, partitioned)
 }
 
-// PartitionControllers cuts a VM from the controllers of all zones, or ends that.
+// PartitionControllers partitions a VM from the controllers of all zones, or reconnects it.
 func (f *Fleet) PartitionControllers(name string, partitioned bool) {
 	for _, z := range f.Zones {
 		f.Net.Cut(name, controlHost(z), partitioned)
 	}
 }
 
-// Names returns the names of the VMs in order.
+// Names returns the names of the VMs, sorted.
 func (f *Fleet) Names() []string {
 	var names []string
 	for name := range f.Nodes {
@@ -199,7 +198,7 @@
 	return names
 }
 
-// Put commits text on the newest version.
+// Put commits text as the version after the newest.
 func (f *Fleet) Put(text string) (rollout.Version, error) {
 	head, err := f.Store.Head(f.ctx)
 	if err != nil {
@@ -208,7 +207,7 @@
 	return f.Store.Put(f.ctx, rollout.Edit{Base: head, WriteID: f.NewID(), Author: "op", Text: []byte(text)})
 }
 
-// CheckAccepted tells whether v is accepted, notes it, and checks the fleet.
+// CheckAccepted reports whether v is accepted, records it if so, and checks the fleet.
 func (f *Fleet) CheckAccepted(v rollout.Version) (bool, error) {
 	s, err := f.Store.Status(f.ctx, v)
 	if err == nil && s.Accepted {
--- a/rollout/fakefleet/table.go
+++ b/rollout/fakefleet/table.go
@@ -8,13 +8,13 @@
 	"github.com/springweir/springweir/table"
 )
 
-// TableView is one VM's way to the table, which can be cut.
+// TableView is one VM's connection to the table, which can be partitioned.
 type TableView struct {
 	table.Service
 	partitioned atomic.Bool
 }
 
-// SetPartitioned cuts the way, or ends that.
+// SetPartitioned partitions or reconnects the VM and the table.
 func (v *TableView) SetPartitioned(partitioned bool) { v.partitioned.Store(partitioned) }
 
 func (v *TableView) err() error {
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a fake fleet bound to a test.
+// fleet is a fake fleet for one test.
 type fleet struct {
 	*fakefleet.Fleet
 	t     *testing.T
@@ -34,8 +34,8 @@
 	return &fleet{Fleet: fakefleet.New(ctx, vmsPerZone, zones...), t: t, ctx: ctx, began: time.Now()}
 }
 
-// awaitJoined waits until so many VMs of the zone are on its roster. They join
-// one after another, at random, so a large zone takes a while.
+// awaitJoined waits until the zone's roster has the given number of VMs. They join one after
+// another at random times, so a large zone takes up to a minute.
 func (f *fleet) awaitJoined(zone string, vms int) {
 	f.t.Helper()
 	for range 600 {
@@ -47,7 +47,7 @@
 	f.t.Fatalf("%d of %d VMs joined zone %s", len(f.roster(zone).VMs), vms, zone)
 }
 
-// put commits text on the newest version.
+// put commits text as the version after the newest.
 func (f *fleet) put(text string) rollout.Version {
 	f.t.Helper()
 	v, err := f.Put(text)
@@ -57,7 +57,7 @@
 	return v
 }
 
-// roster returns a zone's roster as it stands in the table.
+// roster returns a zone's roster from the table.
 func (f *fleet) roster(zone string) contact.Roster {
 	f.t.Helper()
 	rows, err := f.Rows.Get(f.ctx, contact.Key(zone))
@@ -71,7 +71,7 @@
 	return r
 }
 
-// accepted tells whether v is accepted.
+// accepted reports whether v is accepted.
 func (f *fleet) accepted(v rollout.Version) bool {
 	f.t.Helper()
 	accepted, err := f.CheckAccepted(v)
@@ -81,7 +81,7 @@
 	return accepted
 }
 
-// await waits until v is accepted, up to limit, and returns how long it took.
+// awaitAccepted waits up to limit until v is accepted, and returns how long it took.
 func (f *fleet) awaitAccepted(v rollout.Version, limit time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -95,7 +95,7 @@
 	return time.Since(began)
 }
 
-// watch checks the promise for d, ten times a second.
+// checkFor checks the fleet's invariants ten times a second for d.
 func (f *fleet) checkFor(d time.Duration) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// verify fails the test if a promise was broken.
+// reportViolations fails the test if the checker found a violation.
 func (f *fleet) reportViolations() {
 	f.t.Helper()
 	violations := f.Checker.Violations()
--- a/rollout/idle_test.go
+++ b/rollout/idle_test.go
@@ -10,8 +10,8 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// TestIdleConfirmerLeavesTheRoster shows that looking for a new version does not
-// read the zone's roster.
+// TestIdleConfirmerDoesNotReadRoster checks that polling for a new version does not read the
+// zone's roster.
 func TestIdleConfirmerDoesNotReadRoster(t *testing.T) {
 	r := newFixture(nil)
 	if err := r.syncer.SyncTable(t.Context()); err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// anyone is an authority without a lease.
+// noLease is an authority without lease checks.
 type noLease struct{}
 
 func (noLease) Checks() ([]table.Check, error) { return nil, nil }
@@ -49,12 +49,12 @@
 		t.Errorf("got %+v, want an empty update to version 3", u)
 	}
 	if err := a.ApplyUpdate(u); err != nil || a.Current().Version != 3 {
-		t.Errorf("after it: version %d, error %v", a.Current().Version, err)
+		t.Errorf("after the empty update: version %d, error %v", a.Current().Version, err)
 	}
 	for _, have := range []rollout.Version{rollout.None, 2} {
 		got, err := a.UpdateFor(have).Document(rollout.Document{})
 		if err != nil || string(got.Text) != "text" {
-			t.Errorf("for one who holds %d: %q, %v", have, got.Text, err)
+			t.Errorf("update for version %d: text %q, error %v", have, got.Text, err)
 		}
 	}
 }
--- a/rollout/membership_test.go
+++ b/rollout/membership_test.go
@@ -10,8 +10,8 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// A VM that leaves by plan holds up no change and is off the roster soon, in
-// zones of every size.
+// A VM that leaves for a planned shutdown blocks no change and is soon off the roster, in zones
+// of one to three VMs.
 func TestLeave(t *testing.T) {
 	for _, zone := range []int{1, 2, 3} {
 		runInBubble(t, func(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A zone that comes into being does not make an accepted version pending.
+// Creating a zone does not make an accepted version pending again.
 func TestNewZone(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
@@ -50,8 +50,8 @@
 	})
 }
 
-// Before any VM has joined, a version is pending and waits for no zone; one that
-// was accepted stays so when all VMs are gone.
+// Before any VM has joined, a version is pending and no zone is reported. A version that was
+// accepted stays accepted after all VMs are removed.
 func TestNoVMs(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 0)
@@ -73,15 +73,15 @@
 		f.List.Remove("a0")
 		time.Sleep(time.Minute)
 		if got := f.roster("a").VMs; len(got) != 0 {
-			t.Errorf("VMs of the zone: %v", got)
+			t.Errorf("VMs left on the roster: %v", got)
 		}
 		if !f.accepted(v) || f.accepted(f.put("second")) {
-			t.Error("with all VMs gone, only what was accepted must be")
+			t.Error("with all VMs removed, the first version must be accepted and the second pending")
 		}
 	})
 }
 
-// A zone whose VMs are all gone is swept by the others' keepers.
+// A zone whose VMs are all removed is swept by the reconcilers of the other zones.
 func TestZoneRemoved(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b")
@@ -94,8 +94,8 @@
 	})
 }
 
-// Two VMs that come and go while the membership list is out of reach hold up
-// changes until they have been silent for contact.UnlistedTimeout, not for ever.
+// Two VMs that are added and removed while the membership list is unavailable block changes
+// until they have been unresponsive for contact.UnlistedTimeout, not permanently.
 func TestUnlistedVMsRemoved(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
--- a/rollout/peers.go
+++ b/rollout/peers.go
@@ -6,32 +6,32 @@
 	"github.com/springweir/springweir/contact"
 )
 
-// ExchangeResponse is what a peer of the zone answers.
+// ExchangeResponse is the response of a peer of the zone to an exchange.
 type ExchangeResponse struct {
 	Ack contact.Ack
-	// Confirmed tells that the peer has not shunned this VM.
+	// Confirmed reports whether the peer confirms this VM as an active member.
 	Confirmed bool
-	// Serving tells that the peer itself may serve new requests.
+	// Serving reports whether the peer itself may serve new requests.
 	Serving bool
 	// Roster is the peer's roster if it is newer, or the zero roster.
 	Roster contact.Roster
 }
 
-// Peers asks other entries of the zone. Implementations never repeat a call by
-// themselves and bound its time.
+// Peers calls other entry processes of the zone. Implementations never retry a call and bound
+// its duration.
 type Peers interface {
-	// Exchange asks the peer to vouch for this VM.
+	// Exchange requests the peer's state, including whether it confirms this VM as a member.
 	Exchange(ctx context.Context, vm contact.VM) (ExchangeResponse, error)
-	// FetchConfig reads what the peer has in force, for one who holds have.
+	// FetchConfig fetches the peer's configuration in effect, as an update from version have.
 	FetchConfig(ctx context.Context, vm contact.VM, have Version) (Update, error)
-	// PushRoster hands the peer a newer roster and returns what it then holds.
+	// PushRoster sends a newer roster to the peer and returns what the peer then holds.
 	PushRoster(ctx context.Context, vm contact.VM, r contact.Roster) (contact.Ack, error)
 }
 
-// Pusher puts configurations in force on VMs of the zone.
+// Pusher applies configurations on VMs of the zone.
 type Pusher interface {
-	// ApplyConfig hands the VM a document and returns what it then holds.
+	// ApplyConfig sends a document to the VM and returns what the VM then holds.
 	ApplyConfig(ctx context.Context, vm contact.VM, u Update) (contact.Ack, error)
-	// Probe asks what the VM holds.
+	// Probe returns what the VM holds.
 	Probe(ctx context.Context, vm contact.VM) (contact.Ack, error)
 }
--- a/rollout/pruner.go
+++ b/rollout/pruner.go
@@ -13,16 +13,16 @@
 	"github.com/springweir/springweir/table"
 )
 
-// What the history keeps, whichever is more.
+// Retention of the history. A version is kept while either limit requires it.
 const (
-	// KeptVersions is how many of the newest versions stay.
+	// KeptVersions is how many of the newest versions are always kept.
 	KeptVersions = 200
-	// KeptFor is how long a version stays in any case.
+	// KeptFor is how long every version is kept.
 	KeptFor = 30 * 24 * time.Hour
 )
 
-// Limits of the pruner's work: 2,880 versions a day, over the 1,600 changes of
-// the target size.
+// Limits of the pruner: up to 2,880 versions a day, above the 1,600 changes a day of the target
+// size.
 const (
 	pruneInterval = 10 * time.Minute
 	pruneBatch    = 20
@@ -30,17 +30,16 @@
 
 // Pruner deletes old versions from the history, under the lease of one zone.
 //
-// Invariant: a version that may be deleted once may be deleted for ever, as
-// both its age and the head only grow. So a delete is right whenever it takes
-// effect, also from a pruner that was paused and has lost its lease. The head
-// and what Store.Put checks for are never among the versions deleted.
+// Invariant: once a version may be deleted, it always may be, because its age and the head only
+// increase. A delete is therefore correct whenever it takes effect, even from a pruner that was
+// paused and has lost its lease. The head and the rows that Store.Put checks are never deleted.
 type Pruner struct {
 	zone  string
 	store *Store
 	auth  contact.Authority
 }
 
-// NewPruner returns the pruner that runs in a zone.
+// NewPruner returns the pruner for a zone.
 func NewPruner(zone string, store *Store, auth contact.Authority) *Pruner {
 	return &Pruner{zone: zone, store: store, auth: auth}
 }
@@ -50,7 +49,7 @@
 	loop.Every(ctx, pruneInterval, func() {
 		n, err := p.Step(ctx)
 		if err != nil {
-			klog.Warningf("rollout: old configurations not deleted: %v", err)
+			klog.Warningf("rollout: deleting old configurations failed: %v", err)
 		}
 		if n > 0 {
 			klog.Infof("rollout: deleted %d old configurations", n)
@@ -58,11 +57,11 @@
 	})
 }
 
-// Step deletes the oldest versions that need no longer be kept, up to a batch,
-// and returns how many. Only the first zone that has VMs does so.
+// Step deletes the oldest versions that no longer have to be kept, at most pruneBatch, and
+// returns their number. Only the first zone that has VMs does so.
 //
-// A long text is deleted before the row that names it: a step that stops in
-// between is repeated by the next one and leaves nothing behind.
+// A long text is deleted before the row that names it, so a step that is interrupted in between
+// is repeated by the next one and leaves no orphan.
 func (p *Pruner) Step(ctx context.Context) (int, error) {
 	checks, err := p.auth.Checks()
 	if err != nil {
@@ -87,9 +86,9 @@
 	return len(old), p.delete(ctx, checks, old)
 }
 
-// expired tells whether the version in the row need no longer be kept. The age
-// goes by the wall clocks of the writer and of this VM, which decide nothing
-// else. A row that cannot be read stays.
+// expired reports whether the version in the row no longer has to be kept. Its age is measured
+// by the wall clocks of the writer and of this VM, which nothing else depends on. A row that
+// cannot be decoded is kept.
 func expired(row table.Row, newest Version, now time.Time) bool {
 	entry, err := decodeRow[Entry](row)
 	return err == nil && entry.Version+KeptVersions <= newest && now.Sub(time.Unix(entry.Written, 0)) >= KeptFor
--- a/rollout/pruner_test.go
+++ b/rollout/pruner_test.go
@@ -18,8 +18,8 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// The history keeps its newest versions and all young ones, and what it has
-// lost is never taken for somebody else's write.
+// The history keeps its newest versions and all recent ones, and a pruned version is never
+// mistaken for another operator's write.
 func TestPruner(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		rows, objects := memtable.New(), memobject.New()
@@ -32,7 +32,7 @@
 			}
 		}
 		long := make([]byte, 2*rollout.InlineLimit)
-		_, _ = rand.Read(long) // does not compress; it never fails
+		_, _ = rand.Read(long) // random, so that it does not compress; never fails
 		edit := func(v rollout.Version) rollout.Edit {
 			e := rollout.Edit{Base: v - 1, WriteID: fmt.Sprint(v), Text: fmt.Append(nil, v)}
 			if v == 1 || v == 40 {
@@ -74,7 +74,7 @@
 		prune("a", 20)
 		prune("a", 20)
 		prune("a", 20)
-		prune("a", 10) // up to 100: the later ones are young
+		prune("a", 10) // up to 100: the later ones are not KeptFor old
 		prune("a", 0)
 		history, err := store.History(t.Context(), rollout.None, 3)
 		if err != nil {
@@ -89,17 +89,17 @@
 		}
 		var deleted *object.MissingError
 		if _, err := objects.Get(t.Context(), first.Object); !errors.As(err, &deleted) {
-			t.Errorf("the text of version 1: %v", err)
+			t.Errorf("text of version 1 after pruning: %v", err)
 		}
 		var missing *rollout.MissingVersionError
 		if _, err := store.Put(t.Context(), edit(40)); !errors.As(err, &missing) || missing.Version != 40 {
-			t.Errorf("a repeat of a deleted edit: %v", err)
+			t.Errorf("repeated edit of a pruned version: %v", err)
 		}
 		if v, err := store.Put(t.Context(), edit(150)); err != nil || v != 150 {
-			t.Errorf("a repeat of a kept edit: %d, %v", v, err)
+			t.Errorf("repeated edit of a kept version: %d, %v", v, err)
 		}
 		if s, err := store.Status(t.Context(), 40); err != nil || s.Version != 40 {
-			t.Errorf("status of a deleted version: %+v, %v", s, err)
+			t.Errorf("status of a pruned version: %+v, %v", s, err)
 		}
 	})
 }
--- a/rollout/random_test.go
+++ b/rollout/random_test.go
@@ -16,8 +16,8 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// The history of configurations as porcupine sees it: a register that holds
-// the newest version and whose write made it.
+// Porcupine model of the history of configurations: a register that holds the newest version
+// and the ID of the write that created it.
 type (
 	register struct {
 		version rollout.Version
@@ -25,7 +25,7 @@
 	}
 	putOp  struct{ edit rollout.Edit }
 	readOp struct{}
-	// outcome of an operation; unknown is a put whose fate was not learnt.
+	// outcome is the result of an operation; unknown marks a put whose result is not known.
 	outcome struct {
 		register
 		conflict, unknown bool
@@ -55,7 +55,7 @@
 	},
 }
 
-// operator edits on its own and records what it was told.
+// operator makes edits independently and records the results of its operations.
 type operator struct {
 	id    int
 	store *rollout.Store
@@ -65,7 +65,7 @@
 	ops   *[]porcupine.Operation
 }
 
-// run edits until ctx ends. A put that timed out may take effect until the end.
+// run makes edits until ctx ends. A put that timed out may take effect at any later time.
 func (o *operator) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(time.Duration(o.rng.IntN(4000)) * time.Millisecond)
@@ -114,7 +114,7 @@
 	})
 }
 
-// chaos does one random thing to the fleet.
+// injectFault applies one random fault, recovery or replacement to the fleet.
 func injectFault(f *fleet, rng *rand.Rand) {
 	names := f.Names()
 	name := names[rng.IntN(len(names))]
@@ -145,7 +145,7 @@
 	}
 }
 
-// calm ends all faults.
+// clearFaults ends all faults.
 func clearFaults(f *fleet) {
 	f.Rows.SetDown(false)
 	f.Rows.SetFault(memtable.Fault{})
@@ -155,7 +155,7 @@
 	}
 }
 
-// faulty loses or delays some commits.
+// commitFaults returns a hook that loses the response of some commits and delays others.
 func commitFaults(rng *rand.Rand) func(memtable.Call) memtable.Fault {
 	var mu sync.Mutex
 	return func(c memtable.Call) memtable.Fault {
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestRandomHistories runs a fleet and two operators through random faults.
-// The history must be linear, and every accepted version in force at each
-// moment; after the faults, a change must be accepted.
+// TestRandomHistories runs a fleet and two operators through random faults. The history must be
+// linear, every VM that serves must always have every accepted version in effect, and after the
+// faults a change must be accepted.
 func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -196,7 +196,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	f.Rows.SetHook(commitFaults(rand.New(rand.NewPCG(seed, 2))))
 	ctx, cancel := context.WithCancel(f.ctx)
-	// The first configuration is where the recorded history starts.
+	// The recorded history starts with the first configuration.
 	var mu sync.Mutex
 	first, err := f.Store.Entry(f.ctx, 1)
 	if err != nil {
@@ -218,10 +218,11 @@
 	if !porcupine.CheckOperations(history, ops) {
 		t.Error("the history of configurations is not linear")
 	}
-	t.Logf("%d operations, %d times told accepted, highest version %d", len(ops), accepted, f.Checker.Highest())
+	t.Logf("%d operations, %d versions accepted, highest version %d", len(ops), accepted, f.Checker.Highest())
 }
 
-// observe lets faults happen for d and asks all the time what is accepted.
+// observeAccepted injects faults for d and continually checks which versions are accepted. It
+// returns how many were.
 func observeAccepted(f *fleet, rng *rand.Rand, d time.Duration) int {
 	accepted := 0
 	next := time.Now()
@@ -248,7 +249,7 @@
 	return accepted
 }
 
-// The model objects when a write is lost or made twice.
+// The model rejects a history in which a write is lost or two writes create the same version.
 func TestHistoryModelRejectsLostAndDuplicateWrites(t *testing.T) {
 	put := func(base rollout.Version, id string, at int64) porcupine.Operation {
 		return porcupine.Operation{
--- a/rollout/scenario_test.go
+++ b/rollout/scenario_test.go
@@ -15,10 +15,11 @@
 	"github.com/springweir/springweir/rollout/fakefleet"
 )
 
-// target is what the users ask for: in force everywhere within 9 s.
+// acceptanceTarget is the required time until a change is in effect everywhere.
 const acceptanceTarget = 9 * time.Second
 
-// settleDown lets a new fleet join, be listed and take its first configuration.
+// startAndConfigure waits until a new fleet has joined and is listed, and its first
+// configuration is accepted.
 func startAndConfigure(f *fleet) rollout.Version {
 	f.t.Helper()
 	f.StartControllers()
@@ -44,8 +45,8 @@
 	})
 }
 
-// At the target size a change is in force everywhere in time, and the fleet
-// reads the table far less than it may.
+// At the target size a change is in effect everywhere within acceptanceTarget, and the fleet
+// reads fewer rows from the table than the limit.
 func TestTargetSize(t *testing.T) {
 	const vmsPerZone, maxReads = 63, 2000
 	runInBubble(t, func(t *testing.T) {
@@ -68,13 +69,13 @@
 			t.Errorf("%.0f rows read a second, over %d", reads, maxReads)
 		}
 		for i, zone := range []string{"a", "b", "c"} {
-			// A killed process refuses calls; to a machine that is gone they hang.
+			// A killed process refuses calls; calls to a VM that was lost hang.
 			f.Kill(zone + "5")
 			time.Sleep(time.Duration(i) * 170 * time.Millisecond)
-			t.Logf("a process was just killed: %v", f.awaitAccepted(f.put("next"), acceptanceTarget))
+			t.Logf("accepted after a process was killed: %v", f.awaitAccepted(f.put("next"), acceptanceTarget))
 			f.Pause(zone + "9")
 			time.Sleep(time.Duration(i) * 170 * time.Millisecond)
-			t.Logf("a VM has just gone: %v", f.awaitAccepted(f.put("next"), acceptanceTarget))
+			t.Logf("accepted after a VM was lost: %v", f.awaitAccepted(f.put("next"), acceptanceTarget))
 		}
 		f.reportViolations()
 	})
@@ -107,7 +108,7 @@
 		}
 		for _, n := range f.Nodes {
 			if err := n.Member.Allow(); err != nil {
-				t.Errorf("%s stopped serving in a cut zone: %v", n.Name, err)
+				t.Errorf("%s stopped serving in a partitioned zone: %v", n.Name, err)
 			}
 		}
 		partition(false)
@@ -116,8 +117,8 @@
 	})
 }
 
-// A VM that is cut off stops serving, is dropped, and comes back on the newest
-// version, before and after it was dropped.
+// A VM that is isolated stops serving and is removed. After reconnecting it serves with the
+// newest version, whether or not it had been removed.
 func TestVMIsolated(t *testing.T) {
 	for _, outage := range []time.Duration{4 * time.Second, time.Minute} {
 		t.Run(outage.String(), func(t *testing.T) {
@@ -128,7 +129,7 @@
 				v := f.put("without a1")
 				f.checkFor(contact.Timeout + time.Second)
 				if f.Nodes["a1"].Member.Allow() == nil {
-					t.Error("a VM out of contact serves on")
+					t.Error("a VM without contact still serves")
 				}
 				f.checkFor(outage - contact.Timeout - time.Second)
 				if dropped := outage > 3*contact.RemovalDelay; dropped != f.accepted(v) {
@@ -138,7 +139,7 @@
 				f.awaitAccepted(v, acceptanceTarget)
 				f.checkFor(20 * time.Second)
 				if err := f.Nodes["a1"].Member.Allow(); err != nil || f.Nodes["a1"].Applier.Current().Version != v {
-					t.Errorf("a1 did not come back: %v", err)
+					t.Errorf("a1 does not serve the newest version after reconnecting: %v", err)
 				}
 				f.reportViolations()
 			})
@@ -159,27 +160,27 @@
 			}
 			n := f.Nodes["a1"]
 			if n.Member.Allow() == nil && zone > 2 {
-				t.Error("a woken VM serves before it has contact")
+				t.Error("a paused VM serves without contact")
 			}
 			f.Resume("a1")
 			f.awaitAccepted(v, acceptanceTarget)
 			f.checkFor(20 * time.Second)
 			if err := n.Member.Allow(); err != nil {
-				t.Errorf("a1 did not come back: %v", err)
+				t.Errorf("a1 does not serve the newest version after reconnecting: %v", err)
 			}
 			f.reportViolations()
 		})
 	}
 }
 
-// A dead VM that the list still shows does not block acceptance for long in a
-// zone of three, and in a zone of two until the list drops it.
+// A dead VM that is still on the membership list blocks acceptance for at most 30 s in a zone
+// of three, and in a zone of two until it is off the list.
 func TestDeadVMOnLaggingList(t *testing.T) {
 	for _, zone := range []int{2, 3} {
 		runInBubble(t, func(t *testing.T) {
 			f := newFleet(t, zone, "a")
 			startAndConfigure(f)
-			time.Sleep(6 * time.Minute) // the list must not go back in time
+			time.Sleep(6 * time.Minute) // the lagged list must not predate the fleet
 			f.List.SetLag(5 * time.Minute)
 			f.List.Remove("a1")
 			f.Kill("a1")
@@ -198,15 +199,16 @@
 	}
 }
 
-// With the platform down the fleet serves on, a process that restarts takes
-// the newest version from its peers, and an edit that was pending is taken up.
+// While the platform is down the fleet continues to serve, and a restarted process receives the
+// newest version from its peers. Afterwards a pending edit is accepted.
 func TestPlatformDown(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b")
 		startAndConfigure(f)
 		f.Isolate("b2", true)
 		pending := f.put("pending")
-		// Until the others have it, which takes less time than shunning b2.
+		// Waits until the others have the version, which takes less time than the exclusion of
+		// b2.
 		for range 120 {
 			if f.Nodes["a1"].Applier.Current().Version < pending {
 				time.Sleep(10 * time.Millisecond)
@@ -234,8 +236,8 @@
 	})
 }
 
-// Peers that hang do not cost the others their permission while the platform is
-// down, in zones whose VMs pull at each of the intervals there are.
+// Peers that hang do not make the other VMs lose their permission while the platform is down.
+// The zone sizes cover every interval at which VMs pull.
 func TestUnresponsivePeersCostNoPermission(t *testing.T) {
 	for _, tt := range []struct {
 		vms  int
@@ -245,7 +247,7 @@
 			f := newFleet(t, tt.vms, "a")
 			startAndConfigure(f)
 			f.awaitJoined("a", tt.vms)
-			f.checkFor(10 * time.Second) // the last to join is known to all by then
+			f.checkFor(10 * time.Second) // until all VMs have received the last to join
 			f.Rows.SetDown(true)
 			f.List.SetDown(true)
 			for _, name := range tt.dead {
@@ -263,8 +265,8 @@
 	}
 }
 
-// Two VMs that are cut off together vouch for each other and serve on. So
-// neither may be dropped, though the keeper cannot tell them from dead ones.
+// Two VMs that are isolated together confirm each other as members and continue to serve. So
+// neither may be removed, although the reconciler cannot distinguish them from dead VMs.
 func TestTwoVMsIsolatedTogether(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 5, "a")
@@ -292,9 +294,9 @@
 	})
 }
 
-// A process that restarts just after its VM acknowledged a shunning, and reaches
-// only the shunned VM, learns an old roster from it. The two vouch for each other
-// and serve on, so neither may be dropped.
+// A process restarts just after its VM acknowledged an exclusion, reaches only the excluded VM,
+// and receives an old roster from it. The two confirm each other as members and continue to
+// serve, so neither may be removed.
 func TestRestartBesideExcludedVM(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 4, "a")
@@ -308,7 +310,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		f.Isolate("a1", true)
-		time.Sleep(50 * time.Millisecond) // all others have acknowledged
+		time.Sleep(50 * time.Millisecond) // by now all others have acknowledged
 		f.Kill("a3")
 		f.Isolate("a3", true)
 		f.Net.Cut("a1", "a3", false)
@@ -319,7 +321,7 @@
 			f.accepted(v)
 		}
 		if f.Nodes["a1"].Member.Allow() != nil || f.Nodes["a3"].Member.Allow() != nil {
-			t.Error("the two do not vouch for each other: the test proves nothing")
+			t.Error("the two VMs do not confirm each other, so the test scenario was not reached")
 		}
 		f.Isolate("a1", false)
 		f.Isolate("a3", false)
@@ -328,8 +330,8 @@
 	})
 }
 
-// A lapse of the whole zone while the platform is down heals by itself: VMs
-// that lapsed may vouch for each other.
+// A zone in which every VM loses its permission while the platform is down recovers without it:
+// VMs without permission may confirm each other as members.
 func TestZoneRecoversWithPlatformDown(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
@@ -351,7 +353,7 @@
 	})
 }
 
-// broken is a pusher that says what the confirmer wants to hear.
+// lyingPusher always reports that the VM holds the newest version.
 type lyingPusher struct{}
 
 func (lyingPusher) ApplyConfig(context.Context, contact.VM, rollout.Update) (contact.Ack, error) {
@@ -362,7 +364,7 @@
 	return contact.Ack{Instance: 1, Config: 1 << 40}, nil
 }
 
-// The checker objects when a guard is broken.
+// The checker detects a violation when a guard is broken.
 func TestCheckerDetectsBrokenGuards(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -374,7 +376,8 @@
 		{"VMs serve without permission", func(f *fleet) { f.Allow = func(*fakefleet.Node) error { return nil } }},
 		{"the list drops a VM that is alive", func(f *fleet) {
 			time.AfterFunc(28*time.Second, func() { f.List.Remove("a1") })
-			// The controllers are refused at once, and so drop it before it lapses.
+			// The controllers' calls are refused immediately, so the VM is removed before its
+			// permission ends.
 			time.AfterFunc(29*time.Second+time.Millisecond, func() {
 				f.Net.Listen("a1", nil)
 				f.PartitionControllers("a1", false)
@@ -392,14 +395,15 @@
 				f.awaitAccepted(f.put("next"), time.Minute)
 				f.checkFor(time.Second)
 				if len(f.Checker.Violations()) == 0 {
-					t.Error("the checker saw nothing")
+					t.Error("the checker found no violation")
 				}
 			})
 		})
 	}
 }
 
-// Two operators edit one version: one wins, the other learns what is there.
+// When two operators edit the same version, one edit is committed and the other gets a conflict
+// that names the committed version.
 func TestTwoOperators(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a")
@@ -416,7 +420,7 @@
 		}
 		f.put("later")
 		if again, err := f.Store.Put(f.ctx, mine); err != nil || again != v {
-			t.Errorf("repeat of the first edit: %d, %v; want %d", again, err, v)
+			t.Errorf("repeated first edit: %d, %v; want %d", again, err, v)
 		}
 		_, err = f.Store.Status(f.ctx, 99)
 		var missing *rollout.MissingVersionError
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -9,35 +9,35 @@
 	"github.com/springweir/springweir/table"
 )
 
-// maxZones bounds the zones read at once.
+// maxZones bounds the number of zones read at once.
 const maxZones = 1000
 
-// ZoneStatus tells what keeps a version from being confirmed in a zone.
+// ZoneStatus describes a zone in which a version is not confirmed.
 type ZoneStatus struct {
-	// Zone is empty where no zone has VMs: the version waits for the first VM.
+	// Zone is empty if no zone has VMs; the version then waits for the first VM.
 	Zone string
-	// Confirmed is the newest version confirmed there.
+	// Confirmed is the newest version confirmed in the zone.
 	Confirmed Version
-	// Missing names VMs without the version asked for, as the zone's confirmer
-	// last reported. It is empty when the confirmer has not yet said.
+	// Missing names the VMs that lack the queried version, as last reported by the zone's
+	// confirmer. It is empty if the confirmer has not reported yet.
 	Missing []string
 }
 
-// Status tells whether a version is accepted.
+// Status is the acceptance status of a version.
 type Status struct {
 	Version Version
-	// Accepted means in force on every VM that may serve, in every zone. An
-	// accepted version stays so.
+	// Accepted means that the version, or a newer one, is in effect on every VM that may serve,
+	// in every zone. An accepted version stays accepted.
 	Accepted bool
 	// Pending lists the zones that have not confirmed it.
 	Pending []ZoneStatus
 }
 
-// Status reads what the zones have confirmed about version v. The error is
-// *MissingVersionError when v is not in the history.
+// Status reads which zones have confirmed version v. The error is *MissingVersionError if v is
+// not in the history.
 //
-// The rosters are read before the acknowledgements. A zone that comes into
-// being in between starts at the head, which is at least v.
+// The rosters are read before the acknowledgements. A zone that is created in between starts at
+// the head, which is at least v.
 func (s *Store) Status(ctx context.Context, v Version) (Status, error) {
 	newest, err := s.Head(ctx)
 	if err != nil {
@@ -76,9 +76,9 @@
 	return status, nil
 }
 
-// unserved is the status while no zone has VMs. Rows of acknowledgement outlive
-// the VMs and never go down, so a version that was accepted has one and stays
-// accepted. Without one, no VM ever had it in force.
+// statusWithoutVMs is the status while no zone has VMs. Acknowledgement rows outlive the VMs
+// and never decrease, so a version that was accepted has one and stays accepted. Without one,
+// no VM ever had the version in effect.
 func (s *Store) statusWithoutVMs(ctx context.Context, v Version) (Status, error) {
 	rows, err := s.rows.Scan(ctx, Table, ackPrefix, "", maxZones)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return Status{Version: v, Pending: []ZoneStatus{{}}}, nil
 }
 
-// zones returns the acknowledgement rows of the zones that have VMs.
+// activeAckKeys returns the keys of the acknowledgement rows of the zones that have VMs.
 func (s *Store) activeAckKeys(ctx context.Context) ([]table.Key, error) {
 	rows, err := s.rows.Scan(ctx, contact.Table, "", "", maxZones)
 	if err != nil {
--- a/rollout/store.go
+++ b/rollout/store.go
@@ -12,38 +12,38 @@
 	"github.com/springweir/springweir/table"
 )
 
-// InlineLimit is the longest compressed document kept in the table, in bytes.
-// A longer one goes to the object store.
+// InlineLimit is the largest compressed document stored in the table, in bytes. Larger ones are
+// stored in the object store.
 const InlineLimit = 16 << 10
 
-// Store is the linear history of configurations, in the table service.
+// Store is the linear history of configurations in the table service.
 //
-// Invariant: the row of a version is written once, in the transaction that
-// moves the head to it, and never again until Pruner deletes it. So whose write
-// made a version can be read back for as long as the history keeps it.
+// Invariant: the row of a version is written once, in the transaction that moves the head to
+// it, and never again until Pruner deletes it. So the history shows which write created a
+// version for as long as it keeps that version.
 type Store struct {
 	rows    table.Service
 	objects object.Store
 }
 
-// NewStore returns the history kept in rows and objects.
+// NewStore returns the history stored in rows and objects.
 func NewStore(rows table.Service, objects object.Store) *Store {
 	return &Store{rows: rows, objects: objects}
 }
 
-// Edit is a change that an operator asks for.
+// Edit is a change of the configuration by an operator.
 type Edit struct {
 	// Base is the version that the operator edited.
 	Base Version
-	// WriteID is chosen by the operator's tool. Repeating an edit with the
-	// same id, also through another VM, is idempotent.
+	// WriteID is chosen by the operator's tool. Repeating an edit with the same ID is
+	// idempotent, even through another VM.
 	WriteID string
 	Author  string
 	Note    string
 	Text    []byte
 }
 
-// Head returns the newest version; None when there is none.
+// Head returns the newest version, or None if there is none.
 func (s *Store) Head(ctx context.Context) (Version, error) {
 	rows, err := s.rows.Get(ctx, HeadKey())
 	if err != nil {
@@ -53,11 +53,10 @@
 	return h.Version, err
 }
 
-// Put commits the edit as the version after its base. The error is
-// *ConflictError when another edit came first, *MissingVersionError when the
-// history no longer tells whose edit did, *TooLargeError, or the table's
-// or object store's: *table.UnknownError means that ctx ended before the fate
-// of the write was known, and the same edit may be put again.
+// Put commits the edit as the version after its base. The error is *ConflictError if another
+// edit was committed first, *MissingVersionError if the history no longer shows which edit was,
+// *TooLargeError, or an error of the table or the object store. *table.UnknownError means that
+// ctx ended before the outcome of the write was known; the same edit may be put again.
 func (s *Store) Put(ctx context.Context, e Edit) (Version, error) {
 	if len(e.Text) > MaxText {
 		return None, &TooLargeError{Size: len(e.Text), Limit: MaxText}
@@ -90,8 +89,8 @@
 	return s.commit(ctx, e, txn)
 }
 
-// commit settles a lost answer. The row of the version is never written again,
-// so it still tells whose write made it when the head has long moved on.
+// commit resolves a write whose response was lost. The row of the version is never rewritten,
+// so it identifies its write even after the head has moved on.
 func (s *Store) commit(ctx context.Context, e Edit, txn table.Txn) (Version, error) {
 	_, err := table.CommitAndResolve(ctx, s.rows, txn, func(row table.Row) bool {
 		entry, err := decodeRow[Entry](row)
@@ -109,8 +108,8 @@
 	}
 }
 
-// settle reads the version that the edit would have made, and tells whether it
-// is this edit's.
+// resolveOutcome reads the version that the edit would have created, and returns it if this
+// edit created it.
 func (s *Store) resolveOutcome(ctx context.Context, e Edit) (Version, error) {
 	existing, err := s.Entry(ctx, e.Base+1)
 	var missing *MissingVersionError
@@ -125,7 +124,7 @@
 		return None, err
 	}
 	if missing != nil && e.Base < newest {
-		// Deleted since: whose write it was cannot be told any more.
+		// Pruned since, so the row can no longer show which write created it.
 		return None, missing
 	}
 	newestEntry, err := s.Entry(ctx, newest)
@@ -135,8 +134,8 @@
 	return None, &ConflictError{Base: e.Base, Head: newestEntry}
 }
 
-// prepare makes the row of the new version, and stores a long text first: a
-// row must never name an object that is not there.
+// prepare builds the row of the new version. It stores a long text first, because a row must
+// never name a missing object.
 func (s *Store) prepare(ctx context.Context, e Edit) (Entry, error) {
 	doc := NewDocument(e.Base+1, e.Text)
 	entry := Entry{
@@ -148,8 +147,8 @@
 		entry.Text = body
 		return entry, nil
 	}
-	// The version in the name makes the object this version's alone, so that
-	// the two can be deleted together.
+	// The object name contains the version, so no other version uses the object and both can be
+	// deleted together.
 	entry.Object = fmt.Sprintf("config/%d-%x", doc.Version, doc.Digest)
 	if err := s.objects.Put(ctx, entry.Object, body); err != nil {
 		return Entry{}, eris.Wrap(err, "store configuration text")
@@ -157,7 +156,7 @@
 	return entry, nil
 }
 
-// Entry describes a version. The error is *MissingVersionError or the table's.
+// Entry returns a version's entry. The error is *MissingVersionError or the table's.
 func (s *Store) Entry(ctx context.Context, v Version) (Entry, error) {
 	rows, err := s.rows.Get(ctx, VersionKey(v))
 	if err != nil {
--- a/rollout/syncer.go
+++ b/rollout/syncer.go
@@ -15,26 +15,25 @@
 
 // Timing of the syncer.
 const (
-	// tablePoll is the mean time between reads of the head by a VM that is in
-	// contact with its peers. Changes reach it sooner, through its zone's
-	// confirmer and its peers.
+	// tablePollInterval is the mean time between reads of the head by a VM that is in contact
+	// with its peers. It receives changes sooner, from its zone's confirmer and its peers.
 	tablePollInterval = 10 * time.Second
-	// tableRetry is the mean time between reads by a VM that is not.
+	// tableRetryInterval is the mean time between reads by a VM without contact.
 	tableRetryInterval = 500 * time.Millisecond
-	// tableMargin is how long before its permission ends a VM turns to the table.
+	// tableMargin is how long before its permission ends a VM contacts the table.
 	tableMargin = 750 * time.Millisecond
-	// syncCheck is how often the syncer looks whether a read is due.
+	// syncCheckInterval is the time between checks whether a read is due.
 	syncCheckInterval = 250 * time.Millisecond
-	// departPoll is between two looks of a leaving VM at the roster.
+	// leavePollInterval is the time between two reads of the roster by a leaving VM.
 	leavePollInterval = time.Second
 )
 
-// Syncer keeps one entry's configuration and standing up to date, from the
+// Syncer keeps the configuration and the membership of one entry process up to date, from the
 // table and from the peers of its zone.
 //
-// The order in each contact is the same: note the time, ask, adopt the roster,
-// put the newest configuration in force, and only then renew the permission,
-// counted from the time noted.
+// Every contact follows the same order: record the time, send the request, apply the roster,
+// apply the newest configuration, and only then extend the permission, counted from the
+// recorded time.
 type Syncer struct {
 	member  *contact.Member
 	applier *Applier
@@ -45,7 +44,7 @@
 	writeID func() string
 }
 
-// NewSyncer returns the syncer of the VM that answers its peers at address.
+// NewSyncer returns the syncer of the VM that serves its peers at address.
 func NewSyncer(m *contact.Member, a *Applier, s *Store, rows table.Service, peers Peers, address string, writeID func() string) *Syncer {
 	return &Syncer{member: m, applier: a, store: s, rows: rows, peers: peers, address: address, writeID: writeID}
 }
@@ -61,7 +60,7 @@
 		}
 		if !now.Before(due) {
 			if err := s.SyncTable(ctx); err != nil {
-				klog.V(1).Infof("rollout: no contact with the table: %v", err)
+				klog.V(1).Infof("rollout: contact with the table failed: %v", err)
 			}
 			next = clock.Now().Add(s.nextPollDelay())
 		}
@@ -69,13 +68,13 @@
 	}
 }
 
-// wantsTable tells that this VM's permission is about to end, or has.
+// needsTable reports whether this VM's permission is about to end or has ended.
 func (s *Syncer) needsTable(now time.Time) bool {
 	return s.member.NeedsJoin() || now.Sub(s.member.LastContact()) > contact.Timeout-tableMargin
 }
 
-// pollAfter spreads the reads of the fleet evenly: half to one and a half
-// times the mean.
+// nextPollDelay returns a random delay of half to one and a half times the mean, which spreads
+// the reads of the fleet evenly.
 func (s *Syncer) nextPollDelay() time.Duration {
 	mean := tablePollInterval
 	if s.needsTable(clock.Now()) {
@@ -84,8 +83,8 @@
 	return loop.Jitter(mean)
 }
 
-// SyncTable reads the head and the roster in one snapshot, follows both, and
-// joins the roster if this process is not on it.
+// SyncTable reads the head and the roster in one snapshot, applies both, and joins the roster
+// if this process is not on it.
 func (s *Syncer) SyncTable(ctx context.Context) error {
 	err := s.syncTable(ctx)
 	countContact(withTable, err)
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// follow puts version v in force unless a newer one is.
+// applyVersion applies version v unless an equal or newer one is in effect.
 func (s *Syncer) applyVersion(ctx context.Context, v Version) error {
 	if v <= s.applier.Current().Version {
 		return nil
@@ -130,10 +129,9 @@
 	return s.applier.Apply(doc)
 }
 
-// join puts this VM on the roster, provided that the head is still the version
-// it has in force. The first VM of a zone also vouches that the zone has that
-// version: it is the whole zone. So a zone that comes into being never makes
-// an accepted version pending again.
+// join adds this VM to the roster, provided that the head is still the version that it has in
+// effect. The first VM of a zone also acknowledges that version for the zone, since it is the
+// zone's only VM. So creating a zone never makes an accepted version pending again.
 func (s *Syncer) join(ctx context.Context, h head, roster contact.Roster, rows []table.Row) error {
 	startedAt := clock.Now()
 	next := roster.Join(s.member.Zone(), s.member.Name(), s.address)
@@ -148,8 +146,8 @@
 		txn.Writes = append(txn.Writes, table.Write{Key: rows[2].Key, Value: encodeRow(first)})
 	}
 	if _, err := s.rows.Commit(ctx, txn); err != nil {
-		// If it took effect after all, the next round reads this VM on the
-		// roster and joins again, which is harmless.
+		// If the write took effect after all, the next round finds this VM on the roster and
+		// joins again, which is harmless.
 		return eris.Wrap(err, "join roster")
 	}
 	s.member.RecordJoin(next, startedAt)
@@ -157,10 +155,11 @@
 	return nil
 }
 
-// SyncPeer asks one peer to vouch, and follows its roster and configuration.
-// A process that never had contact takes them only from a peer that itself may
-// serve; one that had trusts the peers on its own roster (package contact says
-// why that is enough). The error is *UntrustedError when there is no contact.
+// SyncPeer asks one peer to confirm this VM as a member, and applies the peer's roster and
+// configuration. A process that never had contact accepts the confirmation only from a peer
+// that itself may serve; one that had contact accepts it from the active VMs on its own roster
+// (see package contact for why that suffices). The error is *UntrustedError if the response
+// does not count as contact.
 func (s *Syncer) SyncPeer(ctx context.Context, vm contact.VM) error {
 	err := s.syncPeer(ctx, vm)
 	countContact(withPeer, err)
@@ -184,15 +183,15 @@
 		}
 	}
 	if !resp.Confirmed || !(firstContact || s.member.Roster().IsActive(vm.Name)) {
-		_ = s.shareRoster(ctx, vm, resp.Ack) // there is no contact either way
+		_ = s.shareRoster(ctx, vm, resp.Ack) // the peer is untrusted whether or not this fails
 		return &UntrustedError{Peer: vm.Name}
 	}
 	s.member.RecordContact(startedAt)
 	return s.shareRoster(ctx, vm, resp.Ack)
 }
 
-// handOver gives the peer the roster if it holds an older one: a VM that knows
-// nobody, as it joined first, pulls from nobody.
+// shareRoster sends the roster to the peer if the peer holds an older one. The first VM to join
+// has an empty peer list and pulls from no VM, so it depends on this.
 func (s *Syncer) shareRoster(ctx context.Context, vm contact.VM, peerAck contact.Ack) error {
 	roster := s.member.Roster()
 	if peerAck.Roster >= roster.Revision {
@@ -202,8 +201,7 @@
 	return err
 }
 
-// fetch puts in force what the peer has. A patch that does not fit is followed
-// by the whole text.
+// fetchConfig fetches and applies the peer's configuration.
 func (s *Syncer) fetchConfig(ctx context.Context, vm contact.VM) error {
 	have := s.applier.Current().Version
 	u, err := s.peers.FetchConfig(ctx, vm, have)
@@ -213,14 +211,13 @@
 	return s.applier.ApplyUpdate(u)
 }
 
-// Leave takes this VM off the roster by plan and returns once it is off, or
-// ctx ends. It goes on answering its peers meanwhile, so that it holds up no
-// change.
+// Leave removes this VM from the roster for a planned shutdown, and returns once it is off the
+// roster or ctx ends. The VM continues to serve its peers meanwhile, so that it does not block
+// changes.
 //
-// Call it once the last request has ended, not before: from its start the gate
-// lets no attempt through, so a request that is queued, tries again or resumes
-// would be cut; and once off the roster this VM's streams are no longer asked
-// about when an endpoint is withheld.
+// Call it only after the last request has ended. From its start the gate admits no attempt, so
+// a request that is queued, retried or resumed would be cut; and once the VM is off the roster,
+// its streams are no longer considered when an endpoint is withheld.
 func (s *Syncer) Leave(ctx context.Context) error {
 	s.member.StopServing()
 	for {
@@ -229,7 +226,7 @@
 			return nil
 		}
 		if err != nil {
-			klog.Warningf("rollout: leaving the roster: %v", err)
+			klog.Warningf("rollout: leaving the roster failed: %v", err)
 		}
 		if !loop.Sleep(ctx, leavePollInterval) {
 			return eris.Wrap(&contact.UnstableError{Missing: []string{s.member.Name()}}, "leave roster")
--- a/rollout/syncer_test.go
+++ b/rollout/syncer_test.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// rig is one syncer over an in-memory table.
+// fixture is one syncer over an in-memory table.
 type fixture struct {
 	rows   *memtable.Table
 	store  *rollout.Store
@@ -39,25 +39,25 @@
 }
 
 func TestSyncPeer(t *testing.T) {
-	shunned := abc()
-	shunned.Revision++
-	shunned.VMs[1].ExcludedAt = shunned.Revision
+	excluded := abc()
+	excluded.Revision++
+	excluded.VMs[1].ExcludedAt = excluded.Revision
 	update := rollout.NewUpdate(rollout.Document{}, rollout.NewDocument(5, []byte("text")))
 	held := contact.Ack{Config: 5, Roster: abc().Revision}
 	tests := []struct {
 		name string
-		// known is the roster of a VM that had contact before; none is a new process.
+		// known is the roster of a VM that had contact before; empty for a new process.
 		known contact.Roster
 		peer  fakepeer.Scripted
 		want  contact.Status
 	}{
-		{"new, from a peer that serves", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: &update}, contact.Active},
-		{"new, from a peer that does not serve", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Roster: abc()}, Update: &update}, contact.NotJoined},
+		{"new, confirmed by a peer that serves", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: &update}, contact.Active},
+		{"new, confirmed by a peer that does not serve", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Roster: abc()}, Update: &update}, contact.NotJoined},
 		{"new, not on the roster", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Serving: true, Roster: abc().Leave("a")}, Update: &update}, contact.NotJoined},
 		{"new, configuration not fetched", contact.Roster{}, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: nil}, contact.NoContact},
-		{"known, from a peer that lapsed too", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true}, Update: &update}, contact.Active},
-		{"known, not vouched for", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Serving: true}, Update: &update}, contact.NoContact},
-		{"known, from a shunned peer", shunned, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, confirmed by a peer without permission", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true}, Update: &update}, contact.Active},
+		{"known, not confirmed", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, confirmed by an excluded peer", excluded, fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: &update}, contact.NoContact},
 		{"known, configuration not fetched", abc(), fakepeer.Scripted{Answer: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: nil}, contact.NoContact},
 	}
 	for _, tt := range tests {
@@ -70,14 +70,14 @@
 				}
 				err := r.syncer.SyncPeer(t.Context(), contact.VM{Name: "b", Address: "b"})
 				if got := r.member.Status(); got != tt.want || (err == nil) != (tt.want == contact.Active) {
-					t.Errorf("standing %s, %v; want %s", got, err, tt.want)
+					t.Errorf("status %s, error %v; want %s", got, err, tt.want)
 				}
 			})
 		})
 	}
 }
 
-// A contact counts from before it was asked for, not from its answer.
+// The permission counts from when a contact was requested, not from its response.
 func TestContactCountsFromRequestStart(t *testing.T) {
 	const slow = contact.Timeout - time.Second
 	sync := map[string]func(t *testing.T, r *fixture) error{
@@ -103,14 +103,14 @@
 			}
 			time.Sleep(contact.Timeout - slow)
 			if r.member.Allow() == nil {
-				t.Errorf("%s: serves %v after it asked", name, contact.Timeout)
+				t.Errorf("%s: still serves %v after the request", name, contact.Timeout)
 			}
 		})
 	}
 }
 
-// A change that is committed between a VM's read and its join makes the join
-// conflict: no VM comes onto a roster with an old version.
+// A change committed between a VM's read and its join makes the join conflict, so that no VM
+// joins a roster with an old version.
 func TestJoinRacesWithEdit(t *testing.T) {
 	r := newFixture(fakepeer.Scripted{})
 	r.rows.SetHook(func(c memtable.Call) memtable.Fault {
@@ -131,7 +131,7 @@
 	}
 }
 
-// Contact with the table counts only once the newest version is in force.
+// Contact with the table counts only once the newest version is in effect.
 func TestTableContactNeedsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture(fakepeer.Scripted{})
@@ -155,7 +155,7 @@
 	})
 }
 
-// A write whose answer is lost, or that takes effect late, is settled.
+// A write whose response is lost, or that takes effect late, is resolved.
 func TestPutResolvesUnknownOutcome(t *testing.T) {
 	for _, fault := range []memtable.Fault{{LoseResponse: true}, {ApplyAfter: 300 * time.Millisecond}, {ApplyAfter: time.Minute}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -196,13 +196,13 @@
 	}
 	u := rollout.NewUpdate(base, text("one 2 three"))
 	if _, err := u.Document(rollout.Document{}); err == nil {
-		t.Error("patch without its base was taken")
+		t.Error("patch without its base was accepted")
 	}
 	if _, err := u.Document(rollout.NewDocument(1, []byte("other text here"))); err == nil {
-		t.Error("patch on another text was taken")
+		t.Error("patch on another text was accepted")
 	}
 	u.Prefix = 1 << 40
 	if _, err := u.Document(base); err == nil {
-		t.Error("patch beyond its base was taken")
+		t.Error("patch beyond its base was accepted")
 	}
 }
--- a/rollout/update.go
+++ b/rollout/update.go
@@ -8,25 +8,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxText is the longest document in bytes.
+// MaxText is the maximum size of a document in bytes.
 const MaxText = 8 << 20
 
-// Update carries a document whole or as a patch on an earlier version. Edits
-// touch a key or two, so a patch keeps what stands before and after the place
-// and is some dozens of bytes, where the whole text is hundreds of kilobytes.
+// Update carries a document in full or as a patch on an earlier version. Most edits touch one
+// or two keys, so a patch keeps the text before and after the edited place and takes some
+// dozens of bytes, compared with hundreds of kilobytes for the full text.
 type Update struct {
 	Version Version
 	Digest  Digest
-	// Base is the version patched; None means whole.
+	// Base is the version that the patch applies to; None means that the update is the full
+	// text.
 	Base Version
-	// Prefix and Suffix count the bytes kept from the base.
+	// Prefix and Suffix are the numbers of bytes kept from the start and the end of the base.
 	Prefix, Suffix int
-	// Body replaces what lies between, compressed.
+	// Body is the compressed text between Prefix and Suffix.
 	Body []byte
 }
 
-// NewUpdate returns the update to doc for one who holds base, or the whole
-// document when base is None.
+// NewUpdate returns the update from base to doc, or the full document if base is None.
 func NewUpdate(base, doc Document) Update {
 	u := Update{Version: doc.Version, Digest: doc.Digest, Base: base.Version}
 	if base.Version != None {
@@ -37,8 +37,8 @@
 	return u
 }
 
-// Document returns the document, made on base. The error is *BaseMissingError,
-// *MalformedError, *TooLargeError or *DigestError.
+// Document returns the document made by applying the update to base. The error is
+// *BaseMissingError, *MalformedError, *TooLargeError or *DigestError.
 func (u Update) Document(base Document) (Document, error) {
 	if u.Base != None && u.Base != base.Version {
 		return Document{}, &BaseMissingError{Base: u.Base}
@@ -85,12 +85,12 @@
 func compress(data []byte) []byte {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
-	_, _ = w.Write(data) // a bytes.Buffer takes all
+	_, _ = w.Write(data) // a bytes.Buffer never fails
 	_ = w.Close()
 	return buf.Bytes()
 }
 
-// decompress bounds what a body may grow to.
+// decompress returns the decompressed body; the error is *TooLargeError if it exceeds MaxText.
 func decompress(body []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
--- a/rollout/update_bench_test.go
+++ b/rollout/update_bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// tree is a document of the size that the given number of organisations makes.
+// tree returns a document with the given number of organisations.
 func tree(organisations, limit int) []byte {
 	var b bytes.Buffer
 	for i := range organisations {
@@ -19,8 +19,8 @@
 	return b.Bytes()
 }
 
-// BenchmarkUpdate makes and applies the update of one changed key, at 4,500
-// organisations: what a confirmer and a VM each do once for a change.
+// BenchmarkUpdate creates and applies the update for one changed key, with 4,500 organisations.
+// A confirmer and each VM do this once per change.
 func BenchmarkUpdate(b *testing.B) {
 	base := rollout.NewDocument(1, tree(4500, 500))
 	next := rollout.NewDocument(2, tree(4500, 600))
