--- a/contact/member_test.go
+++ b/contact/member_test.go
@@ -23,45 +23,45 @@
 	synctest.Wait()
 }
 
-func standing(t *testing.T, m *Member, want Status) {
+func expectStatus(t *testing.T, m *Member, want Status) {
 	t.Helper()
 	if got := m.Status(); got != want {
-		t.Errorf("standing %s, want %s", got, want)
+		t.Errorf("status %s, want %s", got, want)
 	}
 	var refused *UnconfirmedError
 	if err := m.Allow(); (err == nil) != (want == Active) || err != nil && !errors.As(err, &refused) {
-		t.Errorf("Allow() = %v at standing %s", err, want)
+		t.Errorf("Allow() = %v at status %s", err, want)
 	}
 }
 
-func TestMemberLapses(t *testing.T) {
+func TestMemberTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		standing(t, m, NotJoined)
+		expectStatus(t, m, NotJoined)
 		began := time.Now()
-		time.Sleep(time.Second) // the answer takes a while
+		time.Sleep(time.Second) // the response takes a second
 		m.RecordJoin(roster(1, vm("a"), vm("b"), vm("c")), began)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		tickFor(m, Timeout-time.Second-time.Millisecond)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		tickFor(m, time.Millisecond)
-		standing(t, m, NoContact)
-		m.RecordContact(began) // an answer to a question asked long ago
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
+		m.RecordContact(began) // a response to a request from long before
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
-		standing(t, m, Active)
-		m.ApplyRoster(roster(2, vm("a", shunnedAt(2)), vm("b"), vm("c")))
-		standing(t, m, NotJoined)
+		expectStatus(t, m, Active)
+		m.ApplyRoster(roster(2, vm("a", excludedAt(2)), vm("b"), vm("c")))
+		expectStatus(t, m, NotJoined)
 		m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
 		m.RecordContact(time.Now())
-		standing(t, m, NotJoined)
+		expectStatus(t, m, NotJoined)
 		m.ApplyRoster(roster(3, vm("a"), vm("b"), vm("c")))
 		m.RecordContact(time.Now())
 		m.StopServing()
 		m.RecordContact(time.Now())
-		standing(t, m, Stopping)
+		expectStatus(t, m, Stopping)
 		if m.ConfirmMember("b") {
-			t.Error("a departed VM vouches")
+			t.Error("a stopped VM confirms a member")
 		}
 	})
 }
@@ -69,59 +69,59 @@
 func TestMemberOfSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		m.RecordJoin(roster(1, vm("a", noLapse), vm("b", noLapse)), time.Now())
+		m.RecordJoin(roster(1, vm("a", noTimeout), vm("b", noTimeout)), time.Now())
 		tickFor(m, time.Hour)
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		time.Sleep(Timeout) // paused: nothing ticks
 		tickFor(m, time.Second)
-		standing(t, m, NoContact)
-		m.RecordContact(time.Now().Add(-Timeout)) // a contact from before the pause
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
+		m.RecordContact(time.Now().Add(-Timeout)) // a contact requested before the pause
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
 		tickFor(m, time.Hour)
-		standing(t, m, Active)
-		// A roster that still marks it as following the rule binds it.
+		expectStatus(t, m, Active)
+		// A roster that still has HasTimeout set for the VM binds it.
 		m.ApplyRoster(roster(2, vm("a"), vm("b")))
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 		m.RecordContact(time.Now())
 		tickFor(m, Timeout)
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 	})
 }
 
-// A new process of a VM that has not joined follows the rule in every zone:
-// its predecessor may have left.
-func TestUnjoinedMemberLapsesInSmallZone(t *testing.T) {
+// A new process of a VM that has not joined follows the timeout rule in every zone, because its
+// predecessor may have left.
+func TestUnjoinedMemberTimesOutInSmallZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember("a")
-		m.ApplyRoster(roster(1, vm("a", noLapse), vm("b", noLapse)))
+		m.ApplyRoster(roster(1, vm("a", noTimeout), vm("b", noTimeout)))
 		m.RecordContact(time.Now())
-		standing(t, m, Active)
+		expectStatus(t, m, Active)
 		tickFor(m, Timeout)
-		standing(t, m, NoContact)
+		expectStatus(t, m, NoContact)
 	})
 }
 
-func TestMemberVouches(t *testing.T) {
+func TestMemberConfirmsMembers(t *testing.T) {
 	m := newTestMember("a")
 	m.ApplyRoster(roster(1, vm("a"), vm("b"), vm("c")))
 	if m.ConfirmMember("b") {
-		t.Error("a VM that never had contact vouches")
+		t.Error("a VM that never had contact confirms a member")
 	}
 	m.RecordContact(time.Now())
 	if !m.ConfirmMember("b") || m.ConfirmMember("x") {
-		t.Error("vouches wrongly")
+		t.Error("ConfirmMember is wrong for an active or an unknown VM")
 	}
-	m.ApplyRoster(roster(2, vm("a"), vm("b", shunnedAt(2)), vm("c")))
+	m.ApplyRoster(roster(2, vm("a"), vm("b", excludedAt(2)), vm("c")))
 	if m.ConfirmMember("b") {
-		t.Error("vouches for a shunned VM")
+		t.Error("confirms an excluded VM")
 	}
 }
 
-// The answers of scripted VMs, one a call.
-type script map[string][]Ack
+// scriptedAcks holds the responses of each VM, one for each query.
+type scriptedAcks map[string][]Ack
 
-func (s script) ask(_ context.Context, v VM) (Ack, error) {
+func (s scriptedAcks) query(_ context.Context, v VM) (Ack, error) {
 	if len(s[v.Name]) == 0 {
 		return Ack{}, &MalformedError{}
 	}
@@ -139,16 +139,16 @@
 	}{
 		{"holds", []Ack{ok, ok}, nil},
 		{"holds too little", []Ack{old, ok}, []string{"b"}},
-		{"silent", nil, []string{"b"}},
-		{"silent in the second round", []Ack{ok}, []string{"b"}},
-		{"restarted and behind", []Ack{ok, {Instance: 2, Config: 1}}, []string{"b"}},
+		{"no response", nil, []string{"b"}},
+		{"no response in the second round", []Ack{ok}, []string{"b"}},
+		{"restarted with an older version", []Ack{ok, {Instance: 2, Config: 1}}, []string{"b"}},
 		{"restarted between the rounds", []Ack{ok, other}, []string{"b"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := script{"b": tt.b}
+			s := scriptedAcks{"b": tt.b}
 			var missing []string
-			err := ConfirmStable(t.Context(), []VM{{Name: "b"}}, s.ask, s.ask, func(a Ack) bool { return a.Config >= 2 })
+			err := ConfirmStable(t.Context(), []VM{{Name: "b"}}, s.query, s.query, func(a Ack) bool { return a.Config >= 2 })
 			var unstable *UnstableError
 			if errors.As(err, &unstable) {
 				missing = unstable.Missing
--- a/contact/keeper_test.go
+++ b/contact/reconciler_test.go
@@ -17,16 +17,16 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// A silent VM is dropped only when all others have acknowledged its shunning
-// and the settling time has passed since.
-func TestKeeperDropsSilentVM(t *testing.T) {
+// An unresponsive VM is removed only after all others have acknowledged its exclusion and the
+// removal delay has passed since.
+func TestReconcilerRemovesUnresponsiveVM(t *testing.T) {
 	tests := []struct {
 		name string
-		// hinder keeps the drop back and is taken away after a minute.
-		hinder func(z *fakepeer.Zone, on bool)
+		// block prevents the removal, and is ended after a minute.
+		block func(z *fakepeer.Zone, on bool)
 	}{
-		{"at once", func(*fakepeer.Zone, bool) {}},
-		{"another VM takes no roster", func(z *fakepeer.Zone, on bool) { z.IgnoresRosters["b"] = on }},
+		{"unobstructed", func(*fakepeer.Zone, bool) {}},
+		{"another VM accepts no roster", func(z *fakepeer.Zone, on bool) { z.IgnoresRosters["b"] = on }},
 		{"another VM keeps restarting", func(z *fakepeer.Zone, on bool) {
 			if on {
 				go func() {
@@ -37,7 +37,7 @@
 				}()
 			}
 		}},
-		{"another VM restarts while it settles, and may have learnt from the silent one", func(z *fakepeer.Zone, on bool) {
+		{"another VM restarts during the removal delay, and may have its state from the unresponsive one", func(z *fakepeer.Zone, on bool) {
 			if on {
 				go func() {
 					for range 20 {
@@ -47,7 +47,7 @@
 				}()
 			}
 		}},
-		{"another VM is silent too", func(z *fakepeer.Zone, on bool) { z.Unresponsive["b"] = on }},
+		{"another VM is unresponsive too", func(z *fakepeer.Zone, on bool) { z.Unresponsive["b"] = on }},
 	}
 	for i, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -65,12 +65,12 @@
 					t.Fatal(err)
 				}
 				ids := 0
-				k := contact.NewReconciler("z", rows, z, list, fakepeer.Lease{}, func() string { ids++; return fmt.Sprint(ids) })
+				rc := contact.NewReconciler("z", rows, z, list, fakepeer.Lease{}, func() string { ids++; return fmt.Sprint(ids) })
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go k.Run(ctx)
+				go rc.Run(ctx)
 				time.Sleep(5 * time.Second)
-				z.Update(func() { z.Unresponsive["c"] = true; tt.hinder(z, true) })
+				z.Update(func() { z.Unresponsive["c"] = true; tt.block(z, true) })
 				began := time.Now()
 				names := func() []string {
 					got, err := rows.Get(t.Context(), contact.Key("z"))
@@ -85,12 +85,12 @@
 				}
 				took := time.Since(began)
 				if early := contact.ExcludeAfter + contact.RemovalDelay; took < early {
-					t.Errorf("dropped after %v, before %v", took, early)
+					t.Errorf("removed after %v, want at least %v", took, early)
 				}
-				if hindered := i > 0; hindered != (len(names()) == 3) {
-					t.Errorf("after a minute: %v", names())
+				if blocked := i > 0; blocked != (len(names()) == 3) {
+					t.Errorf("roster after a minute: %v", names())
 				}
-				z.Update(func() { tt.hinder(z, false) })
+				z.Update(func() { tt.block(z, false) })
 				time.Sleep(time.Minute)
 				if diff := cmp.Diff([]string{"a", "b"}, names()); diff != "" {
 					t.Errorf("roster (-want +got):\n%s", diff)
--- a/contact/stable.go
+++ b/contact/stable.go
@@ -8,24 +8,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// askWorkers bounds how many VMs are asked at the same time.
-const askWorkers = 16
+// maxConcurrentQueries bounds the number of VMs queried concurrently.
+const maxConcurrentQueries = 16
 
-// Query asks one VM and returns what it then holds.
+// Query queries one VM and returns what that VM then holds.
 type Query func(ctx context.Context, vm VM) (Ack, error)
 
-// Collect asks the VMs side by side and returns the answers by name. A VM that
-// fails to answer is missing from them.
-func Collect(ctx context.Context, vms []VM, ask Query) map[string]Ack {
+// Collect queries the VMs concurrently and returns the responses by name. A VM that fails to
+// respond is missing from the result.
+func Collect(ctx context.Context, vms []VM, query Query) map[string]Ack {
 	var mu sync.Mutex
 	acks := make(map[string]Ack, len(vms))
 	var g errgroup.Group
-	g.SetLimit(askWorkers)
+	g.SetLimit(maxConcurrentQueries)
 	for _, vm := range vms {
 		g.Go(func() error {
-			ack, err := ask(ctx, vm)
+			ack, err := query(ctx, vm)
 			if err != nil {
-				return nil // the VM stays missing, which is the caller's finding
+				return nil // the VM stays missing from acks, which the caller checks
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -37,51 +37,51 @@
 	return acks
 }
 
-// ConfirmStable asks every VM in two rounds, by first and then by second, and succeeds only if each answer of both
-// is enough and no VM's process changed between them. The error is
-// *UnstableError.
+// ConfirmStable queries every VM in two rounds, with first and then with second. It succeeds
+// only if every response of both rounds is sufficient and no VM's process changed between them.
+// The error is *UnstableError.
 //
-// Why two: a process that restarts learns its state from a peer. One that
-// starts after the first round learns from a peer that already holds enough.
-// One that started earlier is met by the second round, under a new instance.
-// So when ConfirmStable succeeds, every process that is or comes to be on these VMs
-// holds enough, even if it never reaches the table.
-func ConfirmStable(ctx context.Context, vms []VM, first, second Query, enough func(Ack) bool) error {
-	before, err := round(ctx, vms, first, enough)
+// Two rounds are needed because a restarted process receives its state from a peer. A process
+// that starts after the first round receives it from a peer that already holds enough. A
+// process that started earlier is queried by the second round, under a new instance. So when
+// ConfirmStable succeeds, every process that runs or later starts on these VMs holds enough,
+// even if it never reaches the table.
+func ConfirmStable(ctx context.Context, vms []VM, first, second Query, sufficient func(Ack) bool) error {
+	before, err := queryRound(ctx, vms, first, sufficient)
 	if err != nil {
 		return err
 	}
 	after := Collect(ctx, vms, second)
 	same := func(name string, ack Ack) bool {
-		return enough(ack) && ack.Instance == before[name].Instance
+		return sufficient(ack) && ack.Instance == before[name].Instance
 	}
-	if missing := lacking(vms, after, same); len(missing) > 0 {
+	if missing := missingVMs(vms, after, same); len(missing) > 0 {
 		return &UnstableError{Missing: missing}
 	}
 	return nil
 }
 
-// ConfirmOnce asks every VM once and succeeds if each answer is enough. That says
+// ConfirmOnce queries every VM once and succeeds if every response is sufficient. It guarantees
 // nothing about processes that start later. The error is *UnstableError.
-func ConfirmOnce(ctx context.Context, vms []VM, ask Query, enough func(Ack) bool) error {
-	_, err := round(ctx, vms, ask, enough)
+func ConfirmOnce(ctx context.Context, vms []VM, query Query, sufficient func(Ack) bool) error {
+	_, err := queryRound(ctx, vms, query, sufficient)
 	return err
 }
 
-func round(ctx context.Context, vms []VM, ask Query, enough func(Ack) bool) (map[string]Ack, error) {
-	acks := Collect(ctx, vms, ask)
-	missing := lacking(vms, acks, func(_ string, ack Ack) bool { return enough(ack) })
+func queryRound(ctx context.Context, vms []VM, query Query, sufficient func(Ack) bool) (map[string]Ack, error) {
+	acks := Collect(ctx, vms, query)
+	missing := missingVMs(vms, acks, func(_ string, ack Ack) bool { return sufficient(ack) })
 	if len(missing) > 0 {
 		return acks, &UnstableError{Missing: missing}
 	}
 	return acks, nil
 }
 
-func lacking(vms []VM, acks map[string]Ack, ok func(string, Ack) bool) []string {
+func missingVMs(vms []VM, acks map[string]Ack, ok func(string, Ack) bool) []string {
 	var missing []string
 	for _, vm := range vms {
-		ack, answered := acks[vm.Name]
-		if !answered || !ok(vm.Name, ack) {
+		ack, responded := acks[vm.Name]
+		if !responded || !ok(vm.Name, ack) {
 			missing = append(missing, vm.Name)
 		}
 	}
--- a/rollout/fakefleet/table.go
+++ b/rollout/fakefleet/table.go
@@ -8,17 +8,17 @@
 	"github.com/springweir/springweir/table"
 )
 
-// TableView is one VM's way to the table, which can be cut.
+// TableView is one VM's connection to the table, which can be partitioned.
 type TableView struct {
 	table.Service
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-// SetCut cuts the way, or ends that.
-func (v *TableView) SetPartitioned(cut bool) { v.cut.Store(cut) }
+// SetPartitioned partitions or reconnects the VM and the table.
+func (v *TableView) SetPartitioned(partitioned bool) { v.partitioned.Store(partitioned) }
 
 func (v *TableView) err() error {
-	if !v.cut.Load() {
+	if !v.partitioned.Load() {
 		return nil
 	}
 	return &table.UnavailableError{Cause: &fakenet.UnreachableError{To: "table"}}
--- a/rollout/idle_test.go
+++ b/rollout/idle_test.go
@@ -10,10 +10,10 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// TestIdleConfirmerLeavesTheRoster shows that looking for a new version does not
-// read the zone's roster.
-func TestIdleConfirmerLeavesTheRoster(t *testing.T) {
-	r := newRig(nil)
+// TestIdleConfirmerDoesNotReadRoster checks that polling for a new version does not read the
+// zone's roster.
+func TestIdleConfirmerDoesNotReadRoster(t *testing.T) {
+	r := newFixture(nil)
 	if err := r.syncer.SyncTable(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		}
 		return memtable.Fault{}
 	})
-	c := rollout.NewConfirmer("z", r.rows, r.store, nil, anyone{}, func([]string) {}, func() string { return "id" })
+	c := rollout.NewConfirmer("z", r.rows, r.store, nil, noLease{}, func([]string) {}, func() string { return "id" })
 	if err := c.Step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -33,12 +33,12 @@
 	}
 }
 
-// anyone is an authority without a lease.
-type anyone struct{}
+// noLease is an authority without lease checks.
+type noLease struct{}
 
-func (anyone) Checks() ([]table.Check, error) { return nil, nil }
+func (noLease) Checks() ([]table.Check, error) { return nil, nil }
 
-func TestUpdateForOneWhoHoldsIt(t *testing.T) {
+func TestUpdateForCurrentVersion(t *testing.T) {
 	doc := rollout.NewDocument(3, []byte("text"))
 	a := rollout.NewApplier(func(rollout.Document) error { return nil })
 	if err := a.Apply(doc); err != nil {
@@ -49,12 +49,12 @@
 		t.Errorf("got %+v, want an empty update to version 3", u)
 	}
 	if err := a.ApplyUpdate(u); err != nil || a.Current().Version != 3 {
-		t.Errorf("after it: version %d, error %v", a.Current().Version, err)
+		t.Errorf("after the empty update: version %d, error %v", a.Current().Version, err)
 	}
 	for _, have := range []rollout.Version{rollout.None, 2} {
 		got, err := a.UpdateFor(have).Document(rollout.Document{})
 		if err != nil || string(got.Text) != "text" {
-			t.Errorf("for one who holds %d: %q, %v", have, got.Text, err)
+			t.Errorf("update for version %d: text %q, error %v", have, got.Text, err)
 		}
 	}
 }
--- a/rollout/membership_test.go
+++ b/rollout/membership_test.go
@@ -10,32 +10,32 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// A VM that leaves by plan holds up no change and is off the roster soon, in
-// zones of every size.
+// A VM that leaves for a planned shutdown blocks no change and is soon off the roster, in zones
+// of one to three VMs.
 func TestLeave(t *testing.T) {
 	for _, zone := range []int{1, 2, 3} {
-		run(t, func(t *testing.T) {
+		runInBubble(t, func(t *testing.T) {
 			f := newFleet(t, zone, "a", "b")
-			settleDown(f)
+			startAndConfigure(f)
 			left := make(chan error)
 			go func() { left <- f.Nodes["a0"].Syncer.Leave(f.ctx) }()
 			time.Sleep(time.Second)
-			f.await(f.put("while a0 leaves"), target)
+			f.awaitAccepted(f.put("while a0 leaves"), acceptanceTarget)
 			if err := <-left; err != nil {
 				t.Fatal(err)
 			}
 			f.Kill("a0")
-			f.await(f.put("without a0"), target)
-			f.verify()
+			f.awaitAccepted(f.put("without a0"), acceptanceTarget)
+			f.reportViolations()
 		})
 	}
 }
 
-// A zone that comes into being does not make an accepted version pending.
+// Creating a zone does not make an accepted version pending again.
 func TestNewZone(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
-		v := settleDown(f)
+		v := startAndConfigure(f)
 		f.Zones = append(f.Zones, "n")
 		f.Add("n0", "n")
 		for range 100 {
@@ -50,10 +50,10 @@
 	})
 }
 
-// Before any VM has joined, a version is pending and waits for no zone; one that
-// was accepted stays so when all VMs are gone.
+// Before any VM has joined, a version is pending and no zone is reported. A version that was
+// accepted stays accepted after all VMs are removed.
 func TestNoVMs(t *testing.T) {
-	run(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 0)
 		v := f.put("first")
 		s, err := f.Store.Status(f.ctx, v)
@@ -66,54 +66,54 @@
 		}
 		f.Zones = []string{"a"}
 		f.Add("a0", "a")
-		f.await(v, target)
+		f.awaitAccepted(v, acceptanceTarget)
 		f.StartControllers()
 		time.Sleep(time.Minute)
 		f.Kill("a0")
 		f.List.Remove("a0")
 		time.Sleep(time.Minute)
 		if got := f.roster("a").VMs; len(got) != 0 {
-			t.Errorf("VMs of the zone: %v", got)
+			t.Errorf("VMs left on the roster: %v", got)
 		}
 		if !f.accepted(v) || f.accepted(f.put("second")) {
-			t.Error("with all VMs gone, only what was accepted must be")
+			t.Error("with all VMs removed, the first version must be accepted and the second pending")
 		}
 	})
 }
 
-// A zone whose VMs are all gone is swept by the others' keepers.
-func TestZoneGone(t *testing.T) {
-	run(t, func(t *testing.T) {
+// A zone whose VMs are all removed is swept by the reconcilers of the other zones.
+func TestZoneRemoved(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b")
-		settleDown(f)
+		startAndConfigure(f)
 		time.Sleep(time.Minute)
 		f.Kill("b0")
 		f.PartitionControllers("b0", true)
 		f.List.Remove("b0")
-		f.await(f.put("without b"), time.Minute)
+		f.awaitAccepted(f.put("without b"), time.Minute)
 	})
 }
 
-// Two VMs that come and go while the membership list is out of reach hold up
-// changes until they have been silent for contact.UnlistedTimeout, not for ever.
-func TestUnlistedVMsGone(t *testing.T) {
-	run(t, func(t *testing.T) {
+// Two VMs that are added and removed while the membership list is unavailable block changes
+// until they have been unresponsive for contact.UnlistedTimeout, not permanently.
+func TestUnlistedVMsRemoved(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
-		settleDown(f)
+		startAndConfigure(f)
 		f.List.SetDown(true)
 		f.Add("x1", "a")
 		f.Add("x2", "a")
-		f.watch(30 * time.Second)
+		f.checkFor(30 * time.Second)
 		f.Remove("x1")
 		f.Remove("x2")
-		f.watch(contact.UnlistedTimeout - time.Minute)
+		f.checkFor(contact.UnlistedTimeout - time.Minute)
 		f.List.SetDown(false)
 		v := f.put("edit")
-		f.watch(30 * time.Second)
+		f.checkFor(30 * time.Second)
 		if f.accepted(v) {
 			t.Error("accepted without VMs that may be alive")
 		}
-		f.await(v, time.Minute)
-		f.verify()
+		f.awaitAccepted(v, time.Minute)
+		f.reportViolations()
 	})
 }
--- a/rollout/syncer_test.go
+++ b/rollout/syncer_test.go
@@ -14,16 +14,16 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// rig is one syncer over an in-memory table.
-type rig struct {
+// fixture is one syncer over an in-memory table.
+type fixture struct {
 	rows   *memtable.Table
 	store  *rollout.Store
 	member *contact.Member
 	syncer *rollout.Syncer
 }
 
-func newRig(peers rollout.Peers) *rig {
-	r := &rig{rows: memtable.New(), member: contact.NewMember("z", "a", func(contact.Roster) {})}
+func newFixture(peers rollout.Peers) *fixture {
+	r := &fixture{rows: memtable.New(), member: contact.NewMember("z", "a", func(contact.Roster) {})}
 	r.store = rollout.NewStore(r.rows, memobject.New())
 	applier := rollout.NewApplier(func(rollout.Document) error { return nil })
 	r.syncer = rollout.NewSyncer(r.member, applier, r.store, r.rows, peers, "a", func() string { return "id" })
@@ -39,59 +39,59 @@
 }
 
 func TestSyncPeer(t *testing.T) {
-	shunned := abc()
-	shunned.Revision++
-	shunned.VMs[1].ExcludedAt = shunned.Revision
+	excluded := abc()
+	excluded.Revision++
+	excluded.VMs[1].ExcludedAt = excluded.Revision
 	update := rollout.NewUpdate(rollout.Document{}, rollout.NewDocument(5, []byte("text")))
 	held := contact.Ack{Config: 5, Roster: abc().Revision}
 	tests := []struct {
 		name string
-		// known is the roster of a VM that had contact before; none is a new process.
+		// known is the roster of a VM that had contact before; empty for a new process.
 		known contact.Roster
 		peer  fakepeer.StaticPeer
 		want  contact.Status
 	}{
-		{"new, from a peer that serves", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: &update}, contact.Active},
-		{"new, from a peer that does not serve", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Roster: abc()}, Update: &update}, contact.NotJoined},
+		{"new, confirmed by a peer that serves", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: &update}, contact.Active},
+		{"new, confirmed by a peer that does not serve", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Roster: abc()}, Update: &update}, contact.NotJoined},
 		{"new, not on the roster", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Serving: true, Roster: abc().Leave("a")}, Update: &update}, contact.NotJoined},
 		{"new, configuration not fetched", contact.Roster{}, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true, Roster: abc()}, Update: nil}, contact.NoContact},
-		{"known, from a peer that lapsed too", abc(), fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true}, Update: &update}, contact.Active},
-		{"known, not vouched for", abc(), fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Serving: true}, Update: &update}, contact.NoContact},
-		{"known, from a shunned peer", shunned, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, confirmed by a peer without permission", abc(), fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true}, Update: &update}, contact.Active},
+		{"known, not confirmed", abc(), fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Serving: true}, Update: &update}, contact.NoContact},
+		{"known, confirmed by an excluded peer", excluded, fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: &update}, contact.NoContact},
 		{"known, configuration not fetched", abc(), fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Ack: held, Confirmed: true, Serving: true}, Update: nil}, contact.NoContact},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(tt.peer)
+				r := newFixture(tt.peer)
 				if tt.known.Revision != 0 {
 					r.member.RecordJoin(tt.known, time.Now())
 					time.Sleep(contact.Timeout)
 				}
 				err := r.syncer.SyncPeer(t.Context(), contact.VM{Name: "b", Address: "b"})
 				if got := r.member.Status(); got != tt.want || (err == nil) != (tt.want == contact.Active) {
-					t.Errorf("standing %s, %v; want %s", got, err, tt.want)
+					t.Errorf("status %s, error %v; want %s", got, err, tt.want)
 				}
 			})
 		})
 	}
 }
 
-// A contact counts from before it was asked for, not from its answer.
-func TestContactCountsFromQuestion(t *testing.T) {
+// The permission counts from when a contact was requested, not from its response.
+func TestContactCountsFromRequestStart(t *testing.T) {
 	const slow = contact.Timeout - time.Second
-	sync := map[string]func(t *testing.T, r *rig) error{
-		"table": func(t *testing.T, r *rig) error {
+	sync := map[string]func(t *testing.T, r *fixture) error{
+		"table": func(t *testing.T, r *fixture) error {
 			r.rows.SetFault(memtable.Fault{Delay: slow})
 			return r.syncer.SyncTable(t.Context())
 		},
-		"peer": func(t *testing.T, r *rig) error {
+		"peer": func(t *testing.T, r *fixture) error {
 			return r.syncer.SyncPeer(t.Context(), contact.VM{Name: "b"})
 		},
 	}
 	for name, contactWith := range sync {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Confirmed: true}, Delay: slow})
+			r := newFixture(fakepeer.StaticPeer{Response: rollout.ExchangeResponse{Confirmed: true}, Delay: slow})
 			txn := table.Txn{Writes: []table.Write{{Key: contact.Key("z"), Value: abc().Encode()}}}
 			if _, err := r.rows.Commit(t.Context(), txn); err != nil {
 				t.Fatal(err)
@@ -103,16 +103,16 @@
 			}
 			time.Sleep(contact.Timeout - slow)
 			if r.member.Allow() == nil {
-				t.Errorf("%s: serves %v after it asked", name, contact.Timeout)
+				t.Errorf("%s: still serves %v after the request", name, contact.Timeout)
 			}
 		})
 	}
 }
 
-// A change that is committed between a VM's read and its join makes the join
-// conflict: no VM comes onto a roster with an old version.
+// A change committed between a VM's read and its join makes the join conflict, so that no VM
+// joins a roster with an old version.
 func TestJoinRacesWithEdit(t *testing.T) {
-	r := newRig(fakepeer.StaticPeer{})
+	r := newFixture(fakepeer.StaticPeer{})
 	r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 		if c.Op == memtable.OpCommit {
 			r.rows.SetHook(nil)
@@ -131,10 +131,10 @@
 	}
 }
 
-// Contact with the table counts only once the newest version is in force.
+// Contact with the table counts only once the newest version is in effect.
 func TestTableContactNeedsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(fakepeer.StaticPeer{})
+		r := newFixture(fakepeer.StaticPeer{})
 		if err := r.syncer.SyncTable(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -155,11 +155,11 @@
 	})
 }
 
-// A write whose answer is lost, or that takes effect late, is settled.
-func TestPutSettles(t *testing.T) {
+// A write whose response is lost, or that takes effect late, is resolved.
+func TestPutResolvesUnknownOutcome(t *testing.T) {
 	for _, fault := range []memtable.Fault{{LoseResponse: true}, {ApplyAfter: 300 * time.Millisecond}, {ApplyAfter: time.Minute}} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(fakepeer.StaticPeer{})
+			r := newFixture(fakepeer.StaticPeer{})
 			first := true
 			r.rows.SetHook(func(c memtable.Call) memtable.Fault {
 				if c.Op != memtable.OpCommit || !first {
@@ -196,13 +196,13 @@
 	}
 	u := rollout.NewUpdate(base, text("one 2 three"))
 	if _, err := u.Document(rollout.Document{}); err == nil {
-		t.Error("patch without its base was taken")
+		t.Error("patch without its base was accepted")
 	}
 	if _, err := u.Document(rollout.NewDocument(1, []byte("other text here"))); err == nil {
-		t.Error("patch on another text was taken")
+		t.Error("patch on another text was accepted")
 	}
 	u.Prefix = 1 << 40
 	if _, err := u.Document(base); err == nil {
-		t.Error("patch beyond its base was taken")
+		t.Error("patch beyond its base was accepted")
 	}
 }
