--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -270,14 +270,14 @@
 func TestPendingAndUnreachableSession(t *testing.T) {
 	s := newSession(t)
 	s.seed()
-	s.store.Pending(&pb.PendingZone{Zone: "b", Confirmed: 1, Missing: []string{"entry-4"}})
+	s.store.SetPending(&pb.PendingZone{Zone: "b", Confirmed: 1, Missing: []string{"entry-4"}})
 	s.run("config", "set", "pool language", "max-away", "2", "--wait", "0s")
 	s.run("drain", "engine-1", "--wait", "0s", "-o", "json")
 	s.run("config", "wait", "--timeout", "0s")
-	s.store.Pending()
+	s.store.SetPending()
 	s.run("config", "wait", "3")
 	s.run("config", "wait", "four")
-	s.store.Down(true)
+	s.store.SetDown(true)
 	s.run("config", "get")
 	s.compare()
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -59,7 +59,7 @@
 		if answered {
 			err = remote
 		}
-		unreachable.Tried = append(unreachable.Tried, eris.Wrap(err, s.address))
+		unreachable.Errors = append(unreachable.Errors, eris.Wrap(err, s.address))
 		if ctx.Err() != nil {
 			break
 		}
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -88,14 +88,14 @@
 // UnreachableError is a call that no controller answered. A write may have
 // taken effect; repeating it with the same write id is safe.
 type UnreachableError struct {
-	// Tried holds one failure for each server, in order.
-	Tried []error
+	// Errors holds one error per server, in the order of the attempts.
+	Errors []error
 }
 
 // Error implements error.
 func (e *UnreachableError) Error() string {
 	lines := []string{"no controller answered"}
-	for _, err := range e.Tried {
+	for _, err := range e.Errors {
 		lines = append(lines, err.Error())
 	}
 	return strings.Join(lines, "\n  ")
@@ -105,7 +105,7 @@
 func (e *UnreachableError) Reason() failure.Reason { return failure.OperatorUnreachable }
 
 // Unwrap returns the failures of the servers.
-func (e *UnreachableError) Unwrap() []error { return e.Tried }
+func (e *UnreachableError) Unwrap() []error { return e.Errors }
 
 // PendingError is a version not in force everywhere when waiting ended.
 type PendingError struct{ State *pb.ConfigState }
--- a/operator/fakeoperator/fake.go
+++ b/operator/fakeoperator/fake.go
@@ -25,15 +25,15 @@
 	before func()
 }
 
-// Down makes every call fail as unavailable, or ends that.
-func (s *Store) Down(down bool) {
+// SetDown sets whether every call fails as unavailable.
+func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// LoseNextAnswer makes the next Put take effect and fail as unknown.
-func (s *Store) LoseNextAnswer() {
+// LoseNextResponse makes the next Put take effect but fail with *table.UnknownError.
+func (s *Store) LoseNextResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseNext = true
@@ -46,15 +46,15 @@
 	s.before = f
 }
 
-// Blind makes State alone fail, or ends that.
-func (s *Store) Blind(blind bool) {
+// SetStateUnavailable sets whether State, and no other method, fails as unavailable.
+func (s *Store) SetStateUnavailable(blind bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.blind = blind
 }
 
-// Pending makes versions pending on the zones; none makes them accepted.
-func (s *Store) Pending(zones ...*pb.PendingZone) {
+// SetPending sets the zones on which every version is pending. Without zones, versions are accepted.
+func (s *Store) SetPending(zones ...*pb.PendingZone) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = zones
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -108,11 +108,11 @@
 
 func TestLostAnswerIsSettledAtTheNextController(t *testing.T) {
 	s := newSite(t)
-	s.store.LoseNextAnswer()
+	s.store.LoseNextResponse()
 	if state := s.put(t, 0, tree, "w1"); state.Version != 1 {
 		t.Fatalf("got version %d, want 1", state.Version)
 	}
-	s.store.LoseNextAnswer()
+	s.store.LoseNextResponse()
 	resp, err := s.client.Plan(t.Context(), drain("e1", "w2"))
 	if err != nil || resp.State.Version != 2 {
 		t.Fatalf("got %v, %v, want version 2", resp, err)
@@ -185,13 +185,13 @@
 	if state := s.put(t, 0, tree, "w1"); state.Version != 1 {
 		t.Errorf("got version %d", state.Version)
 	}
-	s.store.Down(true)
+	s.store.SetDown(true)
 	_, err := s.client.GetConfig(t.Context(), 0)
 	var unreachable *operator.UnreachableError
-	if !errors.As(err, &unreachable) || len(unreachable.Tried) != 2 {
+	if !errors.As(err, &unreachable) || len(unreachable.Errors) != 2 {
 		t.Fatalf("got %v, want both controllers tried", err)
 	}
-	if got := failure.ReasonOf(unreachable.Tried[1]); got != failure.TableUnavailable {
+	if got := failure.ReasonOf(unreachable.Errors[1]); got != failure.TableUnavailable {
 		t.Errorf("second controller: got %s, want its own reason", got)
 	}
 }
@@ -210,7 +210,7 @@
 
 func TestPendingNamesZonesAndVMs(t *testing.T) {
 	s := newSite(t)
-	s.store.Pending(&pb.PendingZone{Zone: "a", Confirmed: 0, Missing: []string{"entry-3"}}, &pb.PendingZone{})
+	s.store.SetPending(&pb.PendingZone{Zone: "a", Confirmed: 0, Missing: []string{"entry-3"}}, &pb.PendingZone{})
 	state := s.put(t, 0, tree, "w1")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -224,7 +224,7 @@
 // TestCommittedEditIsNotReportedFailed lets only the reading of its state fail.
 func TestCommittedEditIsNotReportedFailed(t *testing.T) {
 	s := newSite(t)
-	s.store.Blind(true)
+	s.store.SetStateUnavailable(true)
 	state := s.put(t, 0, tree, "w1")
 	if state.Version != 1 || state.Accepted || !state.ConfirmationUnknown {
 		t.Errorf("got %v", state)
