--- a/operator/client.go
+++ b/operator/client.go
@@ -13,17 +13,17 @@
 	pb "github.com/springweir/springweir/operator/operatorpb"
 )
 
-// Times of a call.
+// Timing of calls.
 const (
-	// serverTimeout bounds one try at one server.
+	// serverTimeout bounds one attempt at one server.
 	serverTimeout = 10 * time.Second
-	// waitPoll is between two looks at a pending version.
+	// waitPoll is the interval between two polls of a pending version's state.
 	waitPoll = 500 * time.Millisecond
 )
 
-// Client calls the operator API of one of several controllers. It goes on to
-// the next when one does not answer or cannot reach the platform. That is safe
-// for every call: reads change nothing, and writes carry a write id.
+// Client calls the operator API of one of several controllers. If a controller doesn't respond or
+// can't reach the platform, the client tries the next one. That is safe for every call: reads change
+// nothing, and writes carry a write id.
 type Client struct {
 	servers []server
 }
@@ -34,16 +34,16 @@
 }
 
 // NewClient returns a client of the controllers at the addresses (host:port).
-func NewClient(addresses []string, over *http.Client) *Client {
+func NewClient(addresses []string, httpClient *http.Client) *Client {
 	c := &Client{}
 	for _, address := range addresses {
-		c.servers = append(c.servers, server{address, pb.NewOperatorProtobufClient("http://"+address, over)})
+		c.servers = append(c.servers, server{address, pb.NewOperatorProtobufClient("http://"+address, httpClient)})
 	}
 	return c
 }
 
-// call tries the servers in turn. The error is *RemoteError, or
-// *UnreachableError when none could tell.
+// call tries the servers in order. The error is *RemoteError, or *UnreachableError if no server
+// gave a conclusive response.
 func call[Req, Resp any](ctx context.Context, c *Client, method func(pb.Operator, context.Context, Req) (Resp, error), req Req) (Resp, error) {
 	var none Resp
 	unreachable := &UnreachableError{}
@@ -52,11 +52,11 @@
 		if err == nil {
 			return resp, nil
 		}
-		remote, answered := fromTwirp(s.address, err)
-		if answered && !elsewhere(remote.Code) {
+		remote, fromController := fromTwirp(s.address, err)
+		if fromController && !mayRetryElsewhere(remote.Code) {
 			return none, remote
 		}
-		if answered {
+		if fromController {
 			err = remote
 		}
 		unreachable.Errors = append(unreachable.Errors, eris.Wrap(err, s.address))
@@ -73,9 +73,9 @@
 	return method(s.api, ctx, req)
 }
 
-// elsewhere tells whether another controller may answer better: this one
-// cannot reach the platform.
-func elsewhere(reason failure.Reason) bool {
+// mayRetryElsewhere reports whether the call may succeed at another controller because this one can't
+// reach the platform.
+func mayRetryElsewhere(reason failure.Reason) bool {
 	switch reason {
 	case failure.TableUnavailable, failure.TableUnknown, failure.ObjectUnavailable:
 		return true
@@ -83,13 +83,13 @@
 	return false
 }
 
-// GetConfig reads a version; zero is the newest.
+// GetConfig reads a version; zero selects the newest.
 func (c *Client) GetConfig(ctx context.Context, version uint64) (*pb.Config, error) {
 	return call(ctx, c, pb.Operator.GetConfig, &pb.GetConfigRequest{Version: version})
 }
 
-// PutConfig commits an edit. The error is *ConflictError when another edit came
-// first.
+// PutConfig commits an edit. The error is *ConflictError if another edit was committed on the same
+// base first.
 func (c *Client) PutConfig(ctx context.Context, req *pb.PutConfigRequest) (*pb.ConfigState, error) {
 	resp, err := call(ctx, c, pb.Operator.PutConfig, req)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return resp.State, nil
 }
 
-// ConfigStatus tells how far a version has come; zero is the newest.
+// ConfigStatus returns the rollout state of a version; zero selects the newest.
 func (c *Client) ConfigStatus(ctx context.Context, version uint64) (*pb.ConfigState, error) {
 	return call(ctx, c, pb.Operator.ConfigStatus, &pb.ConfigStatusRequest{Version: version})
 }
@@ -112,29 +112,29 @@
 	return resp.GetVersions(), err
 }
 
-// Plan marks an endpoint in the tree, or previews that.
+// Plan edits the keys of an endpoint in the settings tree, or previews the edit.
 func (c *Client) Plan(ctx context.Context, req *pb.PlanRequest) (*pb.PlanResponse, error) {
 	return call(ctx, c, pb.Operator.Plan, req)
 }
 
-// Status tells how the fleet is.
+// Status returns the state of the fleet.
 func (c *Client) Status(ctx context.Context) (*pb.FleetStatus, error) {
 	return call(ctx, c, pb.Operator.Status, &pb.StatusRequest{})
 }
 
-// WaitAccepted waits until a version is in force everywhere. The error is
-// *PendingError with the last state seen when ctx ends first. A controller that
-// cannot be reached meanwhile is asked again.
+// WaitAccepted polls until a version is active in all zones. If ctx ends first, the error is
+// *PendingError with the last state received. While no controller is reachable, the polling
+// continues.
 func (c *Client) WaitAccepted(ctx context.Context, state *pb.ConfigState) (*pb.ConfigState, error) {
 	for !state.Accepted {
 		if !loop.Sleep(ctx, waitPoll) {
 			return state, &PendingError{State: state}
 		}
-		now, err := c.ConfigStatus(ctx, state.Version)
+		current, err := c.ConfigStatus(ctx, state.Version)
 		var unreachable *UnreachableError
 		switch {
 		case err == nil:
-			state = now
+			state = current
 		case !errors.As(err, &unreachable):
 			return state, err
 		}
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -9,10 +9,10 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// ConflictError is an edit that lost to another one.
+// ConflictError reports that another edit was committed on the same base first.
 type ConflictError struct {
 	Base uint64
-	// Newest is the version in the way, without its text.
+	// Newest is the newest version, without its text.
 	Newest *pb.Config
 }
 
@@ -24,7 +24,7 @@
 // Reason implements failure.Coded.
 func (e *ConflictError) Reason() failure.Reason { return failure.ConfigConflict }
 
-// NoSuchVersionError is a version that is not in the history.
+// NoSuchVersionError reports a version that is not in the history.
 type NoSuchVersionError struct{ Version uint64 }
 
 // Error implements error.
@@ -33,7 +33,7 @@
 // Reason implements failure.Coded.
 func (e *NoSuchVersionError) Reason() failure.Reason { return failure.NoSuchVersion }
 
-// NoSuchEndpointError is an endpoint that the tree does not name.
+// NoSuchEndpointError reports an endpoint that the settings tree doesn't contain.
 type NoSuchEndpointError struct{ Name string }
 
 // Error implements error.
@@ -44,7 +44,7 @@
 // Reason implements failure.Coded.
 func (e *NoSuchEndpointError) Reason() failure.Reason { return failure.NoSuchEndpoint }
 
-// PlanError is a planned change that cannot be made.
+// PlanError reports a plan that is invalid or blocked.
 type PlanError struct {
 	Endpoint string
 	Text     string
@@ -56,7 +56,7 @@
 // Reason implements failure.Coded.
 func (e *PlanError) Reason() failure.Reason { return failure.BadPlan }
 
-// RequestError is a call whose arguments make no sense.
+// RequestError reports a call with invalid arguments.
 type RequestError struct{ Text string }
 
 // Error implements error.
@@ -65,7 +65,7 @@
 // Reason implements failure.Coded.
 func (e *RequestError) Reason() failure.Reason { return failure.BadRequest }
 
-// RemoteError is a failure that a controller answered with.
+// RemoteError is a failure returned by a controller.
 type RemoteError struct {
 	Server string
 	Code   failure.Reason
@@ -85,8 +85,9 @@
 // Reason implements failure.Coded.
 func (e *RemoteError) Reason() failure.Reason { return e.Code }
 
-// UnreachableError is a call that no controller answered. A write may have
-// taken effect; repeating it with the same write id is safe.
+// UnreachableError reports a call that no controller completed: those tried were unreachable or
+// couldn't reach the platform. A write may have taken effect; repeating it with the same write id
+// is safe.
 type UnreachableError struct {
 	// Errors holds one error per server, in the order of the attempts.
 	Errors []error
@@ -107,7 +108,7 @@
 // Unwrap returns the failures of the servers.
 func (e *UnreachableError) Unwrap() []error { return e.Errors }
 
-// PendingError is a version not in force everywhere when waiting ended.
+// PendingError reports that a version was not yet active in all zones when the wait ended.
 type PendingError struct{ State *pb.ConfigState }
 
 // Error implements error.
@@ -118,8 +119,8 @@
 // Reason implements failure.Coded.
 func (e *PendingError) Reason() failure.Reason { return failure.ConfigPending }
 
-// DescribePending lists the zones and VMs that a version waits for, as a
-// phrase that starts with ": ", or is empty where none is known.
+// DescribePending lists the zones and VMs that have not confirmed a version, as a phrase that
+// starts with ": ". It is empty if there are none.
 func DescribePending(s *pb.ConfigState) string {
 	var zones []string
 	for _, z := range s.GetPending() {
--- a/operator/fakeoperator/fake.go
+++ b/operator/fakeoperator/fake.go
@@ -1,5 +1,4 @@
-// Package fakeoperator is the in-memory fake of the interfaces that the
-// operator API stands on.
+// Package fakeoperator provides in-memory fakes of the interfaces that the operator API uses.
 package fakeoperator
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Store is a history in memory. It is safe for concurrent use.
+// Store is an operator.ConfigStore in memory. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	versions []*pb.Config
@@ -21,7 +20,7 @@
 	down     bool
 	loseNext bool
 	blind    bool
-	// before runs once ahead of the next Put, without the lock.
+	// before is called once before the next Put, without holding mu.
 	before func()
 }
 
@@ -39,7 +38,7 @@
 	s.loseNext = true
 }
 
-// BeforeNextPut runs f once, ahead of the next Put.
+// BeforeNextPut makes the next Put call f before it takes effect.
 func (s *Store) BeforeNextPut(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,14 +52,15 @@
 	s.blind = blind
 }
 
-// SetPending sets the zones on which every version is pending. Without zones, versions are accepted.
+// SetPending sets the zones on which every version is pending. Without zones, versions are
+// accepted.
 func (s *Store) SetPending(zones ...*pb.PendingZone) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = zones
 }
 
-// lock takes the lock, or fails when the store is down.
+// lock locks mu, or returns an error without holding it if the store is down.
 func (s *Store) lock() error {
 	s.mu.Lock()
 	if s.down {
@@ -159,13 +159,13 @@
 	return out, nil
 }
 
-// Fleet answers with a status that is set.
+// Fleet is an operator.Fleet that returns a configured status. It is safe for concurrent use.
 type Fleet struct {
 	mu     sync.Mutex
 	status *pb.FleetStatus
 }
 
-// Set sets the status to answer with.
+// Set sets the status that Status returns.
 func (f *Fleet) Set(status *pb.FleetStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/operator/history/history.go
+++ b/operator/history/history.go
@@ -1,5 +1,4 @@
-// Package history puts the configuration history of package rollout behind the
-// operator API.
+// Package history adapts the configuration history of package rollout to the operator API.
 package history
 
 import (
@@ -13,15 +12,14 @@
 	"github.com/springweir/springweir/rollout"
 )
 
-// Store is an operator.ConfigStore over a rollout.Store. It is safe for
-// concurrent use.
+// Store implements operator.ConfigStore with a rollout.Store. It is safe for concurrent use.
 type Store struct {
 	versions *rollout.Store
 }
 
 var _ operator.ConfigStore = (*Store)(nil)
 
-// New returns the operators' view of a history.
+// New returns a Store that reads and writes the given history.
 func New(versions *rollout.Store) *Store { return &Store{versions: versions} }
 
 // Head implements operator.ConfigStore.
@@ -86,13 +84,13 @@
 	return out, nil
 }
 
-// describe returns a version without its text.
+// describe converts a history entry, which has no text.
 func describe(e rollout.Entry) *pb.Config {
 	return &pb.Config{Version: uint64(e.Version), Author: e.Author, Note: e.Note, Written: e.Written, WriteId: e.WriteID}
 }
 
-// translate gives the failures that the API knows their own types; others keep
-// their reason.
+// translate converts the errors of package rollout for which package operator has a type. Other
+// errors are wrapped and keep their reason.
 func translate(err error) error {
 	var conflict *rollout.ConflictError
 	var missing *rollout.MissingVersionError
--- a/operator/history/history_test.go
+++ b/operator/history/history_test.go
@@ -21,7 +21,7 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// newClient returns a client of a controller over a whole history in memory.
+// newClient returns a client of a server whose history is stored in rows.
 func newClient(t *testing.T, rows *memtable.Table) *operator.Client {
 	store := history.New(rollout.NewStore(rows, memobject.New()))
 	host := httptest.NewServer(operator.NewServer(store, &fakeoperator.Fleet{}).Handler())
@@ -35,7 +35,7 @@
 
 const text = "[zone \"a\"]\n[pool \"p\"]\nfloor = 0\n[endpoint \"e\"]\npool = p\nzone = a\naddress = 127.0.0.1:1\n"
 
-func TestWholeHistory(t *testing.T) {
+func TestHistoryThroughAPI(t *testing.T) {
 	rows := memtable.New()
 	client := newClient(t, rows)
 	ctx := t.Context()
@@ -48,7 +48,7 @@
 	if _, err := rows.Commit(ctx, table.Txn{Writes: []table.Write{write}}); err != nil {
 		t.Fatal(err)
 	}
-	// The answer of the first commit is lost; the store settles it.
+	// The response to the first commit is lost; the store finds out that it took effect.
 	lost := false
 	rows.SetHook(func(c memtable.Call) memtable.Fault {
 		first := c.Op == memtable.OpCommit && !lost
@@ -63,7 +63,7 @@
 	if diff := cmp.Diff(want, state, protocmp.Transform()); diff != "" {
 		t.Errorf("state (-want +got)\n%s", diff)
 	}
-	// A plan becomes the second version, and its repeat makes no third.
+	// A plan is committed as the second version, and repeating it commits no third.
 	plan := &pb.PlanRequest{Kind: pb.PlanKind_PLAN_KIND_DRAIN, Endpoint: "e", Author: "bela", WriteId: "w2"}
 	for range 2 {
 		resp, err := client.Plan(ctx, plan)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestFailuresOfTheHistory(t *testing.T) {
+func TestHistoryErrorReasons(t *testing.T) {
 	rows := memtable.New()
 	client := newClient(t, rows)
 	ctx := t.Context()
--- a/operator/operatorpb/generate.go
+++ b/operator/operatorpb/generate.go
@@ -1,5 +1,5 @@
-// Package operatorpb is the generated protocol between springweirctl and the
-// controllers. Package operator documents and implements it.
+// Package operatorpb is the generated code of the protocol between springweirctl and the
+// controllers. Package operator implements it.
 package operatorpb
 
 //go:generate go build -o ../../bin/ google.golang.org/protobuf/cmd/protoc-gen-go github.com/twitchtv/twirp/protoc-gen-twirp
--- a/operator/operatorpb/operator.twirp.go
+++ b/operator/operatorpb/operator.twirp.go
@@ -31,26 +31,27 @@
 // Operator Interface
 // ==================
 
-// Operator is what a controller offers to operators. Every controller answers
-// every call. A failure carries its reason in the meta entry "reason".
+// Operator is the API that every controller serves to operators. Any controller
+// accepts any call. A failure carries its reason in the meta entry "reason".
 type Operator interface {
 	// GetConfig reads one version of the settings tree.
 	GetConfig(context.Context, *GetConfigRequest) (*Config, error)
 
-	// PutConfig commits a new version on top of the base that was edited.
-	// Repeating it with the same write id is idempotent.
+	// PutConfig commits a new version, edited from the base version. A repeat with
+	// the same write id has no further effect.
 	PutConfig(context.Context, *PutConfigRequest) (*PutConfigResponse, error)
 
-	// ConfigStatus tells whether a version is in force everywhere.
+	// ConfigStatus reports whether a version is active in all zones.
 	ConfigStatus(context.Context, *ConfigStatusRequest) (*ConfigState, error)
 
 	// History lists versions without their texts, newest first.
 	History(context.Context, *HistoryRequest) (*HistoryResponse, error)
 
-	// Plan marks an endpoint in the tree, or shows what doing so would mean.
+	// Plan edits the keys of an endpoint in the settings tree, or previews the edit
+	// and its effects.
 	Plan(context.Context, *PlanRequest) (*PlanResponse, error)
 
-	// Status tells how the fleet is.
+	// Status reports the state of the fleet.
 	Status(context.Context, *StatusRequest) (*FleetStatus, error)
 }
 
--- a/operator/planner.go
+++ b/operator/planner.go
@@ -11,18 +11,18 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// Plan implements operatorpb.Operator. It edits the newest version and tries
-// again when another edit comes first.
+// Plan implements operatorpb.Operator. It edits the newest version and retries if another edit is
+// committed first.
 //
-// A plan takes effect once: each try looks for its write id in the versions up
-// to the one it edits, and the commit holds only if no other version came
-// after, so no copy of the plan can slip in between.
+// A plan takes effect at most once: each attempt looks for the write id in the last planMemory
+// versions up to its base, and the commit fails if the base is no longer the newest version, so a
+// repeat of the plan can't be committed in between.
 func (s *Server) Plan(ctx context.Context, req *pb.PlanRequest) (*pb.PlanResponse, error) {
 	if err := checkWrite(req.WriteId, req.Author, ""); err != nil && !req.Preview {
 		return nil, refuse("plan", err)
 	}
 	var err error
-	for range planTries {
+	for range planAttempts {
 		var response *pb.PlanResponse
 		response, err = s.planOnce(ctx, req)
 		var conflict *ConflictError
@@ -41,8 +41,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if made, err := s.alreadyMade(ctx, config.Version, req); made != nil || err != nil {
-		return made, err
+	if committed, err := s.findCommitted(ctx, config.Version, req); committed != nil || err != nil {
+		return committed, err
 	}
 	text, response, err := s.prepare(ctx, config, req)
 	if err != nil || req.Preview {
@@ -65,8 +65,9 @@
 	return response, nil
 }
 
-// alreadyMade returns the answer to a plan that an earlier try committed.
-func (s *Server) alreadyMade(ctx context.Context, head uint64, req *pb.PlanRequest) (*pb.PlanResponse, error) {
+// findCommitted returns the response to a plan that an earlier attempt committed, or nil if there
+// is none.
+func (s *Server) findCommitted(ctx context.Context, head uint64, req *pb.PlanRequest) (*pb.PlanResponse, error) {
 	if req.Preview || head == 0 {
 		return nil, nil
 	}
@@ -82,7 +83,8 @@
 	return nil, nil
 }
 
-// prepare works out the text with the plan in it, and what follows from it.
+// prepare returns the tree's text with the plan applied, and a response with its changes and
+// effects.
 func (s *Server) prepare(ctx context.Context, config *pb.Config, req *pb.PlanRequest) ([]byte, *pb.PlanResponse, error) {
 	tree, err := settings.ParseTree("tree", config.Text)
 	if err != nil {
@@ -100,15 +102,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	response := &pb.PlanResponse{Effects: planEffects(after, req, s.seen(ctx, req.Endpoint))}
+	response := &pb.PlanResponse{Effects: planEffects(after, req, s.reportedState(ctx, req.Endpoint))}
 	for _, c := range changes {
 		response.Changes = append(response.Changes, c.String())
 	}
 	return text, response, nil
 }
 
-// seen returns what the fleet knows of an endpoint, or nil.
-func (s *Server) seen(ctx context.Context, endpoint string) *pb.Endpoint {
+// reportedState returns the endpoint's state in the fleet status, or nil if it can't be read or the
+// endpoint isn't listed.
+func (s *Server) reportedState(ctx context.Context, endpoint string) *pb.Endpoint {
 	status, err := s.fleet.Status(ctx)
 	if err != nil {
 		return nil
--- a/operator/server.go
+++ b/operator/server.go
@@ -20,31 +20,32 @@
 
 // Limits of a call.
 const (
-	// maxBody bounds a request in bytes; a tree of the target size has 0.7 MB.
+	// maxBody bounds a request body in bytes; a settings tree of the target size has 0.7 MB.
 	maxBody = 8 << 20
-	// defaultHistory and maxHistory bound a listing of versions.
+	// defaultHistory and maxHistory are the default and the maximum number of versions in a
+	// History response.
 	defaultHistory = 20
 	maxHistory     = 200
-	// maxNote bounds a write id, an author and a note in bytes.
+	// maxNote bounds a write id, an author and a note, each in bytes.
 	maxNote = 400
-	// planTries bounds the tries of a plan against other edits.
-	planTries = 5
-	// planMemory is how many versions back a repeated plan is recognised.
+	// planAttempts bounds the attempts of a plan that conflicts with other edits.
+	planAttempts = 5
+	// planMemory is the number of newest versions that are searched for a repeated plan.
 	planMemory = 20
 )
 
-// Server is what a controller hosts. It is safe for concurrent use.
+// Server implements the operator API in a controller. It is safe for concurrent use.
 type Server struct {
 	store ConfigStore
 	fleet Fleet
 }
 
-// NewServer returns a server over a history and a view of the fleet.
+// NewServer returns a server that uses the given configuration history and fleet.
 func NewServer(store ConfigStore, fleet Fleet) *Server {
 	return &Server{store: store, fleet: fleet}
 }
 
-// Handler serves the operator API under its twirp paths.
+// Handler returns an HTTP handler that serves the operator API under its twirp paths.
 func (s *Server) Handler() http.Handler {
 	api := pb.NewOperatorServer(s)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +54,7 @@
 	})
 }
 
-// refuse counts a failure and readies it for the wire.
+// refuse counts and logs a failure and converts it to a twirp error.
 func refuse(call string, err error) error {
 	reason := failure.ReasonOf(err)
 	metrics.GetOrCreateCounter(fmt.Sprintf(`springweir_operator_refusals_total{call=%q,reason=%q}`, call, reason)).Inc()
@@ -70,7 +71,8 @@
 	return config, nil
 }
 
-// load reads a version, or the newest for zero, which may be none.
+// load reads a version; zero selects the newest. Before the first version, it returns an empty
+// Config.
 func (s *Server) load(ctx context.Context, version uint64) (*pb.Config, error) {
 	if version == 0 {
 		head, err := s.store.Head(ctx)
@@ -89,8 +91,8 @@
 	return config, nil
 }
 
-// checkWrite bounds what goes into the history and onto terminals. The note may
-// be empty.
+// checkWrite validates the texts that are stored in the history and shown on terminals. They must
+// be short and printable; only the write id is required.
 func checkWrite(writeID, author, note string) error {
 	if writeID == "" {
 		return &RequestError{Text: "a change needs a write id"}
@@ -124,8 +126,8 @@
 	return &pb.PutConfigResponse{Committed: true, State: s.state(ctx, version)}, nil
 }
 
-// state tells how far a committed version has come. Failing to read that must
-// not make a committed edit look failed.
+// state returns the rollout state of a committed version. If it can't be read, state returns
+// ConfirmationUnknown instead of an error, so that a committed edit isn't reported as failed.
 func (s *Server) state(ctx context.Context, version uint64) *pb.ConfigState {
 	state, err := s.store.State(ctx, version)
 	if err != nil {
@@ -179,7 +181,7 @@
 	return &pb.HistoryResponse{Versions: list}, nil
 }
 
-// recent lists the versions up to last, oldest first.
+// recent lists up to limit versions that end with last, oldest first.
 func (s *Server) recent(ctx context.Context, last uint64, limit int) ([]*pb.Config, error) {
 	after := last - min(last, uint64(limit))
 	list, err := s.store.History(ctx, after, int(last-after))
--- a/operator/wire.go
+++ b/operator/wire.go
@@ -10,7 +10,7 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// Entries of a twirp error's meta.
+// Keys in the meta of a twirp error.
 const (
 	metaReason   = "reason"
 	metaProblems = "problems"
@@ -30,7 +30,8 @@
 	failure.ObjectUnavailable: twirp.Unavailable,
 }
 
-// toTwirp gives a failure its code and reason for the wire.
+// toTwirp converts a failure to a twirp error with its code, reason and, for invalid settings, the
+// problems as JSON.
 func toTwirp(err error) error {
 	reason := failure.ReasonOf(err)
 	code, found := codes[reason]
@@ -48,8 +49,8 @@
 	return out
 }
 
-// fromTwirp reads a failure back. The bool is false when the answer did not
-// come from a controller: every failure of one carries a reason.
+// fromTwirp converts a twirp error back to a failure. The bool is false if the response didn't come
+// from a controller: every failure of a controller carries a reason.
 func fromTwirp(server string, err error) (*RemoteError, bool) {
 	var wire twirp.Error
 	if !errors.As(err, &wire) || wire.Meta(metaReason) == "" {
