--- a/operator/fakeoperator/fake.go
+++ b/operator/fakeoperator/fake.go
@@ -1,5 +1,4 @@
-// Package fakeoperator is the in-memory fake of the interfaces that the
-// operator API stands on.
+// Package fakeoperator provides in-memory fakes of the interfaces that the operator API uses.
 package fakeoperator
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Store is a history in memory. It is safe for concurrent use.
+// Store is an operator.ConfigStore in memory. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	versions []*pb.Config
@@ -21,46 +20,47 @@
 	down     bool
 	loseNext bool
 	blind    bool
-	// before runs once ahead of the next Put, without the lock.
+	// before is called once before the next Put, without holding mu.
 	before func()
 }
 
-// Down makes every call fail as unavailable, or ends that.
-func (s *Store) Down(down bool) {
+// SetDown sets whether every call fails as unavailable.
+func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// LoseNextAnswer makes the next Put take effect and fail as unknown.
-func (s *Store) LoseNextAnswer() {
+// LoseNextResponse makes the next Put take effect but fail with *table.UnknownError.
+func (s *Store) LoseNextResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseNext = true
 }
 
-// BeforeNextPut runs f once, ahead of the next Put.
+// BeforeNextPut makes the next Put call f before it takes effect.
 func (s *Store) BeforeNextPut(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.before = f
 }
 
-// Blind makes State alone fail, or ends that.
-func (s *Store) Blind(blind bool) {
+// SetStateUnavailable sets whether State, and no other method, fails as unavailable.
+func (s *Store) SetStateUnavailable(blind bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.blind = blind
 }
 
-// Pending makes versions pending on the zones; none makes them accepted.
-func (s *Store) Pending(zones ...*pb.PendingZone) {
+// SetPending sets the zones on which every version is pending. Without zones, versions are
+// accepted.
+func (s *Store) SetPending(zones ...*pb.PendingZone) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = zones
 }
 
-// lock takes the lock, or fails when the store is down.
+// lock locks mu, or returns an error without holding it if the store is down.
 func (s *Store) lock() error {
 	s.mu.Lock()
 	if s.down {
@@ -159,13 +159,13 @@
 	return out, nil
 }
 
-// Fleet answers with a status that is set.
+// Fleet is an operator.Fleet that returns a configured status. It is safe for concurrent use.
 type Fleet struct {
 	mu     sync.Mutex
 	status *pb.FleetStatus
 }
 
-// Set sets the status to answer with.
+// Set sets the status that Status returns.
 func (f *Fleet) Set(status *pb.FleetStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
