--- a/peer/client.go
+++ b/peer/client.go
@@ -133,7 +133,7 @@
 	return ackFrom(a), err
 }
 
-// Shun implements contact.Peers.
+// PushRoster implements contact.Peers.
 func (c *Client) PushRoster(ctx context.Context, vm contact.VM, r contact.Roster) (contact.Ack, error) {
 	a, err := call(ctx, vm, callTimeout, c.stub(vm.Address).Shun, &entrypb.ShunRequest{Roster: r.Encode()})
 	return ackFrom(a), err
--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -89,7 +89,7 @@
 	return a, err
 }
 
-// Shun implements contact.Peers.
+// PushRoster implements contact.Peers.
 func (z *Zone) PushRoster(_ context.Context, vm contact.VM, r contact.Roster) (a contact.Ack, err error) {
 	err = z.call(vm.Name, func() {
 		if !z.IgnoresRosters[vm.Name] {
@@ -149,7 +149,7 @@
 	return *s.Update, nil
 }
 
-// Shun implements rollout.Peers.
+// PushRoster implements rollout.Peers.
 func (s StaticPeer) PushRoster(context.Context, contact.VM, contact.Roster) (contact.Ack, error) {
 	return contact.Ack{}, nil
 }
