--- a/operator/cli/app.go
+++ b/operator/cli/app.go
@@ -1,8 +1,8 @@
-// Package cli is springweirctl, the command line of operators.
+// Package cli implements springweirctl, the command line for operators.
 //
-// Exit codes: 0 done and, for a change, in force everywhere; 1 failed; 2 wrong
-// usage or settings that were refused; 3 conflict with another edit; 4
-// committed but not yet in force everywhere; 5 no controller reached.
+// Exit codes: 0 success (a change is in force everywhere); 1 failure; 2 usage
+// error or rejected settings; 3 conflict with another edit; 4 committed but not
+// yet in force everywhere; 5 no controller reachable.
 package cli
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/springweir/springweir/operator"
 )
 
-// The exit codes.
+// Exit codes of springweirctl.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -33,7 +33,7 @@
 	ExitUnreachable = 5
 )
 
-// Environment variables that give flags their defaults.
+// Environment variables that set the defaults of flags.
 const (
 	envServers = "SPRINGWEIR_SERVERS"
 	envAuthor  = "SPRINGWEIR_AUTHOR"
@@ -44,14 +44,14 @@
 	defaultWait   = 10 * time.Second
 )
 
-// App is one run of the command line. Its fields stand in for the terminal and
-// the operator's editor in tests.
+// App is one invocation of the command line. Its exported fields replace the
+// terminal and the operator's editor in tests.
 type App struct {
 	In       io.Reader
 	Out, Err io.Writer
 	// Edit opens a file in the operator's editor and returns when it closes.
 	Edit func(ctx context.Context, file string) error
-	// NewID returns a fresh write id.
+	// NewID returns a new write ID.
 	NewID func() string
 
 	servers []string
@@ -61,12 +61,12 @@
 	input   *bufio.Reader
 }
 
-// New returns an App on the process's own terminal.
+// New returns an App that uses the terminal of the process.
 func New() *App {
 	return &App{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Edit: runEditor, NewID: rand.Text}
 }
 
-// UsageError is a command line that makes no sense.
+// UsageError is an invalid command line.
 type UsageError struct{ Text string }
 
 // Error implements error.
@@ -85,7 +85,7 @@
 		return ExitOK
 	}
 	a.printError(err)
-	return exitCode(err)
+	return exitCodeOf(err)
 }
 
 var exitCodes = map[failure.Reason]int{
@@ -96,9 +96,9 @@
 	failure.OperatorUnreachable: ExitUnreachable,
 }
 
-// exitCode maps a failure to its exit code. Only cobra gives failures without a
-// reason, and those are about the command line.
-func exitCode(err error) int {
+// exitCodeOf maps an error to its exit code. Only cobra returns errors without
+// a reason, and those are usage errors.
+func exitCodeOf(err error) int {
 	var coded failure.Coded
 	if !errors.As(err, &coded) {
 		return ExitUsage
@@ -109,7 +109,7 @@
 	return ExitFailed
 }
 
-// Root returns the whole tree of commands.
+// Root returns the root command with all subcommands.
 func (a *App) Root() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "springweirctl",
@@ -154,7 +154,7 @@
 	return []string{defaultServer}
 }
 
-// changeFlags are the flags of every command that changes the tree.
+// changeFlags adds the flags shared by every command that changes the tree.
 func (a *App) changeFlags(c *cobra.Command) {
 	author := os.Getenv(envAuthor)
 	if author == "" {
@@ -168,9 +168,10 @@
 	return operator.NewClient(a.servers, &http.Client{})
 }
 
-// ask prints a question and returns the first letter of the answer in lower
-// case; the default at the end of the input.
-func (a *App) ask(question, byDefault string) string {
+// prompt prints a question and returns the first letter of the operator's input
+// in lower case, or defaultAnswer for an empty line. If the input
+// has ended, it returns "n".
+func (a *App) prompt(question, defaultAnswer string) string {
 	fmt.Fprintf(a.Err, "%s ", question)
 	answer, err := a.input.ReadString('\n')
 	answer = strings.ToLower(strings.TrimSpace(answer))
@@ -178,8 +179,8 @@
 	case answer != "":
 		return answer[:1]
 	case err != nil:
-		// Nobody answers: never take silence for consent.
+		// Without input, never assume consent.
 		return "n"
 	}
-	return byDefault
+	return defaultAnswer
 }
--- a/operator/cli/change.go
+++ b/operator/cli/change.go
@@ -15,36 +15,38 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// maxNote bounds a note in bytes; controllers refuse a longer one than 400.
-const maxNote = 200
+// maxNoteBytes limits the length of a note. Controllers reject notes longer
+// than 400 bytes.
+const maxNoteBytes = 200
 
-// mergeTries bounds how often an edit is merged with other edits that come first.
-const mergeTries = 5
+// maxMergeAttempts limits how often an edit is merged with edits committed
+// before it.
+const maxMergeAttempts = 5
 
-// edit is a change of the tree on its way to being committed.
+// edit is a change of the tree that is not yet committed.
 type edit struct {
 	base *pb.Config
 	text []byte
 	note string
-	// onConflict decides what to do when another edit came first: it returns
-	// the text to try on top of the newest version.
+	// onConflict is called when another edit was committed first. It returns
+	// the text to commit on top of the newest version.
 	onConflict func(base, mine []byte, newest *pb.Config) ([]byte, error)
 }
 
-// commit checks the text and puts it, merging as the edit says, then reports
-// the new version and waits for it.
+// commit validates and stores the text, resolving conflicts by onConflict. It
+// then waits for the new version and prints its state.
 func (a *App) commit(ctx context.Context, e edit) error {
 	client := a.client()
 	var err error
-	for range mergeTries {
+	for range maxMergeAttempts {
 		if _, err = settings.ParseTree("tree", e.text); err != nil {
 			return err
 		}
 		var state *pb.ConfigState
-		state, err = client.PutConfig(ctx, a.request(e))
+		state, err = client.PutConfig(ctx, a.putRequest(e))
 		var conflict *operator.ConflictError
 		if err == nil {
-			return a.finish(ctx, client, state)
+			return a.waitAndPrint(ctx, client, state)
 		}
 		if !errors.As(err, &conflict) {
 			return err
@@ -61,25 +63,27 @@
 	return err
 }
 
-// request gives the edit a fresh write id: on another base it is another edit.
-func (a *App) request(e edit) *pb.PutConfigRequest {
-	note := strings.ToValidUTF8(e.note[:min(len(e.note), maxNote)], "")
+// putRequest returns the request for an edit with a new write ID, because the
+// same text on another base is a different edit.
+func (a *App) putRequest(e edit) *pb.PutConfigRequest {
+	note := strings.ToValidUTF8(e.note[:min(len(e.note), maxNoteBytes)], "")
 	return &pb.PutConfigRequest{Base: e.base.Version, Text: e.text, Author: a.author, Note: note, WriteId: a.NewID()}
 }
 
-// finish waits for a committed version and reports it.
-func (a *App) finish(ctx context.Context, client *operator.Client, state *pb.ConfigState) error {
-	state, err := a.await(ctx, client, state)
+// waitAndPrint waits until a committed version is accepted and prints its
+// state.
+func (a *App) waitAndPrint(ctx context.Context, client *operator.Client, state *pb.ConfigState) error {
+	state, err := a.waitAccepted(ctx, client, state)
 	if err != nil && a.output == outputText {
 		return err
 	}
-	printErr := a.print(state, func(w io.Writer) { fmt.Fprintln(w, stateText(state)) })
+	printErr := a.print(state, func(w io.Writer) { fmt.Fprintln(w, describeState(state)) })
 	return errors.Join(err, printErr)
 }
 
-// await returns the state of a version once it is accepted, or a
-// *operator.PendingError when the time to wait is over.
-func (a *App) await(ctx context.Context, client *operator.Client, state *pb.ConfigState) (*pb.ConfigState, error) {
+// waitAccepted waits until a version is accepted and returns its state. After
+// the timeout it returns a *operator.PendingError.
+func (a *App) waitAccepted(ctx context.Context, client *operator.Client, state *pb.ConfigState) (*pb.ConfigState, error) {
 	if state.Accepted {
 		return state, nil
 	}
@@ -88,9 +92,9 @@
 	return client.WaitAccepted(ctx, state)
 }
 
-// mergeQuietly merges where different keys are touched. The error is
-// *settings.ConflictError otherwise.
-func mergeQuietly(base, mine []byte, newest *pb.Config) ([]byte, error) {
+// mergeDisjoint merges two edits that change different keys. If they change the
+// same key, it returns a *settings.ConflictError.
+func mergeDisjoint(base, mine []byte, newest *pb.Config) ([]byte, error) {
 	merged, err := settings.Merge(base, mine, newest.Text)
 	if err != nil {
 		return nil, eris.Wrapf(err, "version %d by %s came first", newest.Version, newest.Author)
@@ -98,10 +102,10 @@
 	return merged.Text, nil
 }
 
-// StaleError is an edit of a version that is not the newest any more.
+// StaleError is an edit based on a version that is no longer the newest.
 type StaleError struct {
 	Newest *pb.Config
-	// Changes are what others changed since the version that was edited.
+	// Changes are the changes committed since the version that was edited.
 	Changes []settings.Change
 }
 
@@ -117,8 +121,8 @@
 // Reason implements failure.Coded.
 func (e *StaleError) Reason() failure.Reason { return failure.ConfigConflict }
 
-// refuseConflict never merges.
-func refuseConflict(base, _ []byte, newest *pb.Config) ([]byte, error) {
+// rejectConflict returns a *StaleError and never merges.
+func rejectConflict(base, _ []byte, newest *pb.Config) ([]byte, error) {
 	changes, err := settings.Diff(base, newest.Text)
 	if err != nil {
 		return nil, err
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -23,22 +23,22 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// session is a controller, and a transcript of the commands run against it.
+// session is a controller and a transcript of the commands run against it.
 type session struct {
 	t          *testing.T
 	store      *fakeoperator.Store
 	fleet      *fakeoperator.Fleet
-	host       *httptest.Server
+	server     *httptest.Server
 	dir        string
 	transcript bytes.Buffer
-	ids        int
-	// edits are what the editor makes of the file, one a call.
+	lastID     int
+	// edits are the changes that the editor makes, one per call.
 	edits []func(text string) string
-	// answers are the operator's input to the next command.
+	// answers is the operator's input to the next command.
 	answers string
 }
 
-const kliko = `# Kliko
+const exampleTree = `# Kliko
 [zone "a"]
 [pool "language"]
 max-away = 1
@@ -55,21 +55,22 @@
 func newSession(t *testing.T) *session {
 	s := &session{t: t, store: &fakeoperator.Store{}, fleet: &fakeoperator.Fleet{}, dir: t.TempDir()}
 	t.Setenv("TMPDIR", s.dir)
-	s.host = httptest.NewServer(operator.NewServer(s.store, s.fleet).Handler())
-	t.Cleanup(s.host.Close)
+	s.server = httptest.NewServer(operator.NewServer(s.store, s.fleet).Handler())
+	t.Cleanup(s.server.Close)
 	return s
 }
 
-// seed puts the first version without a command.
-func (s *session) seed() {
-	_, err := s.store.Put(s.t.Context(), &pb.PutConfigRequest{Text: []byte(kliko), Author: "anna", Note: "first", WriteId: "seed"})
+// putFirstVersion stores the first version directly, without a command.
+func (s *session) putFirstVersion() {
+	_, err := s.store.Put(s.t.Context(), &pb.PutConfigRequest{Text: []byte(exampleTree), Author: "anna", Note: "first", WriteId: "seed"})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// other lets another operator change the tree right before the next commit.
-func (s *session) other(old, now string) {
+// editBeforeNextPut commits another operator's change right before the next
+// commit.
+func (s *session) editBeforeNextPut(old, replacement string) {
 	s.store.BeforeNextPut(func() {
 		head, _ := s.store.Head(context.Background())
 		c, err := s.store.Load(context.Background(), head)
@@ -77,7 +78,7 @@
 			s.t.Error(err)
 			return
 		}
-		text := strings.Replace(string(c.Text), old, now, 1)
+		text := strings.Replace(string(c.Text), old, replacement, 1)
 		_, err = s.store.Put(context.Background(), &pb.PutConfigRequest{Base: head, Text: []byte(text), Author: "bela", Note: "edit", WriteId: fmt.Sprint("other-", head)})
 		if err != nil {
 			s.t.Error(err)
@@ -89,7 +90,7 @@
 	var out, errs bytes.Buffer
 	app := &App{In: strings.NewReader(s.answers), Out: &out, Err: &errs, Edit: s.edit, NewID: s.newID}
 	s.answers = ""
-	all := append([]string{"--server", s.host.Listener.Addr().String()}, args...)
+	all := append([]string{"--server", s.server.Listener.Addr().String()}, args...)
 	code := app.Run(s.t.Context(), all)
 	fmt.Fprintf(&s.transcript, "$ springweirctl %s\n%s", strings.Join(args, " "), out.String())
 	for line := range strings.Lines(errs.String()) {
@@ -99,8 +100,8 @@
 }
 
 func (s *session) newID() string {
-	s.ids++
-	return fmt.Sprint("w", s.ids)
+	s.lastID++
+	return fmt.Sprint("w", s.lastID)
 }
 
 func (s *session) edit(_ context.Context, file string) error {
@@ -116,7 +117,7 @@
 	return os.WriteFile(file, []byte(change(string(text))), 0o600)
 }
 
-func (s *session) file(name, text string) string {
+func (s *session) writeFile(name, text string) string {
 	path := filepath.Join(s.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -126,10 +127,11 @@
 
 var tempName = regexp.MustCompile(`springweir-\d+\.ini`)
 
-// compare holds the transcript against the golden file of the test's name.
-func (s *session) compare() {
+// compareGolden compares the transcript with the golden file named after the
+// test.
+func (s *session) compareGolden() {
 	s.t.Helper()
-	got := strings.ReplaceAll(s.transcript.String(), s.host.Listener.Addr().String(), "SERVER")
+	got := strings.ReplaceAll(s.transcript.String(), s.server.Listener.Addr().String(), "SERVER")
 	got = strings.ReplaceAll(got, s.dir, "DIR")
 	got = tempName.ReplaceAllString(got, "springweir-TEMP.ini")
 	golden := filepath.Join("testdata", s.t.Name()+".golden")
@@ -150,7 +152,7 @@
 func TestConfigSession(t *testing.T) {
 	s := newSession(t)
 	s.run("config", "get")
-	s.run("config", "put", "--base", "0", s.file("tree.ini", kliko), "--author", "anna")
+	s.run("config", "put", "--base", "0", s.writeFile("tree.ini", exampleTree), "--author", "anna")
 	s.run("config", "get")
 	s.run("config", "get", "-o", "json")
 	s.run("config", "set", "pool language zone a", "max-away", "2", "--author", "anna")
@@ -160,16 +162,16 @@
 	s.run("config", "set", "--unset", "pool language", "max-away", "--author", "bela")
 	s.run("config", "history")
 	s.run("config", "get", "--version", "9")
-	s.compare()
+	s.compareGolden()
 }
 
 func TestRefusedSession(t *testing.T) {
 	s := newSession(t)
-	bad := s.file("bad.ini", "[pool \"language\"]\nmax-awya = 1\nretry-budget = 0.1\n")
+	bad := s.writeFile("bad.ini", "[pool \"language\"]\nmax-awya = 1\nretry-budget = 0.1\n")
 	s.run("config", "check", bad)
 	s.run("config", "check", bad, "-o", "json")
-	s.run("config", "check", s.file("good.ini", kliko))
-	s.run("config", "check", "--process", "entry", s.file("process.ini", "[process]\nvm = entry-1\n"))
+	s.run("config", "check", s.writeFile("good.ini", exampleTree))
+	s.run("config", "check", "--process", "entry", s.writeFile("process.ini", "[process]\nvm = entry-1\n"))
 	s.run("config", "check", s.dir+"/gone.ini")
 	s.run("config", "set", "pool language", "max-away", "0")
 	s.run("config", "set", "nonsense", "max-away", "1")
@@ -178,47 +180,47 @@
 	s.run("drain")
 	s.run("drian", "engine-1")
 	s.run("status", "-o", "yaml")
-	s.compare()
+	s.compareGolden()
 }
 
 func TestConflictSession(t *testing.T) {
 	s := newSession(t)
-	s.seed()
-	s.other("# Kliko", "# Kliko\n[defaults]\nspill = no")
+	s.putFirstVersion()
+	s.editBeforeNextPut("# Kliko", "# Kliko\n[defaults]\nspill = no")
 	s.run("config", "set", "pool language", "max-away", "2")
-	s.other("max-away = 2", "max-away = 3")
+	s.editBeforeNextPut("max-away = 2", "max-away = 3")
 	s.run("config", "set", "pool language", "max-away", "4")
-	s.run("config", "put", "--base", "1", s.file("tree.ini", strings.Replace(kliko, "max-away = 1", "max-away = 5", 1)))
-	s.run("config", "put", "--base", "1", "--merge", "-o", "json", s.file("tree.ini", strings.Replace(kliko, "max-away = 1", "max-away = 5", 1)))
-	s.run("config", "put", "--base", "1", "--merge", s.file("tree.ini", strings.Replace(kliko, "max-away = 1", "max-away = 1\nfloor = 0", 1)))
+	s.run("config", "put", "--base", "1", s.writeFile("tree.ini", strings.Replace(exampleTree, "max-away = 1", "max-away = 5", 1)))
+	s.run("config", "put", "--base", "1", "--merge", "-o", "json", s.writeFile("tree.ini", strings.Replace(exampleTree, "max-away = 1", "max-away = 5", 1)))
+	s.run("config", "put", "--base", "1", "--merge", s.writeFile("tree.ini", strings.Replace(exampleTree, "max-away = 1", "max-away = 1\nfloor = 0", 1)))
 	s.run("config", "get")
-	s.compare()
+	s.compareGolden()
 }
 
 func TestEditSession(t *testing.T) {
 	s := newSession(t)
-	s.seed()
-	set := func(old, now string) func(string) string {
-		return func(text string) string { return strings.Replace(text, old, now, 1) }
+	s.putFirstVersion()
+	replace := func(old, replacement string) func(string) string {
+		return func(text string) string { return strings.Replace(text, old, replacement, 1) }
 	}
-	// A mistake is shown and mended; another edit comes first and is merged.
-	s.edits = []func(string) string{set("max-away = 1", "max-away = one"), set("max-away = one", "max-away = 2")}
+	// An invalid value is reported and corrected; a concurrent edit is merged.
+	s.edits = []func(string) string{replace("max-away = 1", "max-away = one"), replace("max-away = one", "max-away = 2")}
 	s.answers = "y\ny\n"
-	s.other("# Kliko", "# Kliko\n[defaults]\nspill = no")
+	s.editBeforeNextPut("# Kliko", "# Kliko\n[defaults]\nspill = no")
 	s.run("config", "edit")
-	// Both change one key; the operator keeps the own value.
-	s.edits = []func(string) string{set("max-away = 2", "max-away = 4")}
+	// Both edits change the same key; the operator keeps their value.
+	s.edits = []func(string) string{replace("max-away = 2", "max-away = 4")}
 	s.answers = "m\ny\n"
-	s.other("max-away = 2", "max-away = 3")
+	s.editBeforeNextPut("max-away = 2", "max-away = 3")
 	s.run("config", "edit")
-	// The same, and the operator quits: the text is kept.
-	s.edits = []func(string) string{set("max-away = 4", "max-away = 6")}
+	// Both edits change the same key; the operator quits and the text is kept.
+	s.edits = []func(string) string{replace("max-away = 4", "max-away = 6")}
 	s.answers = "q\n"
-	s.other("max-away = 4", "max-away = 5")
+	s.editBeforeNextPut("max-away = 4", "max-away = 5")
 	s.run("config", "edit")
-	// No one answers: nothing is merged.
-	s.edits = []func(string) string{set("spill = no", "spill = yes")}
-	s.other("max-away = 5", "max-away = 7")
+	// Without input nothing is merged.
+	s.edits = []func(string) string{replace("spill = no", "spill = yes")}
+	s.editBeforeNextPut("max-away = 5", "max-away = 7")
 	s.run("config", "edit")
 	s.edits = []func(string) string{func(text string) string { return text }}
 	s.run("config", "edit")
@@ -228,12 +230,12 @@
 	if err != nil || len(kept) != 3 {
 		t.Errorf("kept %v, want the texts of the three edits that failed", kept)
 	}
-	s.compare()
+	s.compareGolden()
 }
 
 func TestPlanSession(t *testing.T) {
 	s := newSession(t)
-	s.seed()
+	s.putFirstVersion()
 	s.fleet.Set(&pb.FleetStatus{Endpoints: []*pb.Endpoint{{Name: "engine-1", Reachable: true, Streams: 2}}})
 	s.run("drain", "--preview", "engine-1")
 	s.run("drain", "engine-1")
@@ -244,7 +246,7 @@
 	s.run("undrain", "engine-1", "-o", "json")
 	s.run("replace", "engine-1", "engine-2")
 	s.run("drain", "engine-9")
-	s.compare()
+	s.compareGolden()
 }
 
 func TestStatusSession(t *testing.T) {
@@ -264,12 +266,12 @@
 	s.run("status")
 	s.run("plan")
 	s.run("plan", "-o", "json")
-	s.compare()
+	s.compareGolden()
 }
 
 func TestPendingAndUnreachableSession(t *testing.T) {
 	s := newSession(t)
-	s.seed()
+	s.putFirstVersion()
 	s.store.SetPending(&pb.PendingZone{Zone: "b", Confirmed: 1, Missing: []string{"entry-4"}})
 	s.run("config", "set", "pool language", "max-away", "2", "--wait", "0s")
 	s.run("drain", "engine-1", "--wait", "0s", "-o", "json")
@@ -279,10 +281,11 @@
 	s.run("config", "wait", "four")
 	s.store.SetDown(true)
 	s.run("config", "get")
-	s.compare()
+	s.compareGolden()
 }
 
-// TestEveryCommandHasAnExample walks all commands.
+// TestEveryCommandHasAnExample checks that every command has a description and
+// an example.
 func TestEveryCommandHasAnExample(t *testing.T) {
 	var walk func(c *cobra.Command)
 	walk = func(c *cobra.Command) {
@@ -306,10 +309,10 @@
 	}
 }
 
-// TestRunEditor runs real programs as the editor, with arguments.
+// TestRunEditor runs real programs with arguments as the editor.
 func TestRunEditor(t *testing.T) {
 	s := newSession(t)
-	file := s.file("tree.ini", "max-away = 1\n")
+	file := s.writeFile("tree.ini", "max-away = 1\n")
 	t.Setenv("VISUAL", "")
 	t.Setenv("EDITOR", "sed -i s/1/2/")
 	if err := runEditor(t.Context(), file); err != nil {
--- a/operator/cli/config.go
+++ b/operator/cli/config.go
@@ -25,7 +25,7 @@
 	return c
 }
 
-// configReport is a version with its text in JSON.
+// configReport is the JSON output of one version with its text.
 type configReport struct {
 	Version uint64 `json:"version"`
 	Author  string `json:"author"`
@@ -54,7 +54,7 @@
 			if len(args) > 0 {
 				return a.printEffective(config, args[0], explain)
 			}
-			report := configReport{config.Version, config.Author, config.Note, clock(config.Written), string(config.Text)}
+			report := configReport{config.Version, config.Author, config.Note, formatTime(config.Written), string(config.Text)}
 			return a.printRaw(report, report.Text)
 		},
 	}
@@ -64,7 +64,7 @@
 	return c
 }
 
-// effectiveReport is one value in JSON.
+// effectiveReport is the JSON output of one effective value.
 type effectiveReport struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`
@@ -159,7 +159,7 @@
 	return err
 }
 
-// readFile reads a file, or standard input for -.
+// readFile reads a file, or standard input if name is "-".
 func (a *App) readFile(name string) ([]byte, error) {
 	read := func() ([]byte, error) { return os.ReadFile(name) }
 	if name == "-" {
@@ -234,7 +234,7 @@
 			return a.print(&pb.HistoryResponse{Versions: list}, func(w io.Writer) {
 				fmt.Fprintln(w, "VERSION\tWRITTEN\tAUTHOR\tNOTE")
 				for _, v := range list {
-					fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", v.Version, clock(v.Written), v.Author, v.Note)
+					fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", v.Version, formatTime(v.Written), v.Author, v.Note)
 				}
 			})
 		},
@@ -244,8 +244,9 @@
 	return c
 }
 
-// clock renders the writer's wall clock.
-func clock(seconds int64) string {
+// formatTime formats a Unix time, which was taken from the writer's wall clock,
+// in UTC.
+func formatTime(seconds int64) string {
 	if seconds == 0 {
 		return "-"
 	}
@@ -269,9 +270,9 @@
 				return err
 			}
 			if state.Version == 0 {
-				return a.print(state, func(w io.Writer) { fmt.Fprintln(w, stateText(state)) })
+				return a.print(state, func(w io.Writer) { fmt.Fprintln(w, describeState(state)) })
 			}
-			return a.finish(cmd.Context(), client, state)
+			return a.waitAndPrint(cmd.Context(), client, state)
 		},
 	}
 	c.Flags().DurationVar(&a.wait, "timeout", defaultWait, "time to wait; 0s only looks")
--- a/operator/cli/docs_test.go
+++ b/operator/cli/docs_test.go
@@ -11,13 +11,13 @@
 	"github.com/springweir/springweir/settings"
 )
 
-const pages = "../../docs/operators"
+const pagesDir = "../../docs/operators"
 
-// TestPagesHoldTrue checks what can be checked of the operators' pages: their
-// commands parse, their settings are accepted, and the metrics that they name
-// are in the code.
-func TestPagesHoldTrue(t *testing.T) {
-	files, err := filepath.Glob(pages + "/*.md")
+// TestOperatorPagesMatchCode guards against outdated operators' pages: their
+// commands must parse, their settings must be valid, and the metrics that they
+// name must exist in the source.
+func TestOperatorPagesMatchCode(t *testing.T) {
+	files, err := filepath.Glob(pagesDir + "/*.md")
 	if err != nil || len(files) < 9 {
 		t.Fatalf("pages %v, %v", files, err)
 	}
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for kind, block := range blocks(string(text)) {
+		for kind, block := range fencedBlocks(string(text)) {
 			switch {
 			case strings.HasPrefix(kind, "sh"):
 				commands += checkCommands(t, file, block)
@@ -39,17 +39,17 @@
 		}
 		for _, name := range regexp.MustCompile(`springweir_[a-z_]+`).FindAllString(string(text), -1) {
 			if !strings.Contains(source, name) {
-				t.Errorf("%s: no metric %s", file, name)
+				t.Errorf("%s: metric %s is not in the source", file, name)
 			}
 		}
 	}
 	if commands < 20 || trees < 3 {
-		t.Errorf("found %d commands and %d settings texts; has the form of the pages changed?", commands, trees)
+		t.Errorf("found %d commands and %d settings texts; has the format of the pages changed?", commands, trees)
 	}
 }
 
-// blocks yields the fenced blocks of a page with what follows the fence.
-func blocks(page string) func(yield func(kind, text string) bool) {
+// fencedBlocks yields the fenced blocks of a page, each with its info string.
+func fencedBlocks(page string) func(yield func(kind, text string) bool) {
 	return func(yield func(kind, text string) bool) {
 		parts := strings.Split(page, "```")
 		for i := 1; i < len(parts); i += 2 {
@@ -61,13 +61,13 @@
 	}
 }
 
-var word = regexp.MustCompile(`'[^']*'|\S+`)
+var shellWord = regexp.MustCompile(`'[^']*'|\S+`)
 
 func checkCommands(t *testing.T, file, block string) int {
 	count := 0
 	for line := range strings.Lines(block) {
 		line, _, _ = strings.Cut(strings.TrimSpace(line), " > ")
-		args := word.FindAllString(line, -1)
+		args := shellWord.FindAllString(line, -1)
 		if len(args) == 0 || args[0] != "springweirctl" {
 			continue
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-// goSource returns all Go code but tests as one text.
+// goSource returns all non-test Go source files as one text.
 func goSource(t *testing.T) string {
 	var all strings.Builder
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
--- a/operator/cli/edit.go
+++ b/operator/cli/edit.go
@@ -16,7 +16,7 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// EditorError is an editor that could not be run or failed.
+// EditorError reports that the editor, or access to its temporary file, failed.
 type EditorError struct{ Cause error }
 
 // Error implements error.
@@ -28,7 +28,7 @@
 // Unwrap returns the cause.
 func (e *EditorError) Unwrap() error { return e.Cause }
 
-// AbandonedError is an edit that the operator gave up. The text is kept.
+// AbandonedError is an edit that was not committed. Its text is kept in File.
 type AbandonedError struct {
 	File  string
 	Cause error
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("nothing was changed; the edited text is kept in %s", e.File)
 }
 
-// Reason implements failure.Coded with the reason why it was given up.
+// Reason implements failure.Coded with the reason of the cause.
 func (e *AbandonedError) Reason() failure.Reason { return failure.ReasonOf(e.Cause) }
 
 // Unwrap returns the cause.
@@ -47,7 +47,7 @@
 
 const fallbackEditor = "vi"
 
-// runEditor opens a file in $VISUAL or $EDITOR, which may carry arguments.
+// runEditor opens a file in $VISUAL or $EDITOR, which may include arguments.
 func runEditor(ctx context.Context, file string) error {
 	words := strings.Fields(os.Getenv("VISUAL"))
 	if len(words) == 0 {
@@ -86,18 +86,19 @@
 	return c
 }
 
-// editFrom lets the operator edit until the text is good. The file is removed
-// only once nothing of it can be lost.
+// editFrom runs the editor on base and commits the result. The temporary file
+// is removed only if no text can be lost: on success or while the committed
+// version is pending.
 func (a *App) editFrom(cmd *cobra.Command, base *pb.Config) error {
 	file, err := writeTemp(base.Text)
 	if err != nil {
 		return err
 	}
-	text, err := a.editUntilGood(cmd.Context(), file)
+	text, err := a.editUntilValid(cmd.Context(), file)
 	if err == nil {
-		err = a.commitIfChanged(cmd, edit{base: base, text: text, note: "edit", onConflict: a.mergeByHand})
+		err = a.commitIfChanged(cmd, edit{base: base, text: text, note: "edit", onConflict: a.mergeInteractively})
 	}
-	// A pending version is committed: the text is safe.
+	// A pending version is already committed, so the file is no longer needed.
 	if err == nil || failure.ReasonOf(err) == failure.ConfigPending {
 		return errors.Join(err, removeTemp(file))
 	}
@@ -105,7 +106,7 @@
 	return &AbandonedError{File: file, Cause: err}
 }
 
-func (a *App) editUntilGood(ctx context.Context, file string) ([]byte, error) {
+func (a *App) editUntilValid(ctx context.Context, file string) ([]byte, error) {
 	for {
 		if err := a.Edit(ctx, file); err != nil {
 			return nil, err
@@ -118,7 +119,7 @@
 			return text, nil
 		}
 		fmt.Fprintf(a.Err, "%v\n", err)
-		if a.ask("Edit again? [Y/n]", "y") != "y" {
+		if a.prompt("Edit again? [Y/n]", "y") != "y" {
 			return nil, err
 		}
 	}
@@ -143,9 +144,10 @@
 	return nil
 }
 
-// mergeByHand shows what the other edit changed, lets the operator choose where
-// both changed one key, and asks before it merges.
-func (a *App) mergeByHand(base, mine []byte, newest *pb.Config) ([]byte, error) {
+// mergeInteractively shows the changes of the other edit, prompts for a side
+// where both changed the same key, and asks for confirmation before it returns
+// the merged text.
+func (a *App) mergeInteractively(base, mine []byte, newest *pb.Config) ([]byte, error) {
 	changes, err := settings.Diff(base, newest.Text)
 	if err != nil {
 		return nil, err
@@ -155,37 +157,37 @@
 	merged, err := settings.Merge(base, mine, newest.Text)
 	var conflict *settings.ConflictError
 	if errors.As(err, &conflict) {
-		merged, err = a.chooseSides(base, mine, newest, conflict)
+		merged, err = a.resolveConflicts(base, mine, newest, conflict)
 	}
 	if err != nil {
 		return nil, err
 	}
-	mineOnly, err := settings.Diff(newest.Text, merged.Text)
+	remaining, err := settings.Diff(newest.Text, merged.Text)
 	if err != nil {
 		return nil, err
 	}
 	fmt.Fprintln(a.Err, "Merged, your edit changes")
-	for _, c := range mineOnly {
+	for _, c := range remaining {
 		fmt.Fprintf(a.Err, "  %v\n", c)
 	}
-	if a.ask("Commit this on top? [Y/n]", "y") != "y" {
+	if a.prompt("Commit this on top? [Y/n]", "y") != "y" {
 		return nil, stale
 	}
 	return merged.Text, nil
 }
 
-func (a *App) chooseSides(base, mine []byte, newest *pb.Config, conflict *settings.ConflictError) (*settings.Merged, error) {
-	keep := map[string]bool{}
+func (a *App) resolveConflicts(base, mine []byte, newest *pb.Config, conflict *settings.ConflictError) (*settings.Merged, error) {
+	keepMine := map[string]bool{}
 	for _, c := range conflict.Conflicts {
-		switch a.ask(fmt.Sprintf("%v\nKeep mine or theirs, or quit? [m/t/Q]", c), "q") {
+		switch a.prompt(fmt.Sprintf("%v\nKeep mine or theirs, or quit? [m/t/Q]", c), "q") {
 		case "m":
-			keep[c.String()] = true
+			keepMine[c.String()] = true
 		case "t":
 		default:
 			return nil, conflict
 		}
 	}
-	newBase, newMine, err := settings.Resolve(base, mine, conflict.Conflicts, func(c settings.Conflict) bool { return keep[c.String()] })
+	newBase, newMine, err := settings.Resolve(base, mine, conflict.Conflicts, func(c settings.Conflict) bool { return keepMine[c.String()] })
 	if err != nil {
 		return nil, eris.Wrap(err, "resolve conflicts")
 	}
--- a/operator/cli/output.go
+++ b/operator/cli/output.go
@@ -18,13 +18,13 @@
 	"github.com/springweir/springweir/settings"
 )
 
-// The forms of output.
+// Output formats.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// print writes a result: as text by the function, or the value as JSON.
+// print writes a result, either as text by calling text or as JSON from value.
 func (a *App) print(value any, text func(w io.Writer)) error {
 	if a.output == outputText {
 		table := tabwriter.NewWriter(a.Out, 0, 0, 2, ' ', 0)
@@ -34,7 +34,7 @@
 	return writeJSON(a.Out, value)
 }
 
-// printRaw writes a text as it is, or the value as JSON.
+// printRaw writes text unchanged, or value as JSON.
 func (a *App) printRaw(value any, text string) error {
 	if a.output == outputText {
 		_, err := io.WriteString(a.Out, text)
@@ -43,8 +43,9 @@
 	return writeJSON(a.Out, value)
 }
 
-// writeJSON writes indented JSON. Messages keep the names of the protocol and
-// show fields that are not set; 64-bit numbers are strings, as protojson has it.
+// writeJSON writes indented JSON. Protobuf messages use the field names of the
+// .proto files and include unset fields; 64-bit integers are strings, as in
+// protojson.
 func writeJSON(w io.Writer, value any) error {
 	raw, err := marshal(value)
 	if err != nil {
@@ -68,13 +69,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// protojson varies its spacing on purpose.
+	// protojson varies its whitespace deliberately.
 	var compact bytes.Buffer
 	err = json.Compact(&compact, raw)
 	return compact.Bytes(), err
 }
 
-// errorReport is a failure in JSON.
+// errorReport is the JSON output of an error.
 type errorReport struct {
 	Error errorBody `json:"error"`
 }
@@ -92,7 +93,7 @@
 		return
 	}
 	report := errorReport{errorBody{Reason: failure.ReasonOf(err), Message: err.Error()}}
-	if exitCode(err) == ExitUsage && report.Error.Reason == failure.Internal {
+	if exitCodeOf(err) == ExitUsage && report.Error.Reason == failure.Internal {
 		report.Error.Reason = failure.BadRequest
 	}
 	var invalid *settings.InvalidError
@@ -111,8 +112,8 @@
 	}
 }
 
-// stateText is one line on how far a version has come.
-func stateText(s *pb.ConfigState) string {
+// describeState describes in one line how far a version has been rolled out.
+func describeState(s *pb.ConfigState) string {
 	switch {
 	case s.GetVersion() == 0:
 		return "no configuration yet"
--- a/operator/cli/plan.go
+++ b/operator/cli/plan.go
@@ -70,7 +70,7 @@
 	}
 	var waitErr error
 	if resp.State != nil {
-		resp.State, waitErr = a.await(cmd.Context(), client, resp.State)
+		resp.State, waitErr = a.waitAccepted(cmd.Context(), client, resp.State)
 	}
 	if err := a.print(resp, func(w io.Writer) { writePlan(w, resp) }); err != nil {
 		return err
@@ -97,7 +97,7 @@
 		return
 	}
 	if resp.State.Accepted {
-		fmt.Fprintln(w, stateText(resp.State))
+		fmt.Fprintln(w, describeState(resp.State))
 	}
 }
 
@@ -115,14 +115,14 @@
 			if err != nil {
 				return err
 			}
-			report := &pb.FleetStatus{Vm: status.Vm, Zone: status.Zone, Config: status.Config, Unavailable: status.Unavailable, Endpoints: planned(status.Endpoints), Decisions: status.Decisions}
-			return a.print(report, func(w io.Writer) { writePlanned(w, report) })
+			report := &pb.FleetStatus{Vm: status.Vm, Zone: status.Zone, Config: status.Config, Unavailable: status.Unavailable, Endpoints: plannedEndpoints(status.Endpoints), Decisions: status.Decisions}
+			return a.print(report, func(w io.Writer) { writePlannedEndpoints(w, report) })
 		},
 	}
 }
 
-// planned returns the endpoints that something is planned for.
-func planned(all []*pb.Endpoint) []*pb.Endpoint {
+// plannedEndpoints returns the endpoints with a planned or pending change.
+func plannedEndpoints(all []*pb.Endpoint) []*pb.Endpoint {
 	var out []*pb.Endpoint
 	for _, e := range all {
 		if e.Leaving || e.Withheld || e.Order != "" || len(e.WaitingFor) > 0 {
@@ -132,14 +132,14 @@
 	return out
 }
 
-func writePlanned(w io.Writer, report *pb.FleetStatus) {
+func writePlannedEndpoints(w io.Writer, report *pb.FleetStatus) {
 	fmt.Fprintln(w, "ENDPOINT\tZONE\tSTATE\tSTREAMS\tORDER\tWAITING FOR")
 	for _, e := range report.Endpoints {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Zone, endpointState(e), e.Streams, dash(e.Order), dash(strings.Join(e.WaitingFor, "; ")))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Zone, endpointState(e), e.Streams, orDash(e.Order), orDash(strings.Join(e.WaitingFor, "; ")))
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "POOL\tZONE\tENDPOINT\tDECISION\tTAKEN\tREASON\tWHY")
 	for _, d := range report.Decisions {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\t%s\t%s\n", d.Pool, d.Zone, dash(d.Endpoint), d.Action, d.Taken, d.Reason, d.Text)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\t%s\t%s\n", d.Pool, d.Zone, orDash(d.Endpoint), d.Action, d.Taken, d.Reason, d.Text)
 	}
 }
--- a/operator/cli/set.go
+++ b/operator/cli/set.go
@@ -39,7 +39,7 @@
 			if unset {
 				note = "unset " + strings.Join(args, " ")
 			}
-			return a.commitIfChanged(cmd, edit{base: base, text: text, note: note, onConflict: mergeQuietly})
+			return a.commitIfChanged(cmd, edit{base: base, text: text, note: note, onConflict: mergeDisjoint})
 		},
 	}
 	c.Flags().BoolVar(&unset, "unset", false, "remove the key")
@@ -62,8 +62,8 @@
 	return change, nil
 }
 
-// commitIfChanged commits the edit, or waits for the version that says the
-// same already, so that a repeated command is idempotent.
+// commitIfChanged commits the edit. If the text equals the base, it waits for
+// the base version instead, so that repeating a command is idempotent.
 func (a *App) commitIfChanged(cmd *cobra.Command, e edit) error {
 	if !bytes.Equal(e.base.Text, e.text) {
 		return a.commit(cmd.Context(), e)
@@ -74,7 +74,7 @@
 	if err != nil || state.Version == 0 {
 		return err
 	}
-	return a.finish(cmd.Context(), client, state)
+	return a.waitAndPrint(cmd.Context(), client, state)
 }
 
 func (a *App) putCommand() *cobra.Command {
@@ -103,9 +103,9 @@
 			if err != nil {
 				return err
 			}
-			e := edit{base: from, text: text, note: "put " + args[0], onConflict: refuseConflict}
+			e := edit{base: from, text: text, note: "put " + args[0], onConflict: rejectConflict}
 			if merge {
-				e.onConflict = mergeQuietly
+				e.onConflict = mergeDisjoint
 			}
 			return a.commit(cmd.Context(), e)
 		},
@@ -116,7 +116,7 @@
 	return c
 }
 
-// baseVersion reads a version by its number; zero is the empty tree before the
+// baseVersion reads a version by its number. Zero is the empty tree before the
 // first version.
 func (a *App) baseVersion(ctx context.Context, version uint64) (*pb.Config, error) {
 	if version == 0 {
--- a/operator/cli/status.go
+++ b/operator/cli/status.go
@@ -32,22 +32,22 @@
 
 func writeStatus(w io.Writer, s *pb.FleetStatus) {
 	fmt.Fprintf(w, "as seen by %s in zone %s\n", s.Vm, s.Zone)
-	fmt.Fprintln(w, stateText(s.Config))
+	fmt.Fprintln(w, describeState(s.Config))
 	for _, what := range s.Unavailable {
 		fmt.Fprintf(w, "not known: %s\n", what)
 	}
 	fmt.Fprintln(w, "\nVM\tZONE\tCONFIG\tSTATE")
 	for _, vm := range s.Vms {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", vm.Name, vm.Zone, number(vm.Config), vmState(vm))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", vm.Name, vm.Zone, versionOrDash(vm.Config), vmState(vm))
 	}
 	fmt.Fprintln(w, "\nENDPOINT\tZONE\tOF\tROLE\tINCARNATION\tSTREAMS\tSTATE\tAGE\tMODELS")
 	for _, e := range s.Endpoints {
 		age := time.Duration(e.AgeMs) * time.Millisecond
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, e.Zone, cmp.Or(e.Pool, e.Service), dash(e.Role), dash(e.Incarnation), e.Streams, endpointState(e), age, dash(strings.Join(e.Models, " ")))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, e.Zone, cmp.Or(e.Pool, e.Service), orDash(e.Role), orDash(e.Incarnation), e.Streams, endpointState(e), age, orDash(strings.Join(e.Models, " ")))
 	}
 	fmt.Fprintln(w, "\nLEASE\tZONE\tHOLDER\tFENCE")
 	for _, l := range s.Leases {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", l.Pool, l.Zone, dash(l.Holder), l.Fence)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", l.Pool, l.Zone, orDash(l.Holder), l.Fence)
 	}
 }
 
@@ -58,7 +58,7 @@
 	case vm.Serving:
 		return "serving"
 	}
-	return "not serving: " + dash(vm.Reason)
+	return "not serving: " + orDash(vm.Reason)
 }
 
 func endpointState(e *pb.Endpoint) string {
@@ -74,14 +74,14 @@
 	return cmp.Or(strings.Join(words, ","), "ok")
 }
 
-func number(n uint64) string {
+func versionOrDash(n uint64) string {
 	if n == 0 {
 		return "-"
 	}
 	return strconv.FormatUint(n, 10)
 }
 
-func dash(text string) string { return cmp.Or(text, "-") }
+func orDash(text string) string { return cmp.Or(text, "-") }
 
 func (a *App) referenceCommand() *cobra.Command {
 	return &cobra.Command{
--- a/simulate/admit.go
+++ b/simulate/admit.go
@@ -9,132 +9,134 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// pumpEvery is how often a queue that is not empty is looked at again, as
-// admission.Controller does.
-const pumpEvery = 20 * time.Millisecond
+// dispatchInterval is the interval at which a non-empty queue is dispatched
+// again. It is the same as in admission.Controller.
+const dispatchInterval = 20 * time.Millisecond
 
-// gate is the admission of one entry VM: admission.Queue driven by the event
-// loop in the way that admission.Controller drives it by timers.
-type gate struct {
+// admitter is the admission control of one entry VM. The event loop
+// drives admission.Queue in the same way as admission.Controller does with
+// timers.
+type admitter struct {
 	queue  *admission.Queue
 	limits *admission.Limits
-	// items are the waiting requests.
-	items map[*running]*admission.Item
-	armed bool
+	// items are the queued requests.
+	items             map[*activeRequest]*admission.Item
+	dispatchScheduled bool
 }
 
-func newGate() *gate {
+func newAdmitter() *admitter {
 	none := func(string) admission.OrganisationLimit { return admission.OrganisationLimit{} }
 	limits := admission.NewLimits(admission.DefaultLimits(), none)
-	return &gate{
+	return &admitter{
 		queue:  admission.NewQueue(admission.DefaultConfig(), limits),
 		limits: limits,
-		items:  make(map[*running]*admission.Item),
+		items:  make(map[*activeRequest]*admission.Item),
 	}
 }
 
-// work describes r to the queue.
-func (p *springweir) admissionWork(vm *entryVM, r *running) admission.Work {
+// admissionWork describes r to the admission queue.
+func (p *springweir) admissionWork(vm *entryVM, r *activeRequest) admission.Work {
 	return admission.Work{
 		Model:        model.Model,
 		Organisation: strconv.Itoa(r.Organisation),
 		Priority:     r.Priority,
-		PromptTokens: r.Prompt - p.cached(vm, r),
-		OutputTokens: p.expected(vm, r),
+		PromptTokens: r.Prompt - p.cachedTokens(vm, r),
+		OutputTokens: p.expectedOutput(vm, r),
 		Deadline:     r.At + r.Deadline,
 		Context:      r,
 	}
 }
 
-// decide asks the router for r at its entry VM.
-func (p *springweir) decide(s *sim, r *running) (routing.Decision, error) {
+// decide returns the router's decision for r at its entry VM.
+func (p *springweir) decide(s *sim, r *activeRequest) (routing.Decision, error) {
 	vm := p.entry(r)
-	if p.variant.fresh {
+	if p.variant.freshLoad {
 		p.refresh(s, r.zone)
 	}
 	return p.router.Decide(vm.store.Snapshot(), &routing.Request{
 		Artifact:      weightstore.Artifact{Model: model.Model},
 		PromptTokens:  r.Prompt + r.emitted,
-		OutputTokens:  max(1, p.expected(vm, r)-r.emitted),
+		OutputTokens:  max(1, p.expectedOutput(vm, r)-r.emitted),
 		PrefixHashes:  r.Hashes,
 		Priority:      r.Priority,
 		Now:           s.now,
 		Deadline:      r.At + r.Deadline,
 		Tried:         r.tried,
-		FromOtherZone: r.hopped,
+		FromOtherZone: r.fromOtherZone,
 	}, vm.rng)
 }
 
-// choiceOf turns a decision into a choice.
+// choiceOf converts a routing decision.
 func (s *sim) choiceOf(d routing.Decision) choice {
 	if d.Zone != "" {
-		return choice{hops: true, hop: int(d.Zone[0] - 'a')}
+		return choice{forward: true, targetZone: int(d.Zone[0] - 'a')}
 	}
-	c := choice{serve: s.named(d.Endpoint.Name)}
+	c := choice{serve: s.nodeByName(d.Endpoint.Name)}
 	if d.PrefillEndpoint != nil {
-		c.prefill = s.named(d.PrefillEndpoint.Name)
+		c.prefill = s.nodeByName(d.PrefillEndpoint.Name)
 	}
 	return c
 }
 
-// route offers a new request to the queue. One that was sent before is being
-// retried and goes on at once.
-func (p *springweir) route(s *sim, r *running) (choice, verdict) {
+// route offers a new request to the admission queue. Retries and
+// requests that the router forwards to another zone bypass the queue.
+func (p *springweir) route(s *sim, r *activeRequest) (choice, routeResult) {
 	d, err := p.decide(s, r)
 	if err != nil {
-		return choice{}, later
+		return choice{}, retryLater
 	}
 	if d.Zone != "" || r.sent {
 		return s.choiceOf(d), send
 	}
 	vm := p.entry(r)
-	it, displaced, err := vm.gate.queue.Offer(s.now, p.admissionWork(vm, r), d.Completion)
+	it, displaced, err := vm.admitter.queue.Offer(s.now, p.admissionWork(vm, r), d.Completion)
 	if displaced != nil {
-		p.drop(s, vm, displaced)
+		p.rejectQueued(s, vm, displaced)
 	}
 	if err != nil {
-		return choice{}, refuse
+		return choice{}, reject
 	}
-	vm.gate.items[r] = it
-	s.push(event{at: it.LatestStart, kind: expire, run: r})
-	p.pump(s, vm)
-	return choice{}, parked
+	vm.admitter.items[r] = it
+	s.push(event{at: it.LatestStart, kind: expire, request: r})
+	p.dispatchQueue(s, vm)
+	return choice{}, queued
 }
 
-// drop refuses a waiting request.
-func (p *springweir) drop(s *sim, vm *entryVM, it *admission.Item) {
-	r := it.Work.Context.(*running)
-	delete(vm.gate.items, r)
+// rejectQueued rejects a queued request.
+func (p *springweir) rejectQueued(s *sim, vm *entryVM, it *admission.Item) {
+	r := it.Work.Context.(*activeRequest)
+	delete(vm.admitter.items, r)
 	s.tally.refused++
 	s.close(r)
 }
 
-// cancel takes a waiting request out of its queue and tells whether it waited.
-func (p *springweir) cancel(s *sim, r *running) bool {
+// cancel removes r from its queue and reports whether it was queued.
+func (p *springweir) cancel(s *sim, r *activeRequest) bool {
 	vm := p.entry(r)
-	it := vm.gate.items[r]
+	it := vm.admitter.items[r]
 	if it == nil {
 		return false
 	}
-	vm.gate.queue.Cancel(s.now, it)
-	delete(vm.gate.items, r)
+	vm.admitter.queue.Cancel(s.now, it)
+	delete(vm.admitter.items, r)
 	return true
 }
 
-// pump sends what may be sent now, by the queue's own rule.
-func (p *springweir) pump(s *sim, vm *entryVM) {
-	vm.gate.queue.Dispatch(s.now, func(_ time.Duration, w *admission.Work) (admission.Prediction, error) {
-		return p.outlook(s, w.Context.(*running))
-	}, func(it *admission.Item, o admission.Prediction, err error) {
-		p.settle(s, vm, it, o, err)
+// dispatchQueue launches the requests that the queue releases now.
+func (p *springweir) dispatchQueue(s *sim, vm *entryVM) {
+	vm.admitter.queue.Dispatch(s.now, func(_ time.Duration, w *admission.Work) (admission.Prediction, error) {
+		return p.predict(s, w.Context.(*activeRequest))
+	}, func(it *admission.Item, prediction admission.Prediction, err error) {
+		p.applyAdmission(s, vm, it, prediction, err)
 	})
-	if vm.gate.queue.Len() > 0 {
-		p.arm(s, vm)
+	if vm.admitter.queue.Len() > 0 {
+		p.scheduleDispatch(s, vm)
 	}
 }
 
-// outlook is what the engines could do for r, as package entry tells it.
-func (p *springweir) outlook(s *sim, r *running) (admission.Prediction, error) {
+// predict returns when and how fast the engines could serve r. It mirrors the
+// prediction of package entry.
+func (p *springweir) predict(s *sim, r *activeRequest) (admission.Prediction, error) {
 	d, err := p.decide(s, r)
 	if err != nil {
 		return admission.Prediction{}, err
@@ -146,30 +148,32 @@
 	}, nil
 }
 
-// settle does with a request what the queue decided. One for an engine of the
-// zone counts as sent before it is launched, so that it is not queued again,
-// which the queue does not allow here, when the engine refuses it.
-func (p *springweir) settle(s *sim, vm *entryVM, it *admission.Item, o admission.Prediction, err error) {
+// applyAdmission applies the queue's decision on a request. A request for an
+// engine of this zone is marked as sent before its launch. Otherwise, if the
+// engine rejected it, it would be offered to the queue again from within
+// Dispatch, which the queue doesn't allow.
+func (p *springweir) applyAdmission(s *sim, vm *entryVM, it *admission.Item, prediction admission.Prediction, err error) {
 	if err != nil {
-		p.drop(s, vm, it)
+		p.rejectQueued(s, vm, it)
 		return
 	}
-	r := it.Work.Context.(*running)
-	d := o.Plan.(routing.Decision)
-	delete(vm.gate.items, r)
-	vm.gate.limits.Done(it.Work.Organisation)
+	r := it.Work.Context.(*activeRequest)
+	d := prediction.Plan.(routing.Decision)
+	delete(vm.admitter.items, r)
+	vm.admitter.limits.Done(it.Work.Organisation)
 	r.sent = d.Zone == ""
 	s.launch(r, s.choiceOf(d))
 }
 
-// arm looks at the queue again soon.
-func (p *springweir) arm(s *sim, vm *entryVM) {
-	if vm.gate.armed {
+// scheduleDispatch schedules the next dispatch of the queue unless one is
+// pending.
+func (p *springweir) scheduleDispatch(s *sim, vm *entryVM) {
+	if vm.admitter.dispatchScheduled {
 		return
 	}
-	vm.gate.armed = true
-	s.push(event{at: s.now + pumpEvery, kind: callback, call: func() {
-		vm.gate.armed = false
-		p.pump(s, vm)
+	vm.admitter.dispatchScheduled = true
+	s.push(event{at: s.now + dispatchInterval, kind: callback, action: func() {
+		vm.admitter.dispatchScheduled = false
+		p.dispatchQueue(s, vm)
 	}})
 }
--- a/simulate/baselines.go
+++ b/simulate/baselines.go
@@ -6,44 +6,46 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// plain is what the baselines share: they see the last load reports, know
-// which engines may be used, and keep no books of their own.
-type plain struct {
+// baseline is the common part of the baseline policies. They use the latest
+// load reports and the engines' availability, and don't track their own
+// in-flight work.
+type baseline struct {
 	loads map[int]engine.Load
 }
 
-func newPlain() plain { return plain{loads: make(map[int]engine.Load)} }
-
-func (plain) arrive(*sim, *running)                {}
-func (plain) sent(*sim, *job)                      {}
-func (plain) ended(*sim, *job, ending)             {}
-func (plain) started(*sim, *job)                   {}
-func (plain) tick(*sim)                            {}
-func (plain) cancel(*sim, *running) bool           { return false }
-func (p plain) report(_ *sim, n *node, rep report) { p.loads[n.index] = rep.state.Load }
-
-// usable returns the engines of a request's zone that satisfy ok and have not
-// refused or lost it. When all have, it may try them again.
-func usable(s *sim, r *running, ok func(*node) bool) []*node {
-	var all, fresh []*node
+func newBaseline() baseline { return baseline{loads: make(map[int]engine.Load)} }
+
+func (baseline) arrive(*sim, *activeRequest)          {}
+func (baseline) jobSent(*sim, *job)                   {}
+func (baseline) jobEnded(*sim, *job, jobOutcome)      {}
+func (baseline) jobStarted(*sim, *job)                {}
+func (baseline) tick(*sim)                            {}
+func (baseline) cancel(*sim, *activeRequest) bool     { return false }
+func (p baseline) report(_ *sim, n *node, rep report) { p.loads[n.index] = rep.state.Load }
+
+// usable returns the available engines of the request's zone that satisfy
+// accept and have not yet failed the request. If all have failed it, the tried
+// list is reset and all are returned, or none if all are down.
+func usable(s *sim, r *activeRequest, accept func(*node) bool) []*node {
+	var candidates, untried []*node
 	first := r.zone * enginesPerZone
 	for _, n := range s.nodes[first : first+enginesPerZone] {
-		if n.withheld || !ok(n) {
+		if n.changingRole || !accept(n) {
 			continue
 		}
-		all = append(all, n)
+		candidates = append(candidates, n)
 		if !contains(r.tried, n.name) {
-			fresh = append(fresh, n)
+			untried = append(untried, n)
 		}
 	}
-	if len(fresh) == 0 {
+	if len(untried) == 0 {
 		r.tried = nil
-		if len(all) > 0 && r.job == nil && allDown(all) {
+		if len(candidates) > 0 && r.job == nil && allDown(candidates) {
 			return nil
 		}
-		return all
+		return candidates
 	}
-	return fresh
+	return untried
 }
 
 func allDown(nodes []*node) bool {
@@ -67,12 +69,12 @@
 func decodes(n *node) bool  { return n.model.Role() != engine.Prefill }
 func prefills(n *node) bool { return n.model.Role() == engine.Prefill }
 
-// least returns the node with the smallest figure, a random one of equals.
-func least(s *sim, nodes []*node, figure func(*node) int) *node {
+// leastBy returns the node with the lowest metric and breaks ties at random.
+func leastBy(s *sim, nodes []*node, metric func(*node) int) *node {
 	var best *node
 	ties, lowest := 0, 0
 	for _, n := range nodes {
-		f := figure(n)
+		f := metric(n)
 		switch {
 		case best == nil || f < lowest:
 			best, lowest, ties = n, f, 1
@@ -86,108 +88,112 @@
 	return best
 }
 
-// roundRobin sends whole requests to the engines of the zone in turn.
+// roundRobin runs both phases of a request on one engine, chosen in rotation.
 type roundRobin struct {
-	plain
+	baseline
 	next map[[2]int]int
 }
 
-func newRoundRobin() policy { return &roundRobin{newPlain(), make(map[[2]int]int)} }
+func newRoundRobin() policy { return &roundRobin{newBaseline(), make(map[[2]int]int)} }
 
-func (p *roundRobin) route(s *sim, r *running) (choice, verdict) {
+func (p *roundRobin) route(s *sim, r *activeRequest) (choice, routeResult) {
 	nodes := usable(s, r, decodes)
 	if len(nodes) == 0 {
-		return choice{}, later
+		return choice{}, retryLater
 	}
-	at := [2]int{r.zone, r.entry}
-	p.next[at]++
-	return choice{serve: nodes[p.next[at]%len(nodes)]}, send
+	entry := [2]int{r.zone, r.entry}
+	p.next[entry]++
+	return choice{serve: nodes[p.next[entry]%len(nodes)]}, send
 }
 
-// leastLoad sends whole requests where the last report shows fewest requests.
-type leastLoad struct{ plain }
+// leastLoad runs both phases of a request on the engine with the fewest
+// reported requests.
+type leastLoad struct{ baseline }
 
-func newLeastLoad() policy { return &leastLoad{newPlain()} }
+func newLeastLoad() policy { return &leastLoad{newBaseline()} }
 
-func (p *leastLoad) route(s *sim, r *running) (choice, verdict) {
-	n := least(s, usable(s, r, decodes), p.requests)
+func (p *leastLoad) route(s *sim, r *activeRequest) (choice, routeResult) {
+	n := leastBy(s, usable(s, r, decodes), p.requests)
 	if n == nil {
-		return choice{}, later
+		return choice{}, retryLater
 	}
 	return choice{serve: n}, send
 }
 
-func (p plain) requests(n *node) int { return p.loads[n.index].Running + p.loads[n.index].Waiting }
-func (p plain) waiting(n *node) int  { return p.loads[n.index].WaitingTokens }
+func (p baseline) requests(n *node) int { return p.loads[n.index].Running + p.loads[n.index].Waiting }
+func (p baseline) waiting(n *node) int  { return p.loads[n.index].WaitingTokens }
 
-// split routes over engines of different roles: long prompts are prefilled on
-// prefill engines, each on the one with the least reported backlog.
-type split struct{ plain }
+// staticSplit uses fixed roles: long prompts are prefilled on the prefill
+// engine with the smallest reported backlog.
+type staticSplit struct{ baseline }
 
-func newSplit() policy { return &split{newPlain()} }
+func newStaticSplit() policy { return &staticSplit{newBaseline()} }
 
-// longPrompt is the length from which a split fleet prefills apart.
-const longPrompt = 1024
+// longPromptTokens is the prompt length above which staticSplit uses a separate
+// prefill engine.
+const longPromptTokens = 1024
 
-func (p *split) route(s *sim, r *running) (choice, verdict) {
-	serve := least(s, usable(s, r, decodes), p.requests)
+func (p *staticSplit) route(s *sim, r *activeRequest) (choice, routeResult) {
+	serve := leastBy(s, usable(s, r, decodes), p.requests)
 	if serve == nil {
-		return choice{}, later
+		return choice{}, retryLater
 	}
 	c := choice{serve: serve}
-	if r.Prompt-r.emitted > longPrompt && r.emitted == 0 {
-		c.prefill = least(s, usable(s, r, prefills), p.waiting)
+	if r.Prompt-r.emitted > longPromptTokens && r.emitted == 0 {
+		c.prefill = leastBy(s, usable(s, r, prefills), p.waiting)
 	}
 	return c, send
 }
 
-// threshold is split with a plain rule for roles: when prompts pile up and
-// decode is idle it moves a decode engine to prefill, and the other way round.
-type threshold struct{ split }
+// threshold extends staticSplit with a threshold rule for roles. It moves a
+// decode engine to prefill when prompts queue up and decode has capacity, and
+// the reverse.
+type threshold struct{ staticSplit }
 
-func newThreshold() policy { return &threshold{split{newPlain()}} }
+func newThreshold() policy { return &threshold{staticSplit{newBaseline()}} }
 
 const (
-	// thresholdEvery is how often the rule is applied.
-	thresholdEvery = 5 * time.Second
-	// manyWaiting and fewWaiting are prompt tokens waiting for each prefill engine.
-	manyWaiting, fewWaiting = 8000, 1000
-	// manyRunning and fewRunning are requests on each decode engine.
-	manyRunning, fewRunning = 40, 20
+	// thresholdInterval is the interval at which the rule is evaluated.
+	thresholdInterval = 5 * time.Second
+	// highWaitingTokens and lowWaitingTokens are prompt tokens waiting per
+	// prefill engine.
+	highWaitingTokens, lowWaitingTokens = 8000, 1000
+	// highRunning and lowRunning are requests per decode engine.
+	highRunning, lowRunning = 40, 20
 )
 
 func (p *threshold) tick(s *sim) {
-	if s.now%thresholdEvery != 0 {
+	if s.now%thresholdInterval != 0 {
 		return
 	}
 	for z := range zones {
-		p.rule(s, z)
+		p.rebalanceRoles(s, z)
 	}
 }
 
-// rule changes at most one engine of a zone.
-func (p *threshold) rule(s *sim, zone int) {
-	var first, second []*node
+// rebalanceRoles changes the role of at most one engine of a zone.
+func (p *threshold) rebalanceRoles(s *sim, zone int) {
+	var prefillNodes, decodeNodes []*node
 	waiting, running := 0, 0
 	for _, n := range s.nodes[zone*enginesPerZone : (zone+1)*enginesPerZone] {
 		switch {
-		case n.withheld:
+		case n.changingRole:
 			return
 		case prefills(n):
-			first = append(first, n)
+			prefillNodes = append(prefillNodes, n)
 			waiting += p.waiting(n)
 		default:
-			second = append(second, n)
+			decodeNodes = append(decodeNodes, n)
 			running += p.requests(n)
 		}
 	}
-	crowdedFirst := waiting > manyWaiting*len(first)
-	crowdedSecond := running > manyRunning*len(second)
+	prefillOverloaded := waiting > highWaitingTokens*len(prefillNodes)
+	decodeOverloaded := running > highRunning*len(decodeNodes)
 	switch {
-	case crowdedFirst && running < manyRunning*len(second) && len(second) > 1:
-		s.changeRole(least(s, second, p.requests), engine.Prefill)
-	case crowdedSecond && waiting < manyWaiting*len(first) && len(first) > 1,
-		waiting < fewWaiting*len(first) && running > fewRunning*len(second) && len(first) > 1:
-		s.changeRole(least(s, first, p.waiting), engine.Decode)
+	case prefillOverloaded && running < highRunning*len(decodeNodes) && len(decodeNodes) > 1:
+		s.changeRole(leastBy(s, decodeNodes, p.requests), engine.Prefill)
+	case decodeOverloaded && waiting < highWaitingTokens*len(prefillNodes) && len(prefillNodes) > 1,
+		waiting < lowWaitingTokens*len(prefillNodes) && running > lowRunning*len(decodeNodes) && len(prefillNodes) > 1:
+		s.changeRole(leastBy(s, prefillNodes, p.waiting), engine.Decode)
 	}
 }
--- a/simulate/event.go
+++ b/simulate/event.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// eventKind is what an event of the loop is about.
+// eventKind is the type of an event in the event loop.
 type eventKind uint8
 
 const (
 	arrival eventKind = iota
 	wakeEngine
-	again
+	retryDispatch
 	deadline
 	expire
 	callback
 	poll
 	deliver
 	tick
-	faultBegins
-	faultEnds
+	faultStart
+	faultEnd
 )
 
-// event is something due at a time. Which of the other fields are used depends
-// on its kind.
+// event is an action scheduled for a point in virtual time. Its kind determines
+// which of the other fields are used.
 type event struct {
-	at     time.Duration
-	seq    uint64
-	kind   eventKind
-	index  int
-	number uint64
-	run    *running
-	report *report
-	call   func()
+	at         time.Duration
+	seq        uint64
+	kind       eventKind
+	index      int
+	generation uint64
+	request    *activeRequest
+	report     *report
+	action     func()
 }
 
-// eventHeap orders events by time, and by when they were added at one time, so
-// that a run is the same every time.
+// eventHeap orders events by time and, at equal times, by insertion order,
+// which makes runs deterministic.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/simulate/main.go
+++ b/simulate/main.go
@@ -8,13 +8,13 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// The experiments.
+// Experiments that Main runs.
 const (
 	Policies     = "policies"
 	Reservations = "reservations"
 )
 
-// ExperimentError is an experiment that does not exist.
+// ExperimentError reports an unknown experiment name.
 type ExperimentError struct{ Name string }
 
 // Error implements error.
@@ -25,8 +25,8 @@
 // Reason implements failure.Coded.
 func (e *ExperimentError) Reason() failure.Reason { return failure.BadRequest }
 
-// Main runs an experiment and writes its lines to w, and plots of the policies
-// to the directory plots unless that is empty.
+// Main runs an experiment and writes its result lines to w. For the policy
+// comparison it also writes plots to the directory plots, unless that is empty.
 func Main(ctx context.Context, w io.Writer, su Suite, experiment, plots string) error {
 	switch experiment {
 	case Policies:
--- a/simulate/planner.go
+++ b/simulate/planner.go
@@ -5,7 +5,8 @@
 	"github.com/springweir/springweir/roles"
 )
 
-// plan runs the role planner of a zone and orders its changes.
+// plan runs the role planner of a zone and starts the role changes that it
+// decides.
 func (p *springweir) plan(s *sim, zone int) {
 	if p.variant.roles == nil {
 		return
@@ -14,15 +15,15 @@
 	d, h := roles.Plan(p.snapshot(s, zone), s.now, *p.variant.roles, z.history)
 	z.history = h.Record(s.now, *p.variant.roles, d.Changes)
 	for _, c := range d.Changes {
-		s.changeRole(s.named(c.Engine), c.To)
+		s.changeRole(s.nodeByName(c.Engine), c.To)
 	}
 }
 
-// snapshot is what the zone's planner knows: the first entry VM's view of the
-// engines and the demand of all.
+// snapshot returns the input of the zone's planner: the engines as seen by the
+// first entry VM, and the demand of all entry VMs.
 func (p *springweir) snapshot(s *sim, zone int) roles.Snapshot {
 	z := p.zones[zone]
-	snap := roles.Snapshot{PlatformLost: s.cut[zone]}
+	snap := roles.Snapshot{PlatformLost: s.partitioned[zone]}
 	for _, e := range z.entries[0].store.Snapshot().Endpoints() {
 		snap.Engines = append(snap.Engines, roles.Engine{
 			Name:        e.Name,
@@ -41,28 +42,29 @@
 	return snap
 }
 
-// tell passes on to the entry VMs which engines are withheld.
-func (p *springweir) tell(s *sim, zone int) {
+// publishWithheld updates the entry VMs on which engines are withheld for a
+// role change.
+func (p *springweir) publishWithheld(s *sim, zone int) {
 	z := p.zones[zone]
 	for i := range enginesPerZone {
 		n := s.nodes[zone*enginesPerZone+i]
-		if z.withheld[i] == n.withheld {
+		if z.publishedWithheld[i] == n.changingRole {
 			continue
 		}
-		z.withheld[i] = n.withheld
+		z.publishedWithheld[i] = n.changingRole
 		for _, vm := range z.entries {
-			vm.store.SetWithheld(n.name, n.withheld)
+			vm.store.SetWithheld(n.name, n.changingRole)
 		}
 	}
 }
 
-// exchange gives the entry VMs of a zone the summaries of the others that it
-// can reach.
-func (p *springweir) exchange(s *sim, zone int) {
+// exchangeSummaries gives the entry VMs of a zone the summaries of the other
+// reachable zones.
+func (p *springweir) exchangeSummaries(s *sim, zone int) {
 	var summaries []fleet.ZoneSummary
 	senders := (zones - 1) * s.opt.Entries
 	for other := range zones {
-		if other == zone || s.cut[zone] || s.cut[other] {
+		if other == zone || s.partitioned[zone] || s.partitioned[other] {
 			continue
 		}
 		view := p.zones[other].entries[0].store.Snapshot()
--- a/simulate/plot.go
+++ b/simulate/plot.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // The format of the plots.
+	_ "gonum.org/v1/plot/vg/vgsvg" // Registers the SVG format for plot.Save.
 )
 
 const (
@@ -18,22 +18,22 @@
 	barWidth   = vg.Length(9)
 )
 
-// Plot writes goodput.svg and changes.svg to directory dir: for each trace a
-// bar for each policy, the mean over the seeds.
+// Plot writes goodput.svg and changes.svg to the directory dir. They show one
+// bar for each trace and policy: the mean over the seeds.
 func Plot(dir string, all []Measurement) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return eris.Wrap(err, "make the directory of the plots")
+		return eris.Wrap(err, "create the plot directory")
 	}
 	goodput := func(r Result) float64 { return r.Goodput }
-	if err := bars(filepath.Join(dir, "goodput.svg"), "Goodput", all, goodput); err != nil {
+	if err := plotBars(filepath.Join(dir, "goodput.svg"), "Goodput", all, goodput); err != nil {
 		return err
 	}
 	changes := func(r Result) float64 { return float64(r.Changes) }
-	return bars(filepath.Join(dir, "changes.svg"), "Role changes", all, changes)
+	return plotBars(filepath.Join(dir, "changes.svg"), "Role changes", all, changes)
 }
 
-// bars draws one figure of all measurements as grouped bars.
-func bars(path, title string, all []Measurement, figure func(Result) float64) error {
+// plotBars draws one metric of all measurements as grouped bars.
+func plotBars(path, title string, all []Measurement, metric func(Result) float64) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Min = 0
@@ -44,7 +44,7 @@
 	for i, name := range policies {
 		values := make(plotter.Values, len(traces))
 		for j, t := range traces {
-			values[j] = meanOf(all, t, name, figure)
+			values[j] = meanOf(all, t, name, metric)
 		}
 		chart, err := plotter.NewBarChart(values, barWidth)
 		if err != nil {
@@ -57,11 +57,11 @@
 		p.Legend.Add(name, chart)
 	}
 	p.NominalX(traces...)
-	p.Y.Max *= 1.35 // Room for the legend.
+	p.Y.Max *= 1.35 // Leaves space for the legend.
 	return eris.Wrap(p.Save(plotWidth, plotHeight, path), "save "+path)
 }
 
-// distinct returns the values of key in order of first sight.
+// distinct returns the distinct values of key in order of first appearance.
 func distinct(all []Measurement, key func(Measurement) string) []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -74,12 +74,12 @@
 	return out
 }
 
-// meanOf is the mean of a figure over the seeds.
-func meanOf(all []Measurement, trace, policy string, figure func(Result) float64) float64 {
+// meanOf returns the mean of a metric over the seeds.
+func meanOf(all []Measurement, trace, policy string, metric func(Result) float64) float64 {
 	sum, n := 0.0, 0.0
 	for _, m := range all {
 		if m.Trace == trace && m.Policy == policy {
-			sum += figure(m.Result)
+			sum += metric(m.Result)
 			n++
 		}
 	}
--- a/simulate/result.go
+++ b/simulate/result.go
@@ -10,61 +10,63 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// Result is what one run measured.
+// Result holds the measurements of one run.
 type Result struct {
-	// Goodput is the share of all requests answered whole within the deadline.
+	// Goodput is the fraction of all requests with a complete response within
+	// the deadline.
 	Goodput float64
-	// Interactive is the same of the interactive requests alone.
+	// Interactive is the goodput of the interactive requests.
 	Interactive float64
 	// Changes is the number of role changes.
 	Changes int
-	// FirstToken is the 95th percentile of the time to the first token, and
-	// BetweenTokens that of an answer's mean time between tokens, both over
-	// the answers that finished.
+	// FirstToken is the 95th percentile of the time to the first token.
+	// BetweenTokens is the 95th percentile of a response's mean time between
+	// tokens. Both cover completed responses only.
 	FirstToken, BetweenTokens time.Duration
-	// Refused counts the requests refused as not run, Late those that were
-	// taken and not answered in time.
+	// Refused counts the requests that were rejected without being run, Late
+	// those that missed their deadline.
 	Refused, Late int
 	// Requests is the number of requests in the trace.
 	Requests int
 }
 
-// Line returns the measurement as `make policy` prints it.
+// Line returns the measurement in the format that `make policy` prints.
 func (r Result) Line(trace, policy string, seed uint64) string {
 	return fmt.Sprintf("POLICY trace=%s policy=%s seed=%d goodput=%.4f role_changes=%d ttft_p95_ms=%d itl_p95_ms=%d refused=%d",
 		trace, policy, seed, r.Goodput, r.Changes, r.FirstToken.Milliseconds(), r.BetweenTokens.Milliseconds(), r.Refused)
 }
 
-// tally counts during a run.
+// tally accumulates the measurements of a run.
 type tally struct {
 	good, late, refused, changes int
-	// interactive counts the interactive requests that came, and those answered in time.
+	// interactive counts the interactive arrivals, interactiveGood those
+	// completed in time.
 	interactive, interactiveGood int
-	first, between               *hdrhistogram.Histogram
+	firstToken, betweenTokens    *hdrhistogram.Histogram
 }
 
-// longest is the longest time that the histograms hold, in microseconds.
-const longest = 120_000_000
+// maxLatencyMicros is the highest value of the histograms, in microseconds.
+const maxLatencyMicros = 120_000_000
 
-// finished counts an answer that came whole and in time.
-func (t *tally) finished(r *running, ev enginemodel.Event) {
-	if t.first == nil {
-		t.first = hdrhistogram.New(1, longest, 3)
-		t.between = hdrhistogram.New(1, longest, 3)
+// finished counts a response that was completed in time.
+func (t *tally) finished(r *activeRequest, ev enginemodel.Event) {
+	if t.firstToken == nil {
+		t.firstToken = hdrhistogram.New(1, maxLatencyMicros, 3)
+		t.betweenTokens = hdrhistogram.New(1, maxLatencyMicros, 3)
 	}
 	t.good++
 	if r.Priority == engine.Interactive {
 		t.interactiveGood++
 	}
-	record(t.first, r.first-r.At)
+	record(t.firstToken, r.firstTokenAt-r.At)
 	if r.Output > 1 {
-		record(t.between, (ev.At-r.first)/time.Duration(r.Output-1))
+		record(t.betweenTokens, (ev.At-r.firstTokenAt)/time.Duration(r.Output-1))
 	}
 }
 
-// record takes in a time. Times beyond the histogram count as its longest.
+// record adds a time to h. Times above the range of h count as its maximum.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(d.Microseconds(), longest))
+	_ = h.RecordValue(min(d.Microseconds(), maxLatencyMicros))
 }
 
 func (t *tally) result(requests int) Result {
@@ -76,9 +78,9 @@
 		Late:        t.late,
 		Requests:    requests,
 	}
-	if t.first != nil {
-		out.FirstToken = time.Duration(t.first.ValueAtQuantile(95)) * time.Microsecond
-		out.BetweenTokens = time.Duration(t.between.ValueAtQuantile(95)) * time.Microsecond
+	if t.firstToken != nil {
+		out.FirstToken = time.Duration(t.firstToken.ValueAtQuantile(95)) * time.Microsecond
+		out.BetweenTokens = time.Duration(t.betweenTokens.ValueAtQuantile(95)) * time.Microsecond
 	}
 	return out
 }
--- a/simulate/sim.go
+++ b/simulate/sim.go
@@ -10,155 +10,166 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// Options are the circumstances of a run, apart from trace and policy.
+// Options configure a run, apart from its trace and policy.
 type Options struct {
-	// Seed feeds the policy's own draws.
+	// Seed seeds the policy's random choices.
 	Seed uint64
-	// Lag is how old a load report is when an entry VM gets it.
+	// Lag is the age of a load report when it reaches an entry VM.
 	Lag time.Duration
-	// Entries is the number of entry VMs in each zone, each with its own view.
+	// Entries is the number of entry VMs in each zone. Each has its own view of
+	// the zone.
 	Entries int
-	// Shape is the number of engines of each role in a zone at the start; the
-	// rest are mixed.
+	// Prefill and Decode are the numbers of engines in each zone that start in
+	// these roles. The remaining engines start as mixed.
 	Prefill, Decode int
 }
 
-// reportEvery is how often an engine is polled.
-const reportEvery = 250 * time.Millisecond
+// reportInterval is the interval at which each engine is polled.
+const reportInterval = 250 * time.Millisecond
 
-// node is one engine.
+// node is a simulated engine.
 type node struct {
 	index, zone int
 	name        string
 	model       *enginemodel.Engine
-	// wake numbers the newest wake-up; older ones are void.
-	wake uint64
-	// down is set while it has crashed, withheld while it is drained for or
-	// carries out a role change to target.
-	down, withheld, ordered bool
-	target                  engine.Role
-	// open is the number of jobs on it.
-	open        int
+	// wakeGeneration identifies the latest wake-up event; earlier ones are
+	// ignored.
+	wakeGeneration uint64
+	// down is set while the engine has crashed. changingRole is set while it
+	// drains for, or performs, a role change to target; orderStarted is set
+	// once the change has begun.
+	down, changingRole, orderStarted bool
+	target                           engine.Role
+	// activeJobs is the number of jobs in flight.
+	activeJobs  int
 	incarnation int
 	sequence    uint64
-	// eventSequence numbers its cache events.
+	// eventSequence is the sequence number of the latest cache event.
 	eventSequence uint64
 }
 
-// part is what a job does of its request.
-type part uint8
+// phase is the part of a request that a job executes.
+type phase uint8
 
 const (
-	whole part = iota
-	prefillHalf
-	decodeHalf
+	fullRequest phase = iota
+	prefillPhase
+	decodePhase
 )
 
-// job is a request, or one half of it, on an engine.
+// job is a request, or one phase of it, in flight on an engine.
 type job struct {
-	id   enginemodel.JobID
-	run  *running
-	node *node
-	part part
+	id      enginemodel.JobID
+	request *activeRequest
+	node    *node
+	phase   phase
 }
 
-// running is a request under way.
-type running struct {
+// activeRequest is the state of a request from its arrival until it is done.
+type activeRequest struct {
 	*Request
-	// zone and entry are where it is handled; they differ from where it
-	// arrived once it has hopped.
-	zone, entry int
-	hopped      bool
-	job         *job
-	choice      choice
-	tried       []string
-	// emitted is the tokens that the caller already holds.
-	emitted    int
-	first      time.Duration
-	sent, done bool
+	// zone and entry identify the entry VM that handles the request. The zone
+	// differs from Request.Zone after forwarding.
+	zone, entry   int
+	fromOtherZone bool
+	job           *job
+	choice        choice
+	tried         []string
+	// emitted is the number of output tokens that the caller has received.
+	emitted      int
+	firstTokenAt time.Duration
+	sent, done   bool
 }
 
-// choice is where a policy sends a request. Prefill is nil for whole work.
+// choice is the routing decision of a policy. If prefill is nil, one engine
+// runs both phases.
 type choice struct {
 	serve, prefill *node
-	// hop is the zone to go to instead, when there is one.
-	hop  int
-	hops bool
+	// targetZone is the zone to forward to; it is valid only if forward is set.
+	targetZone int
+	forward    bool
 }
 
-// verdict is what a policy makes of a request.
-type verdict uint8
+// routeResult is what to do with a request after routing.
+type routeResult uint8
 
 const (
-	send verdict = iota
-	refuse
-	// later asks again after retryEvery, until the deadline.
-	later
-	// parked leaves the request with the policy, which launches or drops it.
-	parked
+	send routeResult = iota
+	reject
+	// retryLater routes the request again after retryInterval, until its
+	// deadline.
+	retryLater
+	// queued means that the policy keeps the request and will launch or reject
+	// it.
+	queued
 )
 
-const retryEvery = 100 * time.Millisecond
+// retryInterval is the delay before a request without a usable engine is routed
+// again.
+const retryInterval = 100 * time.Millisecond
 
-// policy decides. All calls come from one goroutine.
+// policy makes the routing and role decisions. All calls come from one
+// goroutine.
 type policy interface {
-	// arrive is told of each request once, before route.
-	arrive(s *sim, r *running)
-	// route chooses an engine for r at its entry.
-	route(s *sim, r *running) (choice, verdict)
-	// sent tells that a job went to an engine, and ended that it is over.
-	sent(s *sim, j *job)
-	ended(s *sim, j *job, how ending)
-	// started tells of a job's first token.
-	started(s *sim, j *job)
-	// report delivers an engine's load to every entry VM of its zone.
+	// arrive is called once for each request, before route.
+	arrive(s *sim, r *activeRequest)
+	// route chooses an engine for r at its entry VM.
+	route(s *sim, r *activeRequest) (choice, routeResult)
+	// jobSent is called before a job is submitted to its engine, and jobEnded
+	// when the job has ended or the engine has rejected it.
+	jobSent(s *sim, j *job)
+	jobEnded(s *sim, j *job, outcome jobOutcome)
+	// jobStarted is called at the first token of a job.
+	jobStarted(s *sim, j *job)
+	// report delivers an engine's load report to every entry VM of its zone.
 	report(s *sim, n *node, rep report)
-	// cancel takes back a parked request, and tells whether it was parked.
-	cancel(s *sim, r *running) bool
-	// tick comes once a second.
+	// cancel removes r from the policy's queue and reports whether it was
+	// queued.
+	cancel(s *sim, r *activeRequest) bool
+	// tick is called once a second.
 	tick(s *sim)
 }
 
-// ending is how a job ended.
-type ending uint8
+// jobOutcome is how a job ended.
+type jobOutcome uint8
 
 const (
-	finished ending = iota
+	finished jobOutcome = iota
 	handedOver
-	broke
-	refusedByEngine
-	gaveUp
+	interrupted
+	rejectedByEngine
+	timedOut
 )
 
-// report is an engine's state as it was at At.
+// report is an engine's state at the time at.
 type report struct {
 	at    time.Duration
 	state engine.State
-	// events answers a question from sequence since.
+	// events are the cache events from sequence number since onwards.
 	since  uint64
 	events engine.CacheEvents
 }
 
-// sim is one run. It is used by one goroutine.
+// sim is the state of one run. It is not safe for concurrent use.
 type sim struct {
 	opt    Options
 	trace  *Trace
 	policy policy
 	rng    *rand.Rand
 
-	now    time.Duration
-	seq    uint64
-	events eventHeap
-	nodes  []*node
-	jobs   map[enginemodel.JobID]*job
-	nextID enginemodel.JobID
-	open   int
-	frozen bool
-	cut    [zones]bool
-	tally  tally
+	now           time.Duration
+	seq           uint64
+	events        eventHeap
+	nodes         []*node
+	jobs          map[enginemodel.JobID]*job
+	nextID        enginemodel.JobID
+	openRequests  int
+	reportsFrozen bool
+	partitioned   [zones]bool
+	tally         tally
 }
 
-// newSim prepares a run.
+// newSim returns a run of the trace t under the policy p.
 func newSim(t *Trace, p policy, opt Options) *sim {
 	s := &sim{
 		opt: opt, trace: t, policy: p,
@@ -168,12 +179,12 @@
 	params := enginemodel.DefaultParams()
 	params.RecordCache = true
 	for i := range zones * enginesPerZone {
-		at := i % enginesPerZone
+		position := i % enginesPerZone
 		role := engine.Mixed
 		switch {
-		case at < opt.Prefill:
+		case position < opt.Prefill:
 			role = engine.Prefill
-		case at < opt.Prefill+opt.Decode:
+		case position < opt.Prefill+opt.Decode:
 			role = engine.Decode
 		}
 		s.nodes = append(s.nodes, &node{
@@ -185,21 +196,21 @@
 	return s
 }
 
-// run carries the trace through and returns what was measured.
+// run executes the trace and returns its measurements.
 func (s *sim) run() Result {
 	for i := range s.trace.Requests {
-		s.at(s.trace.Requests[i].At, arrival, i, 0)
+		s.schedule(s.trace.Requests[i].At, arrival, i, 0)
 	}
 	for i, f := range s.trace.Faults {
-		s.at(f.At, faultBegins, i, 0)
-		s.at(f.At+f.For, faultEnds, i, 0)
+		s.schedule(f.At, faultStart, i, 0)
+		s.schedule(f.At+f.For, faultEnd, i, 0)
 	}
 	for i := range s.nodes {
-		s.at(time.Duration(i)*time.Millisecond, poll, i, 0)
+		s.schedule(time.Duration(i)*time.Millisecond, poll, i, 0)
 	}
-	s.at(time.Second, tick, 0, 0)
-	s.open = len(s.trace.Requests)
-	for s.open > 0 && len(s.events) > 0 {
+	s.schedule(time.Second, tick, 0, 0)
+	s.openRequests = len(s.trace.Requests)
+	for s.openRequests > 0 && len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
 		s.handle(e)
@@ -207,34 +218,34 @@
 	return s.tally.result(len(s.trace.Requests))
 }
 
-// handle does what an event asks for.
+// handle executes an event.
 func (s *sim) handle(e event) {
 	switch e.kind {
 	case arrival:
 		s.arrive(&s.trace.Requests[e.index])
 	case wakeEngine:
 		n := s.nodes[e.index]
-		if n.wake == e.number {
-			s.collect(n)
+		if n.wakeGeneration == e.generation {
+			s.advanceEngine(n)
 		}
-	case again:
-		s.dispatch(e.run)
+	case retryDispatch:
+		s.dispatch(e.request)
 	case deadline:
-		s.giveUp(e.run)
+		s.timeOut(e.request)
 	case expire:
-		s.expire(e.run)
+		s.expire(e.request)
 	case callback:
-		e.call()
+		e.action()
 	case poll:
 		s.poll(s.nodes[e.index])
 	case deliver:
 		s.policy.report(s, s.nodes[e.index], *e.report)
 	case tick:
 		s.policy.tick(s)
-		s.at(s.now+time.Second, tick, 0, 0)
-	case faultBegins:
-		s.begin(s.trace.Faults[e.index])
-	case faultEnds:
-		s.end(s.trace.Faults[e.index])
+		s.schedule(s.now+time.Second, tick, 0, 0)
+	case faultStart:
+		s.startFault(s.trace.Faults[e.index])
+	case faultEnd:
+		s.endFault(s.trace.Faults[e.index])
 	}
 }
--- a/simulate/simulate_test.go
+++ b/simulate/simulate_test.go
@@ -15,16 +15,17 @@
 	"github.com/springweir/springweir/roles"
 )
 
-// short returns a trace cut down to a few seconds of its peak.
-func short(t *testing.T, name string) *Trace {
+// peakTrace returns 20 seconds of a trace's peak, with faults moved into that
+// interval.
+func peakTrace(t *testing.T, name string) *Trace {
 	t.Helper()
-	r := recipeNamed(name)
+	r := findRecipe(name)
 	if r.name == "" {
 		t.Fatalf("no recipe %s", name)
 	}
 	const from, to = 4 * time.Minute, 4*time.Minute + 20*time.Second
 	r.length = to
-	trace := r.make(7)
+	trace := r.build(7)
 	var kept []Request
 	for _, q := range trace.Requests {
 		if q.At >= from && q.At < to {
@@ -40,14 +41,14 @@
 	return trace
 }
 
-// TestRunsAreRepeatable runs each online policy twice through a crash: every
-// request is accounted for once, and both runs measure the same.
+// TestRunsAreRepeatable checks that two runs of each online policy through a
+// crash give equal results and count every request exactly once.
 func TestRunsAreRepeatable(t *testing.T) {
-	trace := short(t, "crash-in-peak")
-	for _, c := range online() {
+	trace := peakTrace(t, "crash-in-peak")
+	for _, c := range onlinePolicies() {
 		opt := Options{Seed: 3, Lag: 500 * time.Millisecond, Entries: 3, Prefill: c.prefill, Decode: c.decode}
-		first := newSim(trace, c.make(opt), opt).run()
-		second := newSim(trace, c.make(opt), opt).run()
+		first := newSim(trace, c.newPolicy(opt), opt).run()
+		second := newSim(trace, c.newPolicy(opt), opt).run()
 		if diff := cmp.Diff(first, second); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
@@ -58,26 +59,27 @@
 	}
 }
 
-// TestNoChangeWithoutReports freezes all reports while the roles are badly
-// wrong and checks that the planner waits.
+// TestNoChangeWithoutReports guards against role changes based on outdated
+// data: with unsuitable initial roles, the planner must change nothing while
+// reports are frozen or the zones have no connection to the platform.
 func TestNoChangeWithoutReports(t *testing.T) {
-	set := roles.Defaults(roles.FavourGoodput)
-	set.Warmup, set.StabilisationWindow, set.MinimumStay, set.BudgetInterval = 0, 0, 0, time.Second
-	trace := short(t, "kliko-morning")
+	settings := roles.Defaults(roles.FavourGoodput)
+	settings.Warmup, settings.StabilisationWindow, settings.MinimumStay, settings.BudgetInterval = 0, 0, 0, time.Second
+	trace := peakTrace(t, "kliko-morning")
 	changes := func(faults []Fault) int {
 		trace.Faults = faults
 		opt := Options{Seed: 3, Lag: 500 * time.Millisecond, Entries: 3}
-		return newSim(trace, newSpringweir(variant{roles: &set, ledger: matched}, opt), opt).run().Changes
+		return newSim(trace, newSpringweir(variant{roles: &settings, newLedger: newMatchedLedger}, opt), opt).run().Changes
 	}
 	if n := changes(nil); n == 0 {
-		t.Error("no change with reports: the test shows nothing")
+		t.Error("no role change with current reports, so the checks below prove nothing")
 	}
 	if n := changes([]Fault{{Kind: FreezeReports, For: time.Hour}}); n != 0 {
-		t.Errorf("%d changes on frozen reports, want 0", n)
+		t.Errorf("%d role changes with frozen reports, want 0", n)
 	}
-	cut := []Fault{{CutZone, 0, time.Hour, 0, 0}, {CutZone, 0, time.Hour, 1, 0}, {CutZone, 0, time.Hour, 2, 0}}
-	if n := changes(cut); n != 0 {
-		t.Errorf("%d changes in zones without platform, want 0", n)
+	partitions := []Fault{{PartitionZone, 0, time.Hour, 0, 0}, {PartitionZone, 0, time.Hour, 1, 0}, {PartitionZone, 0, time.Hour, 2, 0}}
+	if n := changes(partitions); n != 0 {
+		t.Errorf("%d role changes in zones without the platform, want 0", n)
 	}
 }
 
@@ -89,11 +91,11 @@
 	}
 }
 
-// TestSuite runs the whole suite on a short trace: one line for each policy,
-// the bound last, and plots.
+// TestSuite checks that a short trace gives one measurement for each policy,
+// with the bound last, and that the plots are written.
 func TestSuite(t *testing.T) {
 	su := DefaultSuite()
-	got, err := su.trace(context.Background(), short(t, "swing"), 1)
+	got, err := su.runTrace(context.Background(), peakTrace(t, "swing"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +104,7 @@
 		t.Error(diff)
 	}
 	if got[len(got)-1].Split == "" {
-		t.Error("the bound names no split")
+		t.Error("the bound has no split")
 	}
 	dir := t.TempDir()
 	if err := Plot(dir, got); err != nil {
@@ -125,9 +127,9 @@
 func TestTraces(t *testing.T) {
 	for _, r := range recipes()[:3] {
 		r.length = time.Minute
-		a, b := r.make(1), r.make(1)
+		a, b := r.build(1), r.build(1)
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("%s differs between two makings of one seed", r.name)
+			t.Errorf("%s: two builds from the same seed differ", r.name)
 		}
 		for i, q := range a.Requests {
 			if q.ID != i+1 || i > 0 && q.At < a.Requests[i-1].At {
--- a/simulate/springweir.go
+++ b/simulate/springweir.go
@@ -13,111 +13,116 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// variant is how springweir's packages are put together in a run.
+// variant configures the springweir policy for a run.
 type variant struct {
-	// roles are the planner's settings; nil leaves the roles as they are.
+	// roles are the role planner's settings; nil disables role changes.
 	roles *roles.Settings
-	// ledger makes the books of an entry VM.
-	ledger func() fleet.Ledger
-	// exact gives routing the true length of each answer, and fresh the true
-	// load of each engine: an oracle.
-	exact, fresh bool
-	// config changes the router's configuration; nil leaves the defaults.
+	// newLedger returns the work ledger of an entry VM.
+	newLedger func() fleet.Ledger
+	// exactOutput gives routing the true output length of each request, and
+	// freshLoad the true load of each engine. Both are set for the oracle.
+	exactOutput, freshLoad bool
+	// config modifies the router's configuration; nil keeps the defaults.
 	config func(*routing.Config)
 }
 
-// entryVM is one entry VM's view.
+// entryVM is the state of one entry VM.
 type entryVM struct {
-	store *fleet.Store
-	gate  *gate
-	// tracker follows the engines' health; tickets are those of the open jobs.
+	store    *fleet.Store
+	admitter *admitter
+	// tracker tracks the engines' health; tickets belong to the jobs in flight.
 	tracker *health.Tracker
 	tickets map[enginemodel.JobID]health.Ticket
 	meter   *roles.Meter
 	rng     *rand.Rand
 }
 
-// zoneVMs are the entry VMs and the role planner of one zone.
-type zoneVMs struct {
+// zoneState holds the entry VMs and the role planner of one zone.
+type zoneState struct {
 	entries []*entryVM
 	views   *prefix.Views
 	history roles.History
-	// readAt is when an oracle last read the zone's engines.
-	read   bool
-	readAt time.Duration
-	// withheld is what the entry VMs were last told.
-	withheld [enginesPerZone]bool
+	// refreshedAt is when the oracle last read the zone's engines; it is valid
+	// only if refreshed is set.
+	refreshed   bool
+	refreshedAt time.Duration
+	// publishedWithheld is the state last sent to the entry VMs.
+	publishedWithheld [enginesPerZone]bool
 }
 
-// springweir runs the real packages: fleet, routing, prefix and roles.
+// springweir is the policy that runs the production packages: fleet, routing,
+// prefix and roles.
 type springweir struct {
 	variant variant
 	router  *routing.Router
 	costs   routing.Costs
-	zones   [zones]*zoneVMs
-	// held are the reservations made for the second half of a pair.
-	held map[*running]*node
+	zones   [zones]*zoneState
+	// decodeReservations are the engines on which the decode phase is reserved
+	// while the prefill phase runs.
+	decodeReservations map[*activeRequest]*node
 }
 
-// meterWindow is how far back the demand is measured.
+// meterWindow is the window over which demand is measured.
 const meterWindow = 20 * time.Second
 
-// viewLimit bounds the prefix view of a zone, in pairs of block and engine.
-const viewLimit = 1 << 16
+// maxPrefixPairs limits the prefix view of a zone, in pairs of block and
+// engine.
+const maxPrefixPairs = 1 << 16
 
 func newSpringweir(v variant, opt Options) *springweir {
 	cfg := routing.DefaultConfig()
 	if v.config != nil {
 		v.config(&cfg)
 	}
-	p := &springweir{variant: v, router: routing.New(cfg), costs: cfg.Costs, held: make(map[*running]*node)}
+	p := &springweir{variant: v, router: routing.New(cfg), costs: cfg.Costs, decodeReservations: make(map[*activeRequest]*node)}
 	for z := range zones {
-		p.zones[z] = newZoneVMs(z, v, opt)
+		p.zones[z] = newZoneState(z, v, opt)
 	}
 	return p
 }
 
-func newZoneVMs(z int, v variant, opt Options) *zoneVMs {
-	vms := &zoneVMs{views: prefix.NewViews(viewLimit), history: roles.NewHistory(0)}
+func newZoneState(z int, v variant, opt Options) *zoneState {
+	state := &zoneState{views: prefix.NewViews(maxPrefixPairs), history: roles.NewHistory(0)}
 	var specs []fleet.Spec
 	for i := range enginesPerZone {
 		name := "engine-" + strconv.Itoa(z*enginesPerZone+i)
 		specs = append(specs, fleet.Spec{Name: name, Kind: fleet.Engine, Pool: "language", Zone: zoneName(z)})
 	}
 	for e := range opt.Entries {
-		store := fleet.NewStore(zoneName(z), v.ledger(), vms.views)
+		store := fleet.NewStore(zoneName(z), v.newLedger(), state.views)
 		store.SetSpecs(specs)
 		store.SetZones(nil, opt.Entries)
-		vms.entries = append(vms.entries, &entryVM{
-			store:   store,
-			gate:    newGate(),
-			tracker: health.NewTracker(health.DefaultConfig()),
-			tickets: make(map[enginemodel.JobID]health.Ticket),
-			meter:   roles.NewMeter(0, meterWindow),
-			rng:     rand.New(rand.NewPCG(opt.Seed, uint64(z*100+e))),
+		state.entries = append(state.entries, &entryVM{
+			store:    store,
+			admitter: newAdmitter(),
+			tracker:  health.NewTracker(health.DefaultConfig()),
+			tickets:  make(map[enginemodel.JobID]health.Ticket),
+			meter:    roles.NewMeter(0, meterWindow),
+			rng:      rand.New(rand.NewPCG(opt.Seed, uint64(z*100+e))),
 		})
 	}
-	return vms
+	return state
 }
 
 func zoneName(z int) string { return string(rune('a' + z)) }
 
-func (p *springweir) entry(r *running) *entryVM { return p.zones[r.zone].entries[r.entry] }
+func (p *springweir) entry(r *activeRequest) *entryVM { return p.zones[r.zone].entries[r.entry] }
 
-// arrive counts the request in the demand.
-func (p *springweir) arrive(s *sim, r *running) {
+// arrive records the request in the measured demand.
+func (p *springweir) arrive(s *sim, r *activeRequest) {
 	vm := p.entry(r)
 	vm.meter.RecordArrival(s.now, roles.Sample{
 		Prompt:   r.Prompt,
-		Cached:   p.cached(vm, r),
-		Output:   p.expected(vm, r),
+		Cached:   p.cachedTokens(vm, r),
+		Output:   p.expectedOutput(vm, r),
 		Deadline: r.Deadline,
 		Priority: r.Priority,
 	})
 }
 
-// cached is the longest part of the prompt that an engine of the zone holds.
-func (p *springweir) cached(vm *entryVM, r *running) int {
+// cachedTokens returns the length of the longest prompt prefix that an engine
+// of the zone has cached.
+func (p *springweir) cachedTokens(vm *entryVM, r *activeRequest) int {
 	var buf [1]prefix.Hit
 	hits := vm.store.Snapshot().Prefix.Chain(r.Hashes).Best(buf[:0], 1, 0)
 	if len(hits) == 0 {
@@ -126,99 +131,101 @@
 	return min(hits[0].Blocks*prefix.BlockTokens, r.Prompt-1)
 }
 
-// expected is the expected length of the answer.
-func (p *springweir) expected(vm *entryVM, r *running) int {
-	if p.variant.exact {
+// expectedOutput returns the expected output length in tokens.
+func (p *springweir) expectedOutput(vm *entryVM, r *activeRequest) int {
+	if p.variant.exactOutput {
 		return r.Output
 	}
 	return vm.meter.ExpectedOutput(r.Prompt, r.Priority, r.MaxTokens)
 }
 
-func (s *sim) named(name string) *node {
+func (s *sim) nodeByName(name string) *node {
 	i, _ := strconv.Atoi(name[len("engine-"):])
 	return s.nodes[i]
 }
 
-// sent books a job. The second half of a pair is booked with the first, so
-// that the engine's share is not given away meanwhile.
-func (p *springweir) sent(s *sim, j *job) {
-	vm := p.entry(j.run)
-	p.unhold(s, j.run)
+// jobSent reserves the job's work. With the prefill phase it also reserves the
+// decode phase, so that the decode engine's capacity is not given to other
+// requests in the meantime.
+func (p *springweir) jobSent(s *sim, j *job) {
+	vm := p.entry(j.request)
+	p.releaseDecodeReservation(s, j.request)
 	if ticket, ok := vm.tracker.Begin(s.now, j.node.name); ok {
 		vm.tickets[j.id] = ticket
 	}
-	vm.store.Reserve(s.now, fleet.Reservation{Endpoint: j.node.name, Attempt: attemptName(j.id), Work: p.work(vm, j.run, j.part)})
-	if j.part == prefillHalf {
-		serve := j.run.choice.serve
-		p.held[j.run] = serve
-		vm.store.Reserve(s.now, fleet.Reservation{Endpoint: serve.name, Attempt: holdName(j.run), Work: p.work(vm, j.run, decodeHalf)})
+	vm.store.Reserve(s.now, fleet.Reservation{Endpoint: j.node.name, Attempt: attemptName(j.id), Work: p.work(vm, j.request, j.phase)})
+	if j.phase == prefillPhase {
+		serve := j.request.choice.serve
+		p.decodeReservations[j.request] = serve
+		vm.store.Reserve(s.now, fleet.Reservation{Endpoint: serve.name, Attempt: decodeReservationName(j.request), Work: p.work(vm, j.request, decodePhase)})
 	}
 }
 
-func (p *springweir) unhold(s *sim, r *running) {
-	if n := p.held[r]; n != nil {
-		p.entry(r).store.Release(s.now, n.name, holdName(r))
-		delete(p.held, r)
+func (p *springweir) releaseDecodeReservation(s *sim, r *activeRequest) {
+	if n := p.decodeReservations[r]; n != nil {
+		p.entry(r).store.Release(s.now, n.name, decodeReservationName(r))
+		delete(p.decodeReservations, r)
 	}
 }
 
-func holdName(r *running) string { return "hold-" + strconv.Itoa(r.ID) }
+func decodeReservationName(r *activeRequest) string { return "hold-" + strconv.Itoa(r.ID) }
 
-// work is what a job asks of an engine.
-func (p *springweir) work(vm *entryVM, r *running, part part) fleet.Work {
+// work returns the work that a job puts on an engine.
+func (p *springweir) work(vm *entryVM, r *activeRequest, ph phase) fleet.Work {
 	w := fleet.Work{Requests: 1}
-	if part != decodeHalf {
-		w.PromptTokens = r.Prompt - p.cached(vm, r)
+	if ph != decodePhase {
+		w.PromptTokens = r.Prompt - p.cachedTokens(vm, r)
 	}
-	if part != prefillHalf {
-		w.ContextTokens = r.Prompt + p.expected(vm, r)/2
+	if ph != prefillPhase {
+		w.ContextTokens = r.Prompt + p.expectedOutput(vm, r)/2
 	}
 	return w
 }
 
-// started takes the job's prompt out of what waits for prefill.
-func (p *springweir) started(s *sim, j *job) {
-	p.entry(j.run).store.MarkPrefilled(s.now, j.node.name, attemptName(j.id))
+// jobStarted removes the job's prompt from the tokens waiting for prefill.
+func (p *springweir) jobStarted(s *sim, j *job) {
+	p.entry(j.request).store.MarkPrefilled(s.now, j.node.name, attemptName(j.id))
 }
 
-func (p *springweir) ended(s *sim, j *job, how ending) {
-	vm := p.entry(j.run)
+func (p *springweir) jobEnded(s *sim, j *job, outcome jobOutcome) {
+	vm := p.entry(j.request)
 	vm.store.Release(s.now, j.node.name, attemptName(j.id))
-	vm.judge(s.now, j, how)
-	if how != handedOver {
-		p.unhold(s, j.run)
+	vm.recordHealth(s.now, j, outcome)
+	if outcome != handedOver {
+		p.releaseDecodeReservation(s, j.request)
 	}
-	if how == finished {
-		vm.meter.RecordOutput(j.run.Prompt, j.run.Priority, j.run.Output)
+	if outcome == finished {
+		vm.meter.RecordOutput(j.request.Prompt, j.request.Priority, j.request.Output)
 	}
 }
 
-// judge tells the health tracker how a job went, and routing what it thinks now.
-func (vm *entryVM) judge(now time.Duration, j *job, how ending) {
+// recordHealth records a job's outcome in the health tracker and passes the new
+// status to routing.
+func (vm *entryVM) recordHealth(now time.Duration, j *job, outcome jobOutcome) {
 	ticket, ok := vm.tickets[j.id]
 	if !ok {
 		return
 	}
 	delete(vm.tickets, j.id)
-	vm.tracker.End(now, ticket, healthOf(how))
+	vm.tracker.End(now, ticket, healthResult(outcome))
 	vm.store.SetHealth(j.node.name, vm.tracker.Status(j.node.name))
 }
 
-// healthOf is what an ending says of the engine. A deadline that passes says
-// nothing: the request may have been late when it was sent.
-func healthOf(how ending) health.Result {
-	switch how {
+// healthResult maps an outcome to a health result. A timeout is not counted
+// against the engine, because the request may have been late when it was sent.
+func healthResult(outcome jobOutcome) health.Result {
+	switch outcome {
 	case finished, handedOver:
 		return health.Succeeded
-	case broke, refusedByEngine:
+	case interrupted, rejectedByEngine:
 		return health.Failed
 	default:
 		return health.Abandoned
 	}
 }
 
-// report gives a load report to every entry VM of the zone, and the cache
-// events to the view that they share.
+// report applies a load report at every entry VM of the zone, and the cache
+// events to the prefix view that they share.
 func (p *springweir) report(s *sim, n *node, rep report) {
 	z := p.zones[n.zone]
 	z.entries[0].store.ApplyEvents(n.name, rep.since, rep.events)
@@ -228,16 +235,16 @@
 	}
 }
 
-// freshFor is how long an oracle's reading of a zone counts as the truth.
-const freshFor = 50 * time.Millisecond
+// refreshInterval is how long the oracle reuses its last reading of a zone.
+const refreshInterval = 50 * time.Millisecond
 
-// refresh gives an oracle the true state of a zone.
+// refresh gives the oracle the current state of a zone.
 func (p *springweir) refresh(s *sim, zone int) {
 	z := p.zones[zone]
-	if z.read && s.now-z.readAt < freshFor {
+	if z.refreshed && s.now-z.refreshedAt < refreshInterval {
 		return
 	}
-	z.read, z.readAt = true, s.now
+	z.refreshed, z.refreshedAt = true, s.now
 	for _, n := range s.nodes[zone*enginesPerZone : (zone+1)*enginesPerZone] {
 		if !n.down {
 			p.report(s, n, *s.observe(n))
@@ -246,18 +253,19 @@
 	}
 }
 
-// planEvery is how often the planner runs and the prefix views are published.
-const planEvery = 2 * time.Second
+// planInterval is the interval at which the planner runs and the prefix views
+// are published.
+const planInterval = 2 * time.Second
 
 func (p *springweir) tick(s *sim) {
 	for z := range zones {
-		p.tell(s, z)
-		p.exchange(s, z)
-		if s.now%planEvery != 0 {
+		p.publishWithheld(s, z)
+		p.exchangeSummaries(s, z)
+		if s.now%planInterval != 0 {
 			continue
 		}
 		p.plan(s, z)
-		p.tell(s, z)
+		p.publishWithheld(s, z)
 		for _, vm := range p.zones[z].entries {
 			vm.store.PublishPrefixes()
 		}
--- a/simulate/suite.go
+++ b/simulate/suite.go
@@ -13,91 +13,96 @@
 	"github.com/springweir/springweir/roles"
 )
 
-// contender is a policy with the roles that it begins with.
-type contender struct {
+// policySetup is a policy and the roles that its engines start with.
+type policySetup struct {
 	name            string
 	prefill, decode int
-	make            func(Options) policy
+	newPolicy       func(Options) policy
 }
 
-// simple makes a contender of a policy without options.
-func simple(name string, prefill, decode int, make func() policy) contender {
-	return contender{name, prefill, decode, func(Options) policy { return make() }}
+// fixedPolicy returns the setup of a policy that takes no options.
+func fixedPolicy(name string, prefill, decode int, newPolicy func() policy) policySetup {
+	return policySetup{name, prefill, decode, func(Options) policy { return newPolicy() }}
 }
 
-// matched are the books in use.
-func matched() fleet.Ledger { return fleet.NewMatchedLedger(fleet.DefaultReservationExpiry) }
+// newMatchedLedger returns the ledger used in production.
+func newMatchedLedger() fleet.Ledger { return fleet.NewMatchedLedger(fleet.DefaultReservationExpiry) }
 
-// startPrefill and startDecode are the roles in each zone that every policy
-// which uses roles begins with.
+// startPrefill and startDecode are the engines of each role in a zone at the
+// start, for every online policy that uses roles.
 const startPrefill, startDecode = 2, 2
 
-// ours makes a contender of springweir's packages with a deployment's weights.
-func ours(name string, w roles.Weights) contender {
-	set := roles.Defaults(w)
-	return contender{name, startPrefill, startDecode, func(o Options) policy {
-		return newSpringweir(variant{roles: &set, ledger: matched}, o)
+// springweirPolicy returns the setup of the springweir policy with the given
+// planner weights.
+func springweirPolicy(name string, w roles.Weights) policySetup {
+	settings := roles.Defaults(w)
+	return policySetup{name, startPrefill, startDecode, func(o Options) policy {
+		return newSpringweir(variant{roles: &settings, newLedger: newMatchedLedger}, o)
 	}}
 }
 
-// online are the policies in the order of printing.
-func online() []contender {
-	return []contender{
-		simple("round-robin", 0, 0, newRoundRobin),
-		simple("least-load", 0, 0, newLeastLoad),
-		simple("static-split", startPrefill, startDecode, newSplit),
-		simple("threshold", startPrefill, startDecode, newThreshold),
-		ours("springweir-kliko", roles.FavourGoodput),
-		ours("springweir-szallashalo", roles.FavourStability),
+// onlinePolicies returns the compared policies in output order.
+func onlinePolicies() []policySetup {
+	return []policySetup{
+		fixedPolicy("round-robin", 0, 0, newRoundRobin),
+		fixedPolicy("least-load", 0, 0, newLeastLoad),
+		fixedPolicy("static-split", startPrefill, startDecode, newStaticSplit),
+		fixedPolicy("threshold", startPrefill, startDecode, newThreshold),
+		springweirPolicy("springweir-kliko", roles.FavourGoodput),
+		springweirPolicy("springweir-szallashalo", roles.FavourStability),
 	}
 }
 
-// oracle is a static split with perfect knowledge: the true load of every
-// engine at each decision, the true length of each answer, one view a zone.
-func oracle(prefill, decode int) contender {
-	return contender{"bound", prefill, decode, func(o Options) policy {
-		return newSpringweir(variant{ledger: matched, exact: true, fresh: true}, o)
+// oracle returns a static split with perfect information: the true load of
+// every engine at each decision, the true output length of each request, and
+// one view per zone.
+func oracle(prefill, decode int) policySetup {
+	return policySetup{"bound", prefill, decode, func(o Options) policy {
+		return newSpringweir(variant{newLedger: newMatchedLedger, exactOutput: true, freshLoad: true}, o)
 	}}
 }
 
-// bounds are the splits among which hindsight chooses. In trials on steady
-// traces the others never came first.
-func bounds() []contender {
-	return []contender{
+// boundSplits returns the splits from which the best is chosen after the run as
+// the bound. The omitted splits were never the best on steady traces.
+func boundSplits() []policySetup {
+	return []policySetup{
 		oracle(0, 0), oracle(1, 0), oracle(1, 2), oracle(2, 0),
 		oracle(2, 1), oracle(2, 2), oracle(3, 0), oracle(3, 1),
 	}
 }
 
-// Suite says what to measure.
+// Suite configures the measurements.
 type Suite struct {
-	// Seeds are the seeds of the traces; Workers is the number of runs at once.
+	// Seeds are the seeds of the traces. Workers is the number of concurrent
+	// runs.
 	Seeds   []uint64
 	Workers int
-	// Traces names the traces to run; empty runs all.
+	// Traces are the names of the traces to run; empty runs all.
 	Traces []string
-	// Lag and Entries are the circumstances of the online policies.
+	// Lag and Entries are the report lag and the entry VMs per zone for the
+	// online policies.
 	Lag     time.Duration
 	Entries int
 }
 
-// DefaultSuite is what `make policy` runs.
+// DefaultSuite returns the configuration of `make policy`.
 func DefaultSuite() Suite {
 	const workers = 8
 	return Suite{Seeds: []uint64{1}, Workers: workers, Lag: 500 * time.Millisecond, Entries: 3}
 }
 
-// Measurement is one line of output.
+// Measurement is the result of one policy on one trace, printed as one line.
 type Measurement struct {
 	Trace, Policy string
 	Seed          uint64
 	Result        Result
-	// Split is the shape that hindsight chose, for the bound.
+	// Split is the role split that the bound chose.
 	Split string
 }
 
-// Run measures every policy on every trace, writes a line each to w as soon as
-// a trace is done, and returns the measurements.
+// Run measures every policy on every selected trace. It writes one line per
+// measurement to w as soon as a trace is complete, and returns all
+// measurements.
 func (su Suite) Run(ctx context.Context, w io.Writer) ([]Measurement, error) {
 	var all []Measurement
 	for _, r := range recipes() {
@@ -105,7 +110,7 @@
 			continue
 		}
 		for _, seed := range su.Seeds {
-			got, err := su.trace(ctx, r.make(seed), seed)
+			got, err := su.runTrace(ctx, r.build(seed), seed)
 			if err != nil {
 				return nil, err
 			}
@@ -120,13 +125,13 @@
 	return all, nil
 }
 
-// trace measures every policy on one trace.
-func (su Suite) trace(ctx context.Context, t *Trace, seed uint64) ([]Measurement, error) {
-	contenders := slices.Concat(online(), bounds())
-	results := make([]Result, len(contenders))
+// runTrace measures every policy on one trace.
+func (su Suite) runTrace(ctx context.Context, t *Trace, seed uint64) ([]Measurement, error) {
+	setups := slices.Concat(onlinePolicies(), boundSplits())
+	results := make([]Result, len(setups))
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(su.Workers)
-	for i, c := range contenders {
+	for i, c := range setups {
 		g.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return err
@@ -135,21 +140,22 @@
 			if c.name == "bound" {
 				opt.Lag, opt.Entries = 0, 1
 			}
-			results[i] = newSim(t, c.make(opt), opt).run()
+			results[i] = newSim(t, c.newPolicy(opt), opt).run()
 			return nil
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	return gather(t.Name, seed, contenders, results), nil
+	return collectMeasurements(t.Name, seed, setups, results), nil
 }
 
-// gather names the results, and keeps the best split as the bound.
-func gather(trace string, seed uint64, contenders []contender, results []Result) []Measurement {
+// collectMeasurements labels the results and reduces those of the oracle to the
+// best split.
+func collectMeasurements(trace string, seed uint64, setups []policySetup, results []Result) []Measurement {
 	var out []Measurement
 	best := Measurement{Trace: trace, Policy: "bound", Seed: seed}
-	for i, c := range contenders {
+	for i, c := range setups {
 		if c.name != "bound" {
 			out = append(out, Measurement{Trace: trace, Policy: c.name, Seed: seed, Result: results[i]})
 			continue
--- a/simulate/work.go
+++ b/simulate/work.go
@@ -11,23 +11,25 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// model is the one artifact that every engine has loaded.
+// model is the only artifact; every engine has it loaded.
 var model = weightstore.Artifact{Model: "m", Version: "1"}
 
-func (s *sim) at(at time.Duration, kind eventKind, index int, number uint64) {
-	s.push(event{at: at, kind: kind, index: index, number: number})
+// schedule adds an event that refers to a request, engine or fault by index.
+func (s *sim) schedule(at time.Duration, kind eventKind, index int, generation uint64) {
+	s.push(event{at: at, kind: kind, index: index, generation: generation})
 }
 
+// push adds an event and assigns its sequence number.
 func (s *sim) push(e event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.events, e)
 }
 
-// arrive hands a request to an entry VM of its zone.
+// arrive assigns a request to an entry VM of its zone and dispatches it.
 func (s *sim) arrive(req *Request) {
-	r := &running{Request: req, zone: req.Zone, entry: int(req.Draw) % s.opt.Entries}
-	s.push(event{at: req.At + req.Deadline, kind: deadline, run: r})
+	r := &activeRequest{Request: req, zone: req.Zone, entry: int(req.Draw) % s.opt.Entries}
+	s.push(event{at: req.At + req.Deadline, kind: deadline, request: r})
 	if r.Priority == engine.Interactive {
 		s.tally.interactive++
 	}
@@ -35,120 +37,125 @@
 	s.dispatch(r)
 }
 
-// dispatch asks the policy and does what it says. An engine that refuses is
-// not asked again for this request.
-func (s *sim) dispatch(r *running) {
+// dispatch routes a request until it is submitted, queued, rejected or
+// scheduled for a retry. An engine that rejected the request is added to its
+// tried list.
+func (s *sim) dispatch(r *activeRequest) {
 	for !r.done {
 		c, v := s.policy.route(s, r)
 		switch {
-		case v == refuse:
+		case v == reject:
 			s.tally.refused++
 			s.close(r)
 			return
-		case v == parked:
+		case v == queued:
 			return
-		case v == later:
-			s.push(event{at: s.now + retryEvery, kind: again, run: r})
+		case v == retryLater:
+			s.push(event{at: s.now + retryInterval, kind: retryDispatch, request: r})
 			return
 		}
-		if s.follow(r, c) {
+		if s.applyChoice(r, c) {
 			return
 		}
 	}
 }
 
-// launch sends a request that was parked.
-func (s *sim) launch(r *running, c choice) {
-	if !s.follow(r, c) {
+// launch submits a request that was queued by the policy.
+func (s *sim) launch(r *activeRequest, c choice) {
+	if !s.applyChoice(r, c) {
 		s.dispatch(r)
 	}
 }
 
-// follow does what a choice says, and tells whether the request is on its way.
-func (s *sim) follow(r *running, c choice) bool {
-	if c.hops {
-		r.hopped, r.zone = true, c.hop
+// applyChoice submits the request as chosen and reports whether an engine
+// accepted it. A choice that forwards to another zone only moves the request
+// there and returns false, so that the caller routes it again.
+func (s *sim) applyChoice(r *activeRequest, c choice) bool {
+	if c.forward {
+		r.fromOtherZone, r.zone = true, c.targetZone
 		return false
 	}
 	r.choice = c
 	return s.start(r, c)
 }
 
-// expire refuses a parked request that can no longer be in time.
-func (s *sim) expire(r *running) {
+// expire rejects a queued request that can no longer meet its deadline.
+func (s *sim) expire(r *activeRequest) {
 	if !r.done && s.policy.cancel(s, r) {
 		s.tally.refused++
 		s.close(r)
 	}
 }
 
-// start sends the first job of a choice, and tells whether it was taken.
-func (s *sim) start(r *running, c choice) bool {
+// start submits the first job of a choice and reports whether the engine
+// accepted it.
+func (s *sim) start(r *activeRequest, c choice) bool {
 	if c.prefill != nil {
-		return s.submit(r, c.prefill, prefillHalf)
+		return s.submit(r, c.prefill, prefillPhase)
 	}
-	return s.submit(r, c.serve, whole)
+	return s.submit(r, c.serve, fullRequest)
 }
 
-// submit sends a job to an engine.
-func (s *sim) submit(r *running, n *node, p part) bool {
+// submit sends a job to an engine and reports whether the engine accepted it.
+func (s *sim) submit(r *activeRequest, n *node, ph phase) bool {
 	s.nextID++
-	j := &job{id: s.nextID, run: r, node: n, part: p}
-	s.policy.sent(s, j)
+	j := &job{id: s.nextID, request: r, node: n, phase: ph}
+	s.policy.jobSent(s, j)
 	if n.down || n.model.Submit(s.now, s.modelJob(j)) != nil {
 		r.tried = append(r.tried, n.name)
-		s.policy.ended(s, j, refusedByEngine)
+		s.policy.jobEnded(s, j, rejectedByEngine)
 		return false
 	}
 	s.jobs[j.id] = j
 	r.job, r.sent = j, true
-	n.open++
+	n.activeJobs++
 	s.rearm(n)
 	return true
 }
 
 func (s *sim) modelJob(j *job) enginemodel.Job {
-	r := j.run
+	r := j.request
 	return enginemodel.Job{
 		ID: j.id, Priority: r.Priority,
 		PromptTokens: r.Prompt, Hashes: r.Hashes,
 		OutputTokens: r.Output, ResumeFrom: r.emitted,
-		Import: j.part == decodeHalf, PrefillOnly: j.part == prefillHalf,
+		Import: j.phase == decodePhase, PrefillOnly: j.phase == prefillPhase,
 	}
 }
 
-// rearm sets the engine's next wake-up.
+// rearm schedules the engine's next wake-up and invalidates earlier ones.
 func (s *sim) rearm(n *node) {
 	if at, ok := n.model.NextEvent(); ok {
-		n.wake++
-		s.at(max(at, s.now), wakeEngine, n.index, n.wake)
+		n.wakeGeneration++
+		s.schedule(max(at, s.now), wakeEngine, n.index, n.wakeGeneration)
 	}
 }
 
-// collect takes in what happened on an engine.
-func (s *sim) collect(n *node) {
+// advanceEngine advances an engine's model to the current time and handles the
+// events that it emits.
+func (s *sim) advanceEngine(n *node) {
 	for _, ev := range slices.Clone(n.model.Advance(s.now)) {
-		s.happened(n, ev)
+		s.handleEngineEvent(n, ev)
 	}
-	s.beginOrder(n)
+	s.startRoleChange(n)
 	s.rearm(n)
 }
 
-func (s *sim) happened(n *node, ev enginemodel.Event) {
+func (s *sim) handleEngineEvent(n *node, ev enginemodel.Event) {
 	if ev.Kind == enginemodel.OrderDone {
-		n.ordered, n.withheld = false, false
+		n.orderStarted, n.changingRole = false, false
 		return
 	}
 	j := s.jobs[ev.Job]
 	if j == nil {
 		return
 	}
-	r := j.run
+	r := j.request
 	switch ev.Kind {
 	case enginemodel.FirstToken:
-		s.policy.started(s, j)
-		if r.first == 0 {
-			r.first = ev.At
+		s.policy.jobStarted(s, j)
+		if r.firstTokenAt == 0 {
+			r.firstTokenAt = ev.At
 		}
 	case enginemodel.Prefilled:
 		s.finishJob(j, handedOver)
@@ -158,39 +165,40 @@
 		s.tally.finished(r, ev)
 		s.close(r)
 	case enginemodel.Cut:
-		s.finishJob(j, broke)
+		s.finishJob(j, interrupted)
 		r.tried = append(r.tried, n.name)
 		r.emitted = max(r.emitted, ev.Tokens)
 		s.dispatch(r)
 	}
 }
 
-// handOver moves the KV cache of a prefilled prompt to the engine that decodes.
+// handOver releases the KV cache on the prefill engine and submits the decode
+// phase, which imports the cache.
 func (s *sim) handOver(j *job) {
 	j.node.model.ReleaseKV(s.now, j.id)
-	if !s.submit(j.run, j.run.choice.serve, decodeHalf) {
-		s.dispatch(j.run)
+	if !s.submit(j.request, j.request.choice.serve, decodePhase) {
+		s.dispatch(j.request)
 	}
 }
 
-// finishJob forgets a job.
-func (s *sim) finishJob(j *job, how ending) {
+// finishJob removes a job and passes its outcome to the policy.
+func (s *sim) finishJob(j *job, outcome jobOutcome) {
 	delete(s.jobs, j.id)
-	j.run.job = nil
-	j.node.open--
-	s.policy.ended(s, j, how)
+	j.request.job = nil
+	j.node.activeJobs--
+	s.policy.jobEnded(s, j, outcome)
 }
 
-// giveUp ends a request whose deadline has passed.
-func (s *sim) giveUp(r *running) {
+// timeOut cancels a request whose deadline has passed.
+func (s *sim) timeOut(r *activeRequest) {
 	if r.done {
 		return
 	}
 	if j := r.job; j != nil {
 		n := j.node
 		n.model.Cancel(s.now, j.id)
-		s.finishJob(j, gaveUp)
-		s.beginOrder(n)
+		s.finishJob(j, timedOut)
+		s.startRoleChange(n)
 		s.rearm(n)
 	}
 	s.policy.cancel(s, r)
@@ -198,33 +206,36 @@
 	s.close(r)
 }
 
-func (s *sim) close(r *running) {
+// close marks a request as done. The run ends when no request is open.
+func (s *sim) close(r *activeRequest) {
 	r.done = true
-	s.open--
+	s.openRequests--
 }
 
-// changeRole withholds an engine and, once it is drained, changes its role.
+// changeRole stops new work to an engine and changes its role once it has
+// drained. It does nothing while the engine is down or already changing its
+// role, or while its zone is partitioned.
 func (s *sim) changeRole(n *node, to engine.Role) {
-	if n.withheld || n.down || s.cut[n.zone] {
+	if n.changingRole || n.down || s.partitioned[n.zone] {
 		return
 	}
-	n.withheld, n.target = true, to
+	n.changingRole, n.target = true, to
 	s.tally.changes++
-	s.beginOrder(n)
+	s.startRoleChange(n)
 	s.rearm(n)
 }
 
-// beginOrder starts the role change of a drained engine.
-func (s *sim) beginOrder(n *node) {
-	if !n.withheld || n.ordered || n.open > 0 || n.down {
+// startRoleChange starts the role change of an engine that has drained.
+func (s *sim) startRoleChange(n *node) {
+	if !n.changingRole || n.orderStarted || n.activeJobs > 0 || n.down {
 		return
 	}
 	order := enginemodel.Order{Duration: n.model.Params().RoleChange, Role: n.target, Cut: true}
-	n.ordered = n.model.BeginOrder(s.now, order) == nil
+	n.orderStarted = n.model.BeginOrder(s.now, order) == nil
 }
 
-// begin starts a fault.
-func (s *sim) begin(f Fault) {
+// startFault applies a fault.
+func (s *sim) startFault(f Fault) {
 	switch f.Kind {
 	case CrashEngine:
 		n := s.nodes[f.Zone*enginesPerZone+f.Engine]
@@ -232,30 +243,30 @@
 		n.incarnation++
 		n.sequence, n.eventSequence = 0, 0
 		n.model.BeginOrder(s.now, enginemodel.Order{Duration: f.For, Cut: true})
-		s.collect(n)
-	case CutZone:
-		s.cut[f.Zone] = true
+		s.advanceEngine(n)
+	case PartitionZone:
+		s.partitioned[f.Zone] = true
 	case FreezeReports:
-		s.frozen = true
+		s.reportsFrozen = true
 	}
 }
 
-// end ends a fault.
-func (s *sim) end(f Fault) {
+// endFault reverts a fault.
+func (s *sim) endFault(f Fault) {
 	switch f.Kind {
 	case CrashEngine:
 		s.nodes[f.Zone*enginesPerZone+f.Engine].down = false
-	case CutZone:
-		s.cut[f.Zone] = false
+	case PartitionZone:
+		s.partitioned[f.Zone] = false
 	case FreezeReports:
-		s.frozen = false
+		s.reportsFrozen = false
 	}
 }
 
-// poll reads an engine's state, which arrives after the lag.
+// poll reads an engine's state and schedules its delivery after the report lag.
 func (s *sim) poll(n *node) {
-	s.at(s.now+reportEvery, poll, n.index, 0)
-	if n.down || s.frozen {
+	s.schedule(s.now+reportInterval, poll, n.index, 0)
+	if n.down || s.reportsFrozen {
 		return
 	}
 	rep := s.observe(n)
@@ -263,7 +274,8 @@
 	s.rearm(n)
 }
 
-// observe reads an engine's state and its cache events since the last reading.
+// observe returns an engine's state and its cache events since the previous
+// call.
 func (s *sim) observe(n *node) *report {
 	rep := &report{at: s.now, state: s.state(n)}
 	if n.eventSequence > 0 {
@@ -288,7 +300,7 @@
 	}
 }
 
-// cacheEvents returns the engine's cache events since the last poll.
+// cacheEvents returns the engine's cache events since the previous call.
 func (s *sim) cacheEvents(n *node) engine.CacheEvents {
 	out := engine.CacheEvents{Incarnation: strconv.Itoa(n.incarnation)}
 	for _, c := range n.model.TakeCacheChanges() {
@@ -299,5 +311,5 @@
 	return out
 }
 
-// attemptName is the attempt id of a job.
+// attemptName returns the attempt ID of a job.
 func attemptName(id enginemodel.JobID) string { return strconv.FormatUint(uint64(id), 36) }
