--- a/caller/golden_test.go
+++ b/caller/golden_test.go
@@ -21,7 +21,7 @@
 // truncateAfter returns a script that makes an engine truncate its response after n tokens.
 func truncateAfter(n int) func(engine.GenerateRequest) fakeengine.Behaviour {
 	return func(engine.GenerateRequest) fakeengine.Behaviour {
-		return fakeengine.Behaviour{Ending: fakeengine.Truncated, After: n}
+		return fakeengine.Behaviour{Ending: fakeengine.Truncated, AfterTokens: n}
 	}
 }
 
@@ -54,7 +54,7 @@
 			confirmSlot(r)
 		}},
 		{"service-call-result-lost", func(r *harness) {
-			r.svc.Script(func(service.Call) fakeservice.Behaviour { return fakeservice.Behaviour{BreakAfter: true} })
+			r.svc.Script(func(service.Call) fakeservice.Behaviour { return fakeservice.Behaviour{DisconnectAfterRun: true} })
 			confirmSlot(r)
 			confirmSlot(r)
 		}},
--- a/caller/harness_test.go
+++ b/caller/harness_test.go
@@ -34,7 +34,7 @@
 func newHarness(first ...forward.Target) *harness {
 	r := &harness{rows: memtable.New(), svc: new(fakeservice.Endpoint)}
 	r.log.Mask(`[A-Z2-7]{26}`, "<id>")
-	opts := fakeengine.Options{FirstToken: 50 * time.Millisecond, TokenGap: 20 * time.Millisecond}
+	opts := fakeengine.Options{FirstTokenDelay: 50 * time.Millisecond, TokenInterval: 20 * time.Millisecond}
 	r.a, r.b = fakeengine.New(opts), fakeengine.New(opts)
 	r.logA = transcript.Engine{Engine: r.a, Log: &r.log, Name: "engine-a"}
 	r.logB = transcript.Engine{Engine: r.b, Log: &r.log, Name: "engine-b"}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -151,8 +151,8 @@
 	// Order is the last order accepted in this incarnation, or nil.
 	Order *OrderState `json:"order,omitempty"`
 	Load  Load        `json:"load"`
-	// Highest is the highest fencing number seen (zero when not kept).
-	Highest uint64 `json:"highest_fence"`
+	// HighestFence is the highest fencing number seen (zero when not kept).
+	HighestFence uint64 `json:"highest_fence"`
 }
 
 // OrderKind is what an order asks for.
--- a/engine/fakeengine/fakeengine.go
+++ b/engine/fakeengine/fakeengine.go
@@ -25,11 +25,11 @@
 	Loaded      []weightstore.Artifact
 	// CheckFence refuses orders with an old fencing number.
 	CheckFence bool
-	// FirstToken and TokenGap are the times before the first and each later token.
-	FirstToken time.Duration
-	TokenGap   time.Duration
-	// OrderTime is how long an order takes.
-	OrderTime time.Duration
+	// FirstTokenDelay and TokenInterval are the times before the first and each later token.
+	FirstTokenDelay time.Duration
+	TokenInterval   time.Duration
+	// OrderDuration is how long an order takes.
+	OrderDuration time.Duration
 }
 
 // Engine is the fake. It is safe for concurrent use. Lock order: mu is the only
@@ -217,14 +217,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return engine.State{
-		Incarnation: l.book.Incarnation,
-		Role:        e.role,
-		Loaded:      slices.Clone(e.loaded),
-		Streams:     len(e.streams),
-		Leaving:     e.leaving,
-		Order:       l.book.State(),
-		Load:        e.load,
-		Highest:     l.book.Highest(),
+		Incarnation:  l.book.Incarnation,
+		Role:         e.role,
+		Loaded:       slices.Clone(e.loaded),
+		Streams:      len(e.streams),
+		Leaving:      e.leaving,
+		Order:        l.book.State(),
+		Load:         e.load,
+		HighestFence: l.book.Highest(),
 	}, nil
 }
 
--- a/engine/fakeengine/fakeengine_test.go
+++ b/engine/fakeengine/fakeengine_test.go
@@ -18,10 +18,10 @@
 
 func options() Options {
 	return Options{
-		Incarnation: "one",
-		Role:        engine.Mixed,
-		TokenGap:    20 * time.Millisecond,
-		OrderTime:   6 * time.Second,
+		Incarnation:   "one",
+		Role:          engine.Mixed,
+		TokenInterval: 20 * time.Millisecond,
+		OrderDuration: 6 * time.Second,
 	}
 }
 
@@ -58,20 +58,20 @@
 		at   func(*Engine) // called once three tokens have come
 		want outcome
 	}{
-		{"whole", Behaviour{}, nil, outcome{Tokens: whole, Finish: engine.Stop, Record: AttemptRecord{Ran: true, Whole: true, Tokens: whole}}},
+		{"whole", Behaviour{}, nil, outcome{Tokens: whole, Finish: engine.Stop, Record: AttemptRecord{Ran: true, Completed: true, Tokens: whole}}},
 		{"refused", Behaviour{Refuse: failure.EndpointRefused}, nil, outcome{Reason: failure.EndpointRefused, Ran: failure.NotRun}},
-		{"broke before", Behaviour{BreakBefore: true}, nil, outcome{Reason: failure.EndpointBroke, Ran: failure.Unknown}},
-		{"truncated", Behaviour{Ending: Truncated, After: 2}, nil, outcome{Tokens: 2, Reason: failure.AnswerTruncated, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 2}}},
-		{"crossed", Behaviour{Ending: Crossed, After: 1}, nil, outcome{Tokens: 1, Reason: failure.AnswerMismatch, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 1}}},
-		{"given up", Behaviour{Ending: GivenUp}, nil, outcome{Finish: engine.Failed, Record: AttemptRecord{Ran: true}}},
-		{"silent", Behaviour{Ending: Silent}, nil, outcome{Reason: failure.DeadlinePassed, Ran: failure.Unknown, Record: AttemptRecord{Ran: true}}},
+		{"broke before", Behaviour{DisconnectBeforeRun: true}, nil, outcome{Reason: failure.EndpointBroke, Ran: failure.Unknown}},
+		{"truncated", Behaviour{Ending: Truncated, AfterTokens: 2}, nil, outcome{Tokens: 2, Reason: failure.AnswerTruncated, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 2}}},
+		{"crossed", Behaviour{Ending: OtherAttempt, AfterTokens: 1}, nil, outcome{Tokens: 1, Reason: failure.AnswerMismatch, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 1}}},
+		{"given up", Behaviour{Ending: Aborted}, nil, outcome{Finish: engine.Failed, Record: AttemptRecord{Ran: true}}},
+		{"silent", Behaviour{Ending: Stalled}, nil, outcome{Reason: failure.DeadlinePassed, Ran: failure.Unknown, Record: AttemptRecord{Ran: true}}},
 		{"crash", Behaviour{}, (*Engine).Crash, outcome{Tokens: 3, Reason: failure.AnswerTruncated, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 3}}},
 		{"freeze", Behaviour{}, (*Engine).Freeze, outcome{Tokens: 3, Reason: failure.DeadlinePassed, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 3}}},
 		{"cancel", Behaviour{}, func(e *Engine) { e.Cancel(context.Background(), "a1") }, outcome{Tokens: 3, Finish: engine.Cancelled, Record: AttemptRecord{Ran: true, Tokens: 3, Cancelled: true}}},
 		{"cut", Behaviour{}, func(e *Engine) {
 			o := engine.Order{ID: "o", Incarnation: "one", Kind: engine.ChangeRole, Role: engine.Decode}
 			e.Order(context.Background(), o, time.Now().Add(time.Second))
-		}, outcome{Tokens: 3, Reason: failure.AnswerTruncated, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 3, CutBy: "o"}}},
+		}, outcome{Tokens: 3, Reason: failure.AnswerTruncated, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 3, InterruptedBy: "o"}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,7 @@
 					got.Reason, got.Ran = f.Code, f.Ran
 				}
 				rec := e.Attempts()[0]
-				got.Record = AttemptRecord{Ran: rec.Ran, Whole: rec.Whole, Tokens: rec.Tokens, Cancelled: rec.Cancelled, CutBy: rec.CutBy}
+				got.Record = AttemptRecord{Ran: rec.Ran, Completed: rec.Completed, Tokens: rec.Tokens, Cancelled: rec.Cancelled, InterruptedBy: rec.InterruptedBy}
 				if diff := cmp.Diff(tc.want, got); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
 				}
@@ -171,11 +171,11 @@
 	}{
 		{"done", false, OrderBehaviour{}, nil, result{nil, engine.Prefill, []failure.Reason{ok}, 1}},
 		{"lost", false, OrderBehaviour{Lost: true}, nil, result{true, engine.Mixed, nil, 0}},
-		{"answer lost", false, OrderBehaviour{DropAnswer: true}, nil, result{true, engine.Prefill, []failure.Reason{ok}, 1}},
-		{"repeat", false, OrderBehaviour{DropAnswer: true}, &a, result{true, engine.Prefill, []failure.Reason{ok, ok}, 1}},
-		{"late, fence ignored", false, OrderBehaviour{Late: 30 * time.Second}, &b, result{true, engine.Prefill, []failure.Reason{ok, ok}, 2}},
-		{"late, fence checked", true, OrderBehaviour{Late: 30 * time.Second}, &b, result{true, engine.Decode, []failure.Reason{ok, failure.StaleFence}, 1}},
-		{"busy", false, OrderBehaviour{Late: 12 * time.Second}, &b, result{true, engine.Decode, []failure.Reason{ok, failure.EngineBusy}, 1}},
+		{"answer lost", false, OrderBehaviour{LoseResponse: true}, nil, result{true, engine.Prefill, []failure.Reason{ok}, 1}},
+		{"repeat", false, OrderBehaviour{LoseResponse: true}, &a, result{true, engine.Prefill, []failure.Reason{ok, ok}, 1}},
+		{"late, fence ignored", false, OrderBehaviour{Delay: 30 * time.Second}, &b, result{true, engine.Prefill, []failure.Reason{ok, ok}, 2}},
+		{"late, fence checked", true, OrderBehaviour{Delay: 30 * time.Second}, &b, result{true, engine.Decode, []failure.Reason{ok, failure.StaleFence}, 1}},
+		{"busy", false, OrderBehaviour{Delay: 12 * time.Second}, &b, result{true, engine.Decode, []failure.Reason{ok, failure.EngineBusy}, 1}},
 		{"fails", false, OrderBehaviour{Fail: true}, nil, result{nil, engine.Mixed, []failure.Reason{ok}, 1}},
 		{"another after a failed one", false, OrderBehaviour{Fail: true}, &b, result{nil, engine.Decode, []failure.Reason{ok, ok}, 2}},
 		{"crash before", false, OrderBehaviour{Crash: enginemodel.CrashBeforeAccept}, nil, result{true, engine.Mixed, nil, 0}},
@@ -220,7 +220,7 @@
 				got.Role = state.Role
 				for _, r := range e.Orders() {
 					got.Arrived = append(got.Arrived, r.Refused)
-					if r.Began {
+					if r.Started {
 						got.Began++
 					}
 				}
--- a/engine/fakeengine/orders.go
+++ b/engine/fakeengine/orders.go
@@ -15,10 +15,10 @@
 type OrderBehaviour struct {
 	// Lost never arrives, and the sender can't tell.
 	Lost bool
-	// Late arrives after this time, also when the sender has given up or died.
-	Late time.Duration
-	// DropAnswer loses the engine's answer.
-	DropAnswer bool
+	// Delay arrives after this time, also when the sender has given up or died.
+	Delay time.Duration
+	// LoseResponse loses the engine's answer.
+	LoseResponse bool
 	// Fail lets the order run its time and fail.
 	Fail bool
 	// Crash ends the incarnation at a point.
@@ -29,13 +29,13 @@
 type OrderRecord struct {
 	Order       engine.Order
 	Incarnation string
-	At          time.Time
+	ReceivedAt  time.Time
 	// Refused is the reason of a refusal, or empty.
 	Refused failure.Reason
-	// Began is set when the order began to change the engine; a repeat of the
-	// last order does not. Done is when it had, or zero.
-	Began bool
-	Done  time.Time
+	// Started is set when the order began to change the engine; a repeat of the
+	// last order does not. DoneAt is when it had, or zero.
+	Started bool
+	DoneAt  time.Time
 }
 
 // Orders returns all orders that arrived, in order of arrival.
@@ -88,7 +88,7 @@
 
 // deliver carries an order to the engine and waits out a freeze there.
 func (e *Engine) deliver(o engine.Order, b OrderBehaviour) reply {
-	time.Sleep(b.Late)
+	time.Sleep(b.Delay)
 	l, err := e.enter(context.Background())
 	if err != nil {
 		return reply{lost: true}
@@ -99,14 +99,14 @@
 		e.crashLife(l)
 		return reply{lost: true}
 	}
-	rec := &OrderRecord{Order: o, Incarnation: l.book.Incarnation, At: time.Now()}
+	rec := &OrderRecord{Order: o, Incarnation: l.book.Incarnation, ReceivedAt: time.Now()}
 	e.orders = append(e.orders, rec)
-	rec.Began, err = l.book.Accept(o)
+	rec.Started, err = l.book.Accept(o)
 	if err != nil {
 		rec.Refused = failure.ReasonOf(err)
-		return reply{err: err, lost: b.DropAnswer}
+		return reply{err: err, lost: b.LoseResponse}
 	}
-	if rec.Began {
+	if rec.Started {
 		e.cutStreams(o)
 		go e.carryOut(l, rec, b)
 	}
@@ -114,7 +114,7 @@
 		e.crashLife(l)
 		return reply{lost: true}
 	}
-	return reply{state: *l.book.State(), lost: b.DropAnswer}
+	return reply{state: *l.book.State(), lost: b.LoseResponse}
 }
 
 // cuts tells whether an order breaks off all streams, as a change of role or of
@@ -129,22 +129,22 @@
 		return
 	}
 	for _, s := range e.streams {
-		s.rec.CutBy = o.ID
+		s.rec.InterruptedBy = o.ID
 		close(s.cut)
 	}
 	clear(e.streams)
 }
 
-// carryOut changes the engine after OrderTime, unless the incarnation ends.
+// carryOut changes the engine after OrderDuration, unless the incarnation ends.
 func (e *Engine) carryOut(l *life, rec *OrderRecord, b OrderBehaviour) {
-	if !l.lives(e.opts.OrderTime / 2) {
+	if !l.lives(e.opts.OrderDuration / 2) {
 		return
 	}
 	if b.Crash == enginemodel.CrashMidway {
 		e.set(func() { e.crashLife(l) })
 		return
 	}
-	if !l.lives(e.opts.OrderTime - e.opts.OrderTime/2) {
+	if !l.lives(e.opts.OrderDuration - e.opts.OrderDuration/2) {
 		return
 	}
 	e.mu.Lock()
@@ -157,7 +157,7 @@
 		return
 	}
 	e.change(rec.Order)
-	rec.Done = time.Now()
+	rec.DoneAt = time.Now()
 	if b.Crash == enginemodel.CrashAtEnd {
 		e.crashLife(l)
 		return
--- a/engine/fakeengine/stream.go
+++ b/engine/fakeengine/stream.go
@@ -17,43 +17,43 @@
 
 // The endings.
 const (
-	// Whole is a stream with its terminal frame.
-	Whole Ending = ""
+	// Complete is a stream with its terminal frame.
+	Complete Ending = ""
 	// Truncated breaks off.
 	Truncated Ending = "truncated"
-	// Silent sends nothing more, and never ends by itself.
-	Silent Ending = "silent"
-	// Crossed goes on with a frame of another attempt.
-	Crossed Ending = "crossed"
-	// GivenUp has a terminal frame with engine.Failed.
-	GivenUp Ending = "given-up"
+	// Stalled sends nothing more, and never ends by itself.
+	Stalled Ending = "silent"
+	// OtherAttempt goes on with a frame of another attempt.
+	OtherAttempt Ending = "crossed"
+	// Aborted has a terminal frame with engine.Failed.
+	Aborted Ending = "given-up"
 )
 
 // Behaviour is what happens to one attempt.
 type Behaviour struct {
 	// Refuse makes the engine refuse with this reason before it starts.
 	Refuse failure.Reason
-	// BreakBefore breaks the connection after sending; the attempt does not run.
-	BreakBefore bool
+	// DisconnectBeforeRun breaks the connection after sending; the attempt does not run.
+	DisconnectBeforeRun bool
 	// Ending happens after so many tokens of this attempt.
-	Ending Ending
-	After  int
+	Ending      Ending
+	AfterTokens int
 }
 
 // AttemptRecord is one attempt that reached the fake.
 type AttemptRecord struct {
 	Request     engine.GenerateRequest
 	Incarnation string
-	At          time.Time
-	// Ran is set once the engine has started on it, Whole once it was finished.
-	Ran   bool
-	Whole bool
+	ReceivedAt  time.Time
+	// Ran is set once the engine has started on it, Completed once it was finished.
+	Ran       bool
+	Completed bool
 	// Tokens is the number computed by this attempt.
 	Tokens int
 	// Cancelled is set when the caller ended it early.
 	Cancelled bool
-	// CutBy is the order that broke it off, or empty.
-	CutBy string
+	// InterruptedBy is the order that broke it off, or empty.
+	InterruptedBy string
 }
 
 // Attempts returns all attempts that reached the fake, in order.
@@ -79,7 +79,7 @@
 	if e.script != nil {
 		b = e.script(req)
 	}
-	rec := &AttemptRecord{Request: req, Incarnation: l.book.Incarnation, At: time.Now()}
+	rec := &AttemptRecord{Request: req, Incarnation: l.book.Incarnation, ReceivedAt: time.Now()}
 	e.attempts = append(e.attempts, rec)
 	state := l.book.State()
 	away := state != nil && state.Phase == engine.OrderRunning && cuts(*l.book.Current())
@@ -89,7 +89,7 @@
 	switch {
 	case b.Refuse != "":
 		return nil, failed(b.Refuse, failure.NotRun)
-	case b.BreakBefore:
+	case b.DisconnectBeforeRun:
 		return nil, failed(failure.EndpointBroke, failure.Unknown)
 	}
 	rec.Ran = true
@@ -177,7 +177,7 @@
 
 func (s *stream) next(ctx context.Context) (engine.Frame, error) {
 	position := s.rec.Request.ResumeFrom + s.sent
-	ends := s.b.Ending != Whole && s.sent >= s.b.After
+	ends := s.b.Ending != Complete && s.sent >= s.b.AfterTokens
 	if ends {
 		return s.ending(ctx)
 	}
@@ -198,13 +198,13 @@
 
 func (s *stream) pause() time.Duration {
 	if s.sent == 0 {
-		return s.engine.opts.FirstToken
+		return s.engine.opts.FirstTokenDelay
 	}
-	return s.engine.opts.TokenGap
+	return s.engine.opts.TokenInterval
 }
 
 func (s *stream) terminal(position int) engine.Frame {
-	s.engine.set(func() { s.rec.Whole = true })
+	s.engine.set(func() { s.rec.Completed = true })
 	f := engine.Frame{Attempt: s.rec.Request.Attempt, Position: position, Finish: engine.Length}
 	switch {
 	case s.rec.Request.PrefillOnly:
@@ -228,11 +228,11 @@
 
 func (s *stream) ending(ctx context.Context) (engine.Frame, error) {
 	switch s.b.Ending {
-	case Crossed:
+	case OtherAttempt:
 		return engine.Frame{}, failed(failure.AnswerMismatch, failure.Unknown)
-	case GivenUp:
+	case Aborted:
 		return engine.Frame{Attempt: s.rec.Request.Attempt, Finish: engine.Failed, Error: "given up"}, nil
-	case Silent:
+	case Stalled:
 		return engine.Frame{}, s.until(ctx, nil, nil)
 	default:
 		return engine.Frame{}, failed(failure.AnswerTruncated, failure.Unknown)
@@ -288,7 +288,7 @@
 func (s *stream) end() {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	if s.rec.Whole || s.rec.Cancelled {
+	if s.rec.Completed || s.rec.Cancelled {
 		return
 	}
 	s.rec.Cancelled = true
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -133,7 +133,7 @@
 	}
 	switch r.Reason {
 	case failure.StaleFence:
-		return &StaleFenceError{Sent: o.Fence, Highest: r.Highest}
+		return &StaleFenceError{Sent: o.Fence, Highest: r.HighestFence}
 	case failure.WrongIncarnation:
 		return &IncarnationError{Want: o.Incarnation, Have: r.Have}
 	case failure.EngineBusy:
@@ -153,7 +153,7 @@
 	var busy *BusyError
 	switch {
 	case errors.As(err, &stale):
-		r.Highest = stale.Highest
+		r.HighestFence = stale.Highest
 	case errors.As(err, &other):
 		r.Have = other.Have
 	case errors.As(err, &busy):
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -42,7 +42,7 @@
 func newStream(ctx context.Context, cancel context.CancelCauseFunc, resp *httponce.Response, req GenerateRequest, o Options) *stream {
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, min(scanBuffer, o.MaxFrame)), o.MaxFrame)
-	silent := func() { cancel(&SilentError{Timeout: o.IdleTimeout.String()}) }
+	silent := func() { cancel(&IdleTimeoutError{Timeout: o.IdleTimeout.String()}) }
 	timer := time.AfterFunc(o.IdleTimeout, silent)
 	timer.Stop()
 	return &stream{
@@ -94,7 +94,7 @@
 
 // broken tells why no further frame came.
 func (s *stream) broken(ctx context.Context) error {
-	var silent *SilentError
+	var silent *IdleTimeoutError
 	err := s.lines.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -41,11 +41,11 @@
 	NotRun bool `json:"not_run"`
 	// RetryAfterMillis says when coming back makes sense; zero means never.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
-	// Highest goes with reason StaleFence, Have with WrongIncarnation and
+	// HighestFence goes with reason StaleFence, Have with WrongIncarnation and
 	// Running with EngineBusy.
-	Highest uint64 `json:"highest_fence,omitempty"`
-	Have    string `json:"have,omitempty"`
-	Running string `json:"running,omitempty"`
+	HighestFence uint64 `json:"highest_fence,omitempty"`
+	Have         string `json:"have,omitempty"`
+	Running      string `json:"running,omitempty"`
 }
 
 // RefusedError is a call that the engine refused for a reason with no type of
@@ -88,11 +88,11 @@
 // Reason implements failure.Coded.
 func (e *FrameError) Reason() failure.Reason { return e.Code }
 
-// SilentError is a stream on which nothing came for the idle timeout.
-type SilentError struct{ Timeout string }
+// IdleTimeoutError is a stream on which nothing came for the idle timeout.
+type IdleTimeoutError struct{ Timeout string }
 
 // Error implements error.
-func (e *SilentError) Error() string { return "engine silent for " + e.Timeout }
+func (e *IdleTimeoutError) Error() string { return "engine silent for " + e.Timeout }
 
 // Reason implements failure.Coded.
-func (e *SilentError) Reason() failure.Reason { return failure.EndpointBroke }
+func (e *IdleTimeoutError) Reason() failure.Reason { return failure.EndpointBroke }
--- a/forward/call.go
+++ b/forward/call.go
@@ -260,7 +260,7 @@
 	return &Response{Status: resp.Status, Header: resp.Header, Body: body, leaving: resp.Leaving}, nil
 }
 
-func send(ctx context.Context, w *Work, target Target, call service.Call) (*service.Answer, error) {
+func send(ctx context.Context, w *Work, target Target, call service.Call) (*service.Response, error) {
 	if target.Peer != nil {
 		return target.Peer.Do(ctx, w, call)
 	}
@@ -269,7 +269,7 @@
 
 // readResponse reads the complete body before anything is returned, so that a caller never gets a
 // partial response.
-func (f *Forwarder) readResponse(resp *service.Answer) ([]byte, *failure.Request) {
+func (f *Forwarder) readResponse(resp *service.Response) ([]byte, *failure.Request) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, f.cfg.MaxResponseBytes+1))
 	if err != nil {
 		return nil, bodyFailure(err)
--- a/forward/call_test.go
+++ b/forward/call_test.go
@@ -74,19 +74,19 @@
 		want       result
 	}{
 		{"whole", "", false, behaviour{}, result{Body: "ok", RanA: 1, CallsA: 1}},
-		{"repeatable, crash after run", "", true, behaviour{BreakAfter: true}, result{Body: "ok", RanA: 1, RanB: 1, CallsA: 1, CallsB: 1}},
+		{"repeatable, crash after run", "", true, behaviour{DisconnectAfterRun: true}, result{Body: "ok", RanA: 1, RanB: 1, CallsA: 1, CallsB: 1}},
 		{"repeatable, refused", "", true, behaviour{Refuse: true}, result{Body: "ok", RanB: 1, CallsA: 1, CallsB: 1}},
-		{"key, crash after run", "k", false, behaviour{BreakAfter: true}, result{Failure: crashed, RanA: 1, CallsA: 1}},
-		{"key, crash before run", "k", false, behaviour{BreakBefore: true}, result{Failure: crashed, CallsA: 1}},
+		{"key, crash after run", "k", false, behaviour{DisconnectAfterRun: true}, result{Failure: crashed, RanA: 1, CallsA: 1}},
+		{"key, crash before run", "k", false, behaviour{DisconnectBeforeRun: true}, result{Failure: crashed, CallsA: 1}},
 		{"key, refused", "k", false, behaviour{Refuse: true}, result{Body: "ok", RanB: 1, CallsA: 1, CallsB: 1}},
 		{"key, unreachable", "k", false, behaviour{Unreachable: true}, result{Body: "ok", RanB: 1, CallsB: 1}},
-		{"key, crossed answer", "k", false, behaviour{AnswerAs: "r0.1"},
+		{"key, crossed answer", "k", false, behaviour{ResponseAttempt: "r0.1"},
 			result{Failure: errorKind{failure.AnswerMismatch, failure.Unknown}, RanA: 1, CallsA: 1}},
 		{"no key, refused", "", false, behaviour{Refuse: true}, result{Failure: refused, CallsA: 1}},
 		{"no key, unreachable", "", false, behaviour{Unreachable: true},
 			result{Failure: errorKind{failure.EndpointUnreachable, failure.NotRun}}},
-		{"no key, crash after run", "", false, behaviour{BreakAfter: true}, result{Failure: crashed, RanA: 1, CallsA: 1}},
-		{"no key, answer too late", "", false, behaviour{AnswerDelay: time.Minute},
+		{"no key, crash after run", "", false, behaviour{DisconnectAfterRun: true}, result{Failure: crashed, RanA: 1, CallsA: 1}},
+		{"no key, answer too late", "", false, behaviour{ResponseDelay: time.Minute},
 			result{Failure: errorKind{failure.DeadlinePassed, failure.Unknown}, RanA: 1, CallsA: 1}},
 	}
 	for _, tt := range tests {
@@ -115,7 +115,7 @@
 func TestLateResponseIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, _, router := twoServices()
-		a.Script(behave(fakeservice.Behaviour{AnswerDelay: 25 * time.Second}))
+		a.Script(behave(fakeservice.Behaviour{ResponseDelay: 25 * time.Second}))
 		claims := claim.NewStore(claim.Config{Table: memtable.New()})
 		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 		start := time.Now()
@@ -158,8 +158,8 @@
 	}{
 		{"nothing was sent", behaviour{Unreachable: true}, result{notRun(failure.EndpointUnreachable), errorKind{}, 1}},
 		{"refused before the start", behaviour{Refuse: true}, result{notRun(failure.EndpointRefused), errorKind{}, 1}},
-		{"crash before the run", behaviour{BreakBefore: true}, result{unknown(failure.EndpointBroke), claimUnknown, 0}},
-		{"crash after the run", behaviour{BreakAfter: true}, result{unknown(failure.EndpointBroke), claimUnknown, 1}},
+		{"crash before the run", behaviour{DisconnectBeforeRun: true}, result{unknown(failure.EndpointBroke), claimUnknown, 0}},
+		{"crash after the run", behaviour{DisconnectAfterRun: true}, result{unknown(failure.EndpointBroke), claimUnknown, 1}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -207,7 +207,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a, _, router := twoServices()
-				a.Script(behave(fakeservice.Behaviour{AnswerDelay: tt.responseDelay}))
+				a.Script(behave(fakeservice.Behaviour{ResponseDelay: tt.responseDelay}))
 				claims := claim.NewStore(claim.Config{Table: memtable.New()})
 				f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims})
 				ctx, disconnect := context.WithCancel(t.Context())
@@ -234,7 +234,7 @@
 // mismatching labels every response with the ID of another attempt.
 type mismatching struct{ service.Endpoint }
 
-func (c mismatching) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+func (c mismatching) Do(ctx context.Context, call service.Call) (*service.Response, error) {
 	resp, err := c.Endpoint.Do(ctx, call)
 	if err == nil {
 		resp.Attempt = "another-request.1"
@@ -265,7 +265,7 @@
 	runs   int
 }
 
-func (p *claimingPeer) Do(ctx context.Context, w *forward.Work, call service.Call) (*service.Answer, error) {
+func (p *claimingPeer) Do(ctx context.Context, w *forward.Work, call service.Call) (*service.Response, error) {
 	key := claim.Key{Organisation: w.Organisation, Service: w.Service, IdempotencyKey: w.IdempotencyKey}
 	claimed, _, err := p.claims.Begin(ctx, key, claim.DigestOf(call.Method, call.Path, call.Body))
 	if err != nil {
@@ -273,7 +273,7 @@
 	}
 	p.runs++
 	claimed.Finish(ctx, claim.Response{Status: http.StatusOK, Body: []byte("ok")})
-	return &service.Answer{Attempt: call.Attempt, Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("ok"))}, nil
+	return &service.Response{Attempt: call.Attempt, Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("ok"))}, nil
 }
 
 // TestClaimIsReleasedForOtherZone: a claimed call that the local zone's endpoint refused as not run
--- a/forward/generate_test.go
+++ b/forward/generate_test.go
@@ -47,23 +47,23 @@
 		{name: "whole", tokens: 12, onA: []attemptSeen{{"r1.1", 0, 0}}},
 		{name: "refused, then whole elsewhere", a: script{Refuse: failure.EndpointRefused}, tokens: 12,
 			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 0, 0}}},
-		{name: "truncated, resumed elsewhere", a: script{Ending: fakeengine.Truncated, After: 5}, tokens: 12,
+		{name: "truncated, resumed elsewhere", a: script{Ending: fakeengine.Truncated, AfterTokens: 5}, tokens: 12,
 			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 5, textLen(5)}}},
-		{name: "crossed, resumed elsewhere", a: script{Ending: fakeengine.Crossed, After: 3}, tokens: 12,
+		{name: "crossed, resumed elsewhere", a: script{Ending: fakeengine.OtherAttempt, AfterTokens: 3}, tokens: 12,
 			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 3, textLen(3)}}},
-		{name: "given up by the engine, resumed elsewhere", a: script{Ending: fakeengine.GivenUp, After: 3}, tokens: 12,
+		{name: "given up by the engine, resumed elsewhere", a: script{Ending: fakeengine.Aborted, AfterTokens: 3}, tokens: 12,
 			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 3, textLen(3)}}},
-		{name: "silent, resumed elsewhere", a: script{Ending: fakeengine.Silent, After: 4}, tokens: 12,
+		{name: "silent, resumed elsewhere", a: script{Ending: fakeengine.Stalled, AfterTokens: 4}, tokens: 12,
 			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 4, textLen(4)}}},
 		{name: "frozen, answered elsewhere", setup: func(a, _ *fakeengine.Engine) { a.Freeze() }, tokens: 12,
 			onB: []attemptSeen{{"r1.2", 0, 0}}},
-		{name: "terminal frame lost at the token limit", a: script{Ending: fakeengine.Truncated, After: 12}, tokens: 12,
+		{name: "terminal frame lost at the token limit", a: script{Ending: fakeengine.Truncated, AfterTokens: 12}, tokens: 12,
 			onA: []attemptSeen{{"r1.1", 0, 0}}},
 		{name: "both refuse", a: script{Refuse: failure.EndpointRefused}, b: script{Refuse: failure.EndpointRefused},
 			want: errorKind{failure.EndpointRefused, failure.NotRun}, onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 0, 0}}},
-		{name: "one may have run, the other refuses", a: script{BreakBefore: true}, b: script{Refuse: failure.EndpointRefused},
+		{name: "one may have run, the other refuses", a: script{DisconnectBeforeRun: true}, b: script{Refuse: failure.EndpointRefused},
 			want: errorKind{failure.EndpointRefused, failure.Unknown}, onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 0, 0}}},
-		{name: "both truncated", a: script{Ending: fakeengine.Truncated, After: 2}, b: script{Ending: fakeengine.Truncated, After: 2},
+		{name: "both truncated", a: script{Ending: fakeengine.Truncated, AfterTokens: 2}, b: script{Ending: fakeengine.Truncated, AfterTokens: 2},
 			tokens: 4, want: errorKind{failure.AnswerTruncated, failure.Unknown},
 			onA: []attemptSeen{{"r1.1", 0, 0}}, onB: []attemptSeen{{"r1.2", 2, textLen(2)}}},
 		{name: "both unreachable", setup: func(a, b *fakeengine.Engine) { a.SetUnreachable(true); b.SetUnreachable(true) },
@@ -108,7 +108,7 @@
 func TestResumeKeepsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, router := twoEngines()
-		a.Script(behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Truncated, After: 5}))
+		a.Script(behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Truncated, AfterTokens: 5}))
 		router.Versions = map[string]string{"a": "v1", "b": "v2"}
 		f := forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}})
 		if _, err := f.Generate(t.Context(), testWork(), new(fakeforward.Sink)); err != nil {
@@ -180,7 +180,7 @@
 			want: errorKind{failure.DeadlinePassed, failure.Unknown}, elapsed: 2 * time.Second, cancelled: true},
 		{name: "deadline in a stream", admitter: fakeforward.AdmitAll{},
 			setup: func(a *fakeengine.Engine) {
-				a.Script(behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Silent, After: 3}))
+				a.Script(behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Stalled, AfterTokens: 3}))
 			},
 			want: errorKind{failure.DeadlinePassed, failure.Unknown}, elapsed: 2 * time.Second, cancelled: true},
 		{name: "caller gone", admitter: fakeforward.AdmitAll{}, sink: fakeforward.Sink{BeforeEmit: disconnectAtThird},
--- a/forward/helpers_test.go
+++ b/forward/helpers_test.go
@@ -20,7 +20,7 @@
 
 // twoEngines returns fakes that emit a token every 20 ms, and a router to them.
 func twoEngines() (a, b *fakeengine.Engine, router fakeforward.Router) {
-	opts := fakeengine.Options{FirstToken: 50 * time.Millisecond, TokenGap: 20 * time.Millisecond}
+	opts := fakeengine.Options{FirstTokenDelay: 50 * time.Millisecond, TokenInterval: 20 * time.Millisecond}
 	opts.Incarnation = "a1"
 	a = fakeengine.New(opts)
 	opts.Incarnation = "b1"
--- a/forward/history_test.go
+++ b/forward/history_test.go
@@ -107,13 +107,13 @@
 		case 1, 2, 3:
 			b.Refuse = true
 		case 4:
-			b.BreakBefore = true
+			b.DisconnectBeforeRun = true
 		case 5, 6:
-			b.BreakAfter = true
+			b.DisconnectAfterRun = true
 		case 7:
 			b.Delay = dice.Millis(5000)
 		case 8:
-			b.AnswerAs = "somebody-else"
+			b.ResponseAttempt = "somebody-else"
 		}
 		return b
 	}
@@ -125,7 +125,7 @@
 type alwaysNotRun struct{ service.Endpoint }
 
 // Do implements service.Endpoint.
-func (h alwaysNotRun) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+func (h alwaysNotRun) Do(ctx context.Context, call service.Call) (*service.Response, error) {
 	resp, err := h.Endpoint.Do(ctx, call)
 	if err == nil {
 		return resp, nil
@@ -137,11 +137,11 @@
 type swapping struct {
 	service.Endpoint
 	mu   sync.Mutex
-	last *service.Answer
+	last *service.Response
 }
 
 // Do implements service.Endpoint.
-func (c *swapping) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+func (c *swapping) Do(ctx context.Context, call service.Call) (*service.Response, error) {
 	resp, err := c.Endpoint.Do(ctx, call)
 	if err != nil {
 		return nil, err
--- a/forward/kvtransfer_test.go
+++ b/forward/kvtransfer_test.go
@@ -38,7 +38,7 @@
 	}
 	breakImport := func(r engine.GenerateRequest) fakeengine.Behaviour {
 		if r.KV != nil {
-			return fakeengine.Behaviour{Ending: fakeengine.Truncated, After: 4}
+			return fakeengine.Behaviour{Ending: fakeengine.Truncated, AfterTokens: 4}
 		}
 		return fakeengine.Behaviour{}
 	}
@@ -52,7 +52,7 @@
 		{name: "imported", imports: []bool{true}},
 		{name: "prefill refused", prefill: behaveAlways(fakeengine.Behaviour{Refuse: failure.EndpointRefused}), imports: []bool{false}},
 		{name: "prefill crashed", prefill: behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Truncated}), imports: []bool{false}},
-		{name: "prefill crossed", prefill: behaveAlways(fakeengine.Behaviour{Ending: fakeengine.Crossed}), imports: []bool{false}},
+		{name: "prefill crossed", prefill: behaveAlways(fakeengine.Behaviour{Ending: fakeengine.OtherAttempt}), imports: []bool{false}},
 		{name: "prefill frozen", frozen: true, imports: []bool{false}},
 		{name: "import refused", serve: refuseImport, imports: []bool{true, false}},
 		{name: "serving engine breaks after the import", serve: breakImport, imports: []bool{true, false}},
--- a/forward/peer.go
+++ b/forward/peer.go
@@ -79,13 +79,13 @@
 }
 
 // Do implements Peer.
-func (p *PeerTarget) Do(ctx context.Context, w *Work, call service.Call) (*service.Answer, error) {
+func (p *PeerTarget) Do(ctx context.Context, w *Work, call service.Call) (*service.Response, error) {
 	path := wire.PathServices + w.Service + call.Path
 	resp, err := p.send(ctx, w, call.Attempt, call.Method, path, call.Header.Clone(), call.Body)
 	if err != nil {
 		return nil, err
 	}
-	return &service.Answer{
+	return &service.Response{
 		Attempt: resp.Header.Get(wire.HeaderAttempt),
 		Status:  resp.StatusCode,
 		Header:  resp.Header,
--- a/forward/work.go
+++ b/forward/work.go
@@ -70,7 +70,7 @@
 // *failure.Request.
 type Peer interface {
 	Generate(ctx context.Context, w *Work, req engine.GenerateRequest) (engine.Stream, error)
-	Do(ctx context.Context, w *Work, call service.Call) (*service.Answer, error)
+	Do(ctx context.Context, w *Work, call service.Call) (*service.Response, error)
 }
 
 // Target is a destination of an attempt. Exactly one of Engine, Service and Peer is set.
--- a/internal/transcript/wrap.go
+++ b/internal/transcript/wrap.go
@@ -64,7 +64,7 @@
 }
 
 // Do implements service.Endpoint.
-func (s *Service) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+func (s *Service) Do(ctx context.Context, call service.Call) (*service.Response, error) {
 	s.Log.Add(Entry, Endpoint, "%s: %s %s attempt=%s\n%s", s.Name, call.Method, call.Path, call.Attempt, call.Body)
 	answer, err := s.Endpoint.Do(ctx, call)
 	if err != nil {
--- a/object/memobject/memobject.go
+++ b/object/memobject/memobject.go
@@ -24,12 +24,12 @@
 
 // Fault is what to do to every call. The zero value does nothing.
 type Fault struct {
-	// Slow is how long a call waits before anything else happens.
-	Slow time.Duration
+	// Delay is how long a call waits before anything else happens.
+	Delay time.Duration
 	// Down fails calls before they have any effect.
 	Down bool
-	// LoseAnswer lets a Put take effect and fails it all the same.
-	LoseAnswer bool
+	// LoseResponse lets a Put take effect and fails it all the same.
+	LoseResponse bool
 }
 
 // Counts are the calls since the start, failed ones included.
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	s.objects[name] = bytes.Clone(data)
 	s.mu.Unlock()
-	if f.LoseAnswer {
+	if f.LoseResponse {
 		return &object.UnavailableError{Cause: FaultError{}}
 	}
 	return nil
@@ -121,8 +121,8 @@
 
 // hit waits and fails as f says.
 func (f Fault) hit(ctx context.Context) error {
-	if f.Slow > 0 {
-		loop.Sleep(ctx, f.Slow)
+	if f.Delay > 0 {
+		loop.Sleep(ctx, f.Delay)
 	}
 	if ctx.Err() != nil {
 		return &object.UnavailableError{Cause: context.Cause(ctx)}
--- a/order/guards_test.go
+++ b/order/guards_test.go
@@ -54,7 +54,7 @@
 		if sent.Add(1) < DefaultMaxSends {
 			return fakeengine.OrderBehaviour{Lost: true}
 		}
-		return fakeengine.OrderBehaviour{Late: DefaultSendTimeout + DefaultMaxTransit - time.Second/2}
+		return fakeengine.OrderBehaviour{Delay: DefaultSendTimeout + DefaultMaxTransit - time.Second/2}
 	})
 	w.start("vm1", "vm1-1")
 	w.waitFor("a change is accepted", time.Minute, func() bool { return w.submit(ignoredEngine, engine.Decode) })
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -74,7 +74,7 @@
 func TestProgress(t *testing.T) {
 	o := engine.Order{ID: "x", Fence: 5, Incarnation: "one"}
 	state := func(id string, phase engine.OrderPhase, fence, highest uint64) engine.State {
-		st := engine.State{Incarnation: "one", Highest: highest}
+		st := engine.State{Incarnation: "one", HighestFence: highest}
 		if id != "" {
 			st.Order = &engine.OrderState{ID: id, Phase: phase, Fence: fence}
 		}
--- a/order/progress.go
+++ b/order/progress.go
@@ -54,7 +54,7 @@
 	if fencing != Checked {
 		return false
 	}
-	if st.Incarnation != o.Incarnation || st.Highest >= o.Fence {
+	if st.Incarnation != o.Incarnation || st.HighestFence >= o.Fence {
 		return true
 	}
 	return st.Order != nil && st.Order.ID == o.ID && st.Order.Fence >= o.Fence
--- a/order/random_test.go
+++ b/order/random_test.go
@@ -116,9 +116,9 @@
 	case 0:
 		return fakeengine.OrderBehaviour{Lost: true}
 	case 1, 2:
-		return fakeengine.OrderBehaviour{Late: time.Duration(r.random(3500)) * time.Millisecond}
+		return fakeengine.OrderBehaviour{Delay: time.Duration(r.random(3500)) * time.Millisecond}
 	case 3:
-		return fakeengine.OrderBehaviour{DropAnswer: true}
+		return fakeengine.OrderBehaviour{LoseResponse: true}
 	case 4:
 		return fakeengine.OrderBehaviour{Crash: enginemodel.CrashMidway}
 	}
--- a/order/testbed_test.go
+++ b/order/testbed_test.go
@@ -53,11 +53,11 @@
 	}
 	for name, fencing := range w.fencing {
 		w.engines[name] = fakeengine.New(fakeengine.Options{
-			Incarnation: name,
-			Role:        engine.Mixed,
-			CheckFence:  fencing == Checked,
-			TokenGap:    50 * time.Millisecond,
-			OrderTime:   5 * time.Second,
+			Incarnation:   name,
+			Role:          engine.Mixed,
+			CheckFence:    fencing == Checked,
+			TokenInterval: 50 * time.Millisecond,
+			OrderDuration: 5 * time.Second,
 		})
 	}
 	t.Cleanup(w.close)
@@ -263,17 +263,17 @@
 	executed := map[string]bool{}
 	for name, e := range w.engines {
 		for _, o := range e.Orders() {
-			if !o.Began {
+			if !o.Started {
 				continue
 			}
 			executed[o.Order.ID] = true
-			if !w.table.openAt(name, o.Order.ID, o.At) {
-				found = append(found, fmt.Sprintf("order %s took effect on %s at %v while its journal row was not open", o.Order.ID, name, o.At))
+			if !w.table.openAt(name, o.Order.ID, o.ReceivedAt) {
+				found = append(found, fmt.Sprintf("order %s took effect on %s at %v while its journal row was not open", o.Order.ID, name, o.ReceivedAt))
 			}
 		}
 		for _, a := range e.Attempts() {
-			if a.CutBy != "" {
-				found = append(found, fmt.Sprintf("order %s cut a stream on %s", a.CutBy, name))
+			if a.InterruptedBy != "" {
+				found = append(found, fmt.Sprintf("order %s cut a stream on %s", a.InterruptedBy, name))
 			}
 		}
 	}
--- a/service/client.go
+++ b/service/client.go
@@ -93,7 +93,7 @@
 func (c *Client) Close() { c.kept.CloseIdleConnections() }
 
 // Do implements Endpoint.
-func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	req, err := c.request(ctx, call)
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 		resp.Abort()
 		return nil, err
 	}
-	return &Answer{
+	return &Response{
 		Attempt: resp.Header.Get(AttemptHeader),
 		Status:  resp.StatusCode,
 		Header:  resp.Header,
@@ -167,7 +167,7 @@
 func check(resp *http.Response, call Call) error {
 	echoed := resp.Header.Get(AttemptHeader)
 	if echoed != "" && echoed != call.Attempt {
-		cause := &AnswerError{Code: failure.AnswerMismatch, Detail: fmt.Sprintf("attempt %q", echoed)}
+		cause := &ResponseError{Code: failure.AnswerMismatch, Detail: fmt.Sprintf("attempt %q", echoed)}
 		return failed(failure.AnswerMismatch, failure.Unknown, "answer belongs to another attempt", cause)
 	}
 	if resp.Header.Get(NotRunHeader) == headerTrue && echoed != "" {
@@ -179,7 +179,7 @@
 		return f
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		cause := &AnswerError{Code: failure.AnswerTruncated, Detail: "neither length nor chunks"}
+		cause := &ResponseError{Code: failure.AnswerTruncated, Detail: "neither length nor chunks"}
 		return failed(failure.AnswerTruncated, failure.Unknown, "answer cannot be proved whole", cause)
 	}
 	removeHopHeaders(resp.Header)
@@ -215,17 +215,17 @@
 // Reason implements failure.Coded.
 func (*LeavingError) Reason() failure.Reason { return failure.EndpointLeaving }
 
-// AnswerError is an answer that cannot be passed on.
-type AnswerError struct {
+// ResponseError is an answer that cannot be passed on.
+type ResponseError struct {
 	Code   failure.Reason
 	Detail string
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return "answer has " + e.Detail }
+func (e *ResponseError) Error() string { return "answer has " + e.Detail }
 
 // Reason implements failure.Coded.
-func (e *AnswerError) Reason() failure.Reason { return e.Code }
+func (e *ResponseError) Reason() failure.Reason { return e.Code }
 
 func sendFailure(ctx context.Context, err error) error {
 	var e *httponce.Error
--- a/service/fakeservice/fakeservice.go
+++ b/service/fakeservice/fakeservice.go
@@ -21,17 +21,17 @@
 	Unreachable bool
 	// Refuse fails it by the endpoint's word that it did not run.
 	Refuse bool
-	// BreakBefore breaks the connection after sending and before the run.
-	BreakBefore bool
+	// DisconnectBeforeRun breaks the connection after sending and before the run.
+	DisconnectBeforeRun bool
 	// Delay passes before the run. A caller who leaves meanwhile learns
 	// nothing, and the call runs all the same: the endpoint does not see it.
 	Delay time.Duration
-	// BreakAfter breaks the connection after the run.
-	BreakAfter bool
-	// AnswerDelay passes between run and answer.
-	AnswerDelay time.Duration
-	// AnswerAs answers as another attempt, which fails the call.
-	AnswerAs string
+	// DisconnectAfterRun breaks the connection after the run.
+	DisconnectAfterRun bool
+	// ResponseDelay passes between run and answer.
+	ResponseDelay time.Duration
+	// ResponseAttempt answers as another attempt, which fails the call.
+	ResponseAttempt string
 	// Status and Body are the answer; zero means 200 and "ok".
 	Status int
 	Body   string
@@ -41,8 +41,8 @@
 
 // Record is one call that reached the fake.
 type Record struct {
-	Call service.Call
-	At   time.Time
+	Call       service.Call
+	ReceivedAt time.Time
 	// Ran tells whether the call has run.
 	Ran bool
 }
@@ -88,7 +88,7 @@
 }
 
 // Do implements service.Endpoint.
-func (e *Endpoint) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
+func (e *Endpoint) Do(ctx context.Context, call service.Call) (*service.Response, error) {
 	call.Header = call.Header.Clone()
 	call.Body = slices.Clone(call.Body)
 	if err := ctx.Err(); err != nil {
@@ -102,14 +102,14 @@
 	switch {
 	case b.Refuse:
 		return nil, failed(failure.EndpointRefused, failure.NotRun)
-	case b.BreakBefore:
+	case b.DisconnectBeforeRun:
 		return nil, failed(failure.EndpointBroke, failure.Unknown)
 	}
 	return e.run(ctx, rec, b)
 }
 
 // run carries the call out beside the caller, who may leave at any time.
-func (e *Endpoint) run(ctx context.Context, rec *Record, b Behaviour) (*service.Answer, error) {
+func (e *Endpoint) run(ctx context.Context, rec *Record, b Behaviour) (*service.Response, error) {
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
@@ -117,8 +117,8 @@
 		e.mu.Lock()
 		rec.Ran = true
 		e.mu.Unlock()
-		if !b.BreakAfter {
-			time.Sleep(b.AnswerDelay)
+		if !b.DisconnectAfterRun {
+			time.Sleep(b.ResponseDelay)
 		}
 	}()
 	select {
@@ -129,11 +129,11 @@
 	}
 }
 
-func (b Behaviour) answer(attempt string) (*service.Answer, error) {
+func (b Behaviour) answer(attempt string) (*service.Response, error) {
 	switch {
-	case b.BreakAfter:
+	case b.DisconnectAfterRun:
 		return nil, failed(failure.EndpointBroke, failure.Unknown)
-	case b.AnswerAs != "" && b.AnswerAs != attempt:
+	case b.ResponseAttempt != "" && b.ResponseAttempt != attempt:
 		return nil, failed(failure.AnswerMismatch, failure.Unknown)
 	}
 	status, body := b.Status, b.Body
@@ -143,7 +143,7 @@
 	if body == "" {
 		body = "ok"
 	}
-	return &service.Answer{
+	return &service.Response{
 		Attempt: attempt,
 		Status:  status,
 		Header:  http.Header{},
@@ -165,7 +165,7 @@
 func (e *Endpoint) record(call service.Call) *Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	rec := &Record{Call: call, At: time.Now()}
+	rec := &Record{Call: call, ReceivedAt: time.Now()}
 	e.records = append(e.records, rec)
 	return rec
 }
--- a/service/fakeservice/fakeservice_test.go
+++ b/service/fakeservice/fakeservice_test.go
@@ -27,11 +27,11 @@
 		{"answered", Behaviour{Delay: time.Second / 2}, result{"", "", 1}},
 		{"unreachable", Behaviour{Unreachable: true}, result{failure.EndpointUnreachable, failure.NotRun, 0}},
 		{"refused", Behaviour{Refuse: true}, result{failure.EndpointRefused, failure.NotRun, 0}},
-		{"broke before", Behaviour{BreakBefore: true}, result{failure.EndpointBroke, failure.Unknown, 0}},
-		{"broke after", Behaviour{BreakAfter: true}, result{failure.EndpointBroke, failure.Unknown, 1}},
+		{"broke before", Behaviour{DisconnectBeforeRun: true}, result{failure.EndpointBroke, failure.Unknown, 0}},
+		{"broke after", Behaviour{DisconnectAfterRun: true}, result{failure.EndpointBroke, failure.Unknown, 1}},
 		{"ran late", Behaviour{Delay: time.Minute}, result{failure.DeadlinePassed, failure.Unknown, 1}},
-		{"answered late", Behaviour{AnswerDelay: time.Minute}, result{failure.DeadlinePassed, failure.Unknown, 1}},
-		{"crossed", Behaviour{AnswerAs: "b"}, result{failure.AnswerMismatch, failure.Unknown, 1}},
+		{"answered late", Behaviour{ResponseDelay: time.Minute}, result{failure.DeadlinePassed, failure.Unknown, 1}},
+		{"crossed", Behaviour{ResponseAttempt: "b"}, result{failure.AnswerMismatch, failure.Unknown, 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/service/service.go
+++ b/service/service.go
@@ -19,8 +19,8 @@
 	Body   []byte
 }
 
-// Answer is a service's answer. The caller closes Body.
-type Answer struct {
+// Response is a service's answer. The caller closes Body.
+type Response struct {
 	// Attempt is the attempt that the endpoint says it answers; empty when
 	// the endpoint does not echo it.
 	Attempt string
@@ -36,5 +36,5 @@
 // *failure.Request with an honest Outcome: NotRun only if nothing of the call
 // was written or the endpoint refused before it started.
 type Endpoint interface {
-	Do(ctx context.Context, call Call) (*Answer, error)
+	Do(ctx context.Context, call Call) (*Response, error)
 }
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -285,7 +285,7 @@
 		if before.Role != engine.Mixed || before.Order.Phase != engine.OrderRunning {
 			t.Errorf("before: %+v", before)
 		}
-		if err != nil || after.Role != engine.Decode || after.Order.Phase != engine.OrderDone || after.Highest != 6 {
+		if err != nil || after.Role != engine.Decode || after.Order.Phase != engine.OrderDone || after.HighestFence != 6 {
 			t.Errorf("after: %+v, %v", after, err)
 		}
 		x := weightstore.Artifact{Model: "n", Version: "2"}
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -81,14 +81,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return engine.State{
-		Incarnation: s.opts.Incarnation,
-		Role:        s.model.Role(),
-		Loaded:      slices.Clone(s.loaded),
-		Streams:     s.streams,
-		Leaving:     s.leaving,
-		Order:       s.book.State(),
-		Highest:     s.book.Highest(),
-		Load:        s.reports.lagged(time.Since(s.start), s.opts.ReportLag),
+		Incarnation:  s.opts.Incarnation,
+		Role:         s.model.Role(),
+		Loaded:       slices.Clone(s.loaded),
+		Streams:      s.streams,
+		Leaving:      s.leaving,
+		Order:        s.book.State(),
+		HighestFence: s.book.Highest(),
+		Load:         s.reports.lagged(time.Since(s.start), s.opts.ReportLag),
 	}
 }
 
--- a/standin/platform/admin.go
+++ b/standin/platform/admin.go
@@ -95,9 +95,9 @@
 		ApplyAfter:   millis(f.Table.ApplyAfterMillis),
 	})
 	p.Objects.SetFault(memobject.Fault{
-		Down:       f.Objects.Down,
-		Slow:       millis(f.Objects.SlowMillis),
-		LoseAnswer: f.Objects.LoseAnswers,
+		Down:         f.Objects.Down,
+		Delay:        millis(f.Objects.SlowMillis),
+		LoseResponse: f.Objects.LoseAnswers,
 	})
 	p.List.SetDown(f.Membership.Down)
 	p.List.SetDelay(millis(f.Membership.SlowMillis))
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -171,7 +171,7 @@
 
 func weightsAnswer(w http.ResponseWriter, body any, err error) {
 	var missing *weightstore.MissingError
-	var limited *weightstore.LimitedError
+	var limited *weightstore.RateLimitError
 	switch {
 	case err == nil:
 		answer(w, http.StatusOK, body)
--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -59,7 +59,7 @@
 }
 
 // Fetch takes n bytes of an artifact off the store's rate in the name of
-// fetcher. Engines call it. The error is *LimitedError, *MissingError or
+// fetcher. Engines call it. The error is *RateLimitError, *MissingError or
 // *UnavailableError.
 func (c *Client) Fetch(ctx context.Context, fetcher string, a Artifact, n int64) error {
 	return c.call(ctx, FetchPath, a, FetchRequest{Fetcher: fetcher, Artifact: a, Bytes: n}, &struct{}{})
@@ -83,13 +83,13 @@
 	case http.StatusTooManyRequests:
 		var r Refusal
 		if err = json.Unmarshal(got.Body, &r); err == nil {
-			return &LimitedError{RetryAfter: time.Duration(r.RetryAfterMillis) * time.Millisecond}
+			return &RateLimitError{RetryAfter: time.Duration(r.RetryAfterMillis) * time.Millisecond}
 		}
 	default:
-		return &UnavailableError{Cause: &AnswerError{Status: got.Status}}
+		return &UnavailableError{Cause: &ResponseError{Status: got.Status}}
 	}
 	if err != nil {
-		return &UnavailableError{Cause: &AnswerError{Status: got.Status, Cause: err}}
+		return &UnavailableError{Cause: &ResponseError{Status: got.Status, Cause: err}}
 	}
 	return nil
 }
--- a/weightstore/errors.go
+++ b/weightstore/errors.go
@@ -30,22 +30,22 @@
 // Reason implements failure.Coded.
 func (e *MissingError) Reason() failure.Reason { return failure.WeightsMissing }
 
-// LimitedError is a fetch refused by the rate limit.
-type LimitedError struct {
+// RateLimitError is a fetch refused by the rate limit.
+type RateLimitError struct {
 	// RetryAfter is when the store expects to have room.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (e *LimitedError) Error() string {
+func (e *RateLimitError) Error() string {
 	return fmt.Sprintf("weight store limits fetches: come back in %v", e.RetryAfter)
 }
 
 // Reason implements failure.Coded.
-func (e *LimitedError) Reason() failure.Reason { return failure.WeightsLimited }
+func (e *RateLimitError) Reason() failure.Reason { return failure.WeightsLimited }
 
-// AnswerError is an answer that the client does not understand.
-type AnswerError struct {
+// ResponseError is an answer that the client does not understand.
+type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
 	// Cause is the failure to decode, or nil.
@@ -53,12 +53,12 @@
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	return fmt.Sprintf("weight store answer with status %d not understood: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
-func (e *AnswerError) Reason() failure.Reason { return failure.WeightsUnavailable }
+func (e *ResponseError) Reason() failure.Reason { return failure.WeightsUnavailable }
 
 // Unwrap returns the cause.
-func (e *AnswerError) Unwrap() error { return e.Cause }
+func (e *ResponseError) Unwrap() error { return e.Cause }
--- a/weightstore/fakestore/fakestore.go
+++ b/weightstore/fakestore/fakestore.go
@@ -119,7 +119,7 @@
 	}
 	if !s.hasRoom(fetcher, n) {
 		s.refused++
-		return &weightstore.LimitedError{RetryAfter: s.windowStart.Add(s.limits.Window).Sub(now)}
+		return &weightstore.RateLimitError{RetryAfter: s.windowStart.Add(s.limits.Window).Sub(now)}
 	}
 	s.fetchers[fetcher] = true
 	s.granted += n
