--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -16,15 +16,15 @@
 )
 
 // randomHistory makes several VMs claim the same key repeatedly under table faults.
-func randomHistory(seed uint64, wrap func(table.Service) table.Service) *history.Claims {
+func randomHistory(seed uint64, wrap func(table.Service) table.Service) *history.ClaimHistory {
 	const vms, rounds = 4, 12
 	rows := memtable.New()
-	rows.SetHook(history.TableFaults(history.NewDice(seed, 0)))
-	h := history.NewClaims()
+	rows.SetHook(history.TableFaults(history.NewRandom(seed, 0)))
+	h := history.NewClaimHistory()
 	var wg sync.WaitGroup
 	for vm := range vms {
-		dice := history.NewDice(seed, uint64(vm)+1)
-		paused := &history.Pausing{Service: wrap(rows), Dice: dice}
+		dice := history.NewRandom(seed, uint64(vm)+1)
+		paused := &history.Pausing{Service: wrap(rows), Random: dice}
 		s := NewStore(Config{Table: paused, Owner: fmt.Sprint(vm)})
 		wg.Go(func() {
 			for round := range rounds {
@@ -40,7 +40,7 @@
 
 // runRound makes one call. If it gets the claim, it then releases the claim, finishes the call, or
 // drops the claim as a crashing VM does.
-func runRound(h *history.Claims, s *Store, dice *history.Dice, vm, round int) {
+func runRound(h *history.ClaimHistory, s *Store, dice *history.Random, vm, round int) {
 	var c *Claim
 	h.Run(vm, history.ClaimInput{Op: history.Begin}, func() history.ClaimOutput {
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
@@ -54,7 +54,7 @@
 	}
 	time.Sleep(dice.Millis(100))
 	value := fmt.Sprintf("%d/%d", vm, round)
-	switch dice.Roll(20) {
+	switch dice.IntN(20) {
 	case 0, 1, 2:
 		h.Run(vm, history.ClaimInput{Op: history.Finish, Value: value}, func() history.ClaimOutput {
 			c.Finish(context.Background(), Response{Body: []byte(value)})
@@ -100,7 +100,7 @@
 			for seed := range uint64(seeds) {
 				synctest.Test(t, func(t *testing.T) {
 					h := randomHistory(seed, tt.wrap)
-					claims += h.Held()
+					claims += h.ClaimedCount()
 					if !h.Linearizable() {
 						violating++
 					}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -97,7 +97,7 @@
 	c.members = membership.NewWatcher(platform.Members, membership.WatcherConfig{})
 	c.departed = &order.MembershipRemovals{Watcher: c.members}
 	c.store = rollout.NewStore(platform.Rows, platform.Objects)
-	c.transport = n.Over(peer.NewTransport())
+	c.transport = n.ApplyTo(peer.NewTransport())
 	c.peers = peer.NewControllerClient(c.transport)
 	c.trees = newTreeFollower(c.store, c.peers, entry)
 	c.gate = order.NewGate()
--- a/duties/usage/ledger.go
+++ b/duties/usage/ledger.go
@@ -45,7 +45,7 @@
 // NewLedger returns a ledger with windows of the given length. Nil clocks default to the VM's.
 func NewLedger(self Identity, length time.Duration, wallClock, now func() time.Time) *Ledger {
 	if wallClock == nil {
-		wallClock = clock.NewWall().Now
+		wallClock = clock.NewWallClock().Now
 	}
 	return &Ledger{
 		length: length, wallClock: wallClock, now: clock.OrSystem(now), local: newAccount(self.VM, self.Zone, rand.Uint64()),
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -177,7 +177,7 @@
 		Reports:  reportStore,
 		Leaving:  e.leavingSet,
 	})
-	client := peer.NewClient(e.server, e.network.Over(peer.NewTransport()))
+	client := peer.NewClient(e.server, e.network.ApplyTo(peer.NewTransport()))
 	store := rollout.NewStore(e.platform.Rows, e.platform.Objects)
 	e.syncer = rollout.NewSyncer(e.member, e.applier, store, e.platform.Rows, client, e.advertisedAddress(), writeID)
 	e.exchanger = peer.NewExchanger(e.member, e.syncer, client, e.process.Seeds)
--- a/entry/golden_test.go
+++ b/entry/golden_test.go
@@ -52,7 +52,7 @@
 	if log == nil {
 		return h
 	}
-	work := log.Between(from, transcript.Endpoint, h)
+	work := log.HandlerBetween(from, transcript.Endpoint, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			work.ServeHTTP(pacedWriter{w}, r)
@@ -99,7 +99,7 @@
 	view := viewpb.NewViewServer(&viewServer{far})
 	mux := http.NewServeMux()
 	mux.Handle(view.PathPrefix(), view)
-	mux.Handle("/", log.Between(transcript.Entry, peerEntry, http.HandlerFunc(far.serveForwarded)))
+	mux.Handle("/", log.HandlerBetween(transcript.Entry, peerEntry, http.HandlerFunc(far.serveForwarded)))
 	s.listenFor(mux, o.listenAt(9, 7200))
 	s.waitFor("zone b offers capacity", func() bool {
 		zones := s.entry.common.zones.zoneSummaries()
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -71,7 +71,7 @@
 
 func newRemoteZones(localZone string, n network.Network, now func() time.Duration) *remoteZones {
 	return &remoteZones{
-		localZone: localZone, now: now, transport: n.Over(forward.NewPeerTransport()),
+		localZone: localZone, now: now, transport: n.ApplyTo(forward.NewPeerTransport()),
 		entries:   map[string][]remoteEntry{},
 		summaries: map[string]*zoneOffer{},
 	}
--- a/failure/failure.go
+++ b/failure/failure.go
@@ -80,9 +80,9 @@
 	return Internal
 }
 
-// And returns the outcome of two attempts of one request together: done beats
+// Combine returns the outcome of two attempts of one request together: done beats
 // unknown, and unknown beats not-run.
-func (o Outcome) And(other Outcome) Outcome {
+func (o Outcome) Combine(other Outcome) Outcome {
 	if o == Done || other == Done {
 		return Done
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -92,7 +92,7 @@
 	}
 	failed := *asRequest(err, failure.Unknown)
 	// The stream had started, so its error cannot prove that the request did not run.
-	failed.Ran = failed.Ran.And(failure.Unknown)
+	failed.Ran = failed.Ran.Combine(failure.Unknown)
 	return &failed
 }
 
--- a/forward/call.go
+++ b/forward/call.go
@@ -286,7 +286,7 @@
 	var known *failure.Request
 	if errors.As(err, &known) {
 		out := *known
-		out.Ran = out.Ran.And(failure.Unknown)
+		out.Ran = out.Ran.Combine(failure.Unknown)
 		return &out
 	}
 	return &failure.Request{Code: failure.AnswerTruncated, Ran: failure.Unknown, Message: "the answer broke off", Cause: err}
@@ -294,7 +294,7 @@
 
 // stopRetrying returns the final failure of a request whose failed attempt must not be retried.
 func (t *attemptTracker) stopRetrying(ctx context.Context, err *failure.Request) *failure.Request {
-	t.outcome = t.outcome.And(err.Ran)
+	t.outcome = t.outcome.Combine(err.Ran)
 	t.lastFailure = err
 	if ctx.Err() != nil && err.Ran != failure.Done {
 		return t.abandoned(ctx)
--- a/forward/history_test.go
+++ b/forward/history_test.go
@@ -32,29 +32,29 @@
 func randomCalls(seed uint64, wrap wrappers) []string {
 	const vms, callers, keys, requests = 3, 6, 12, 8
 	rows := memtable.New()
-	rows.SetHook(history.TableFaults(history.NewDice(seed, 1)))
+	rows.SetHook(history.TableFaults(history.NewRandom(seed, 1)))
 	endpoints := []*fakeservice.Endpoint{{}, {}}
 	router := fakeforward.Router{Observers: new(fakeforward.ObserverCounter)}
 	for i, e := range endpoints {
-		e.Script(endpointFaults(history.NewDice(seed, uint64(i)+2)))
+		e.Script(endpointFaults(history.NewRandom(seed, uint64(i)+2)))
 		router.Targets = append(router.Targets, forward.Target{Name: fmt.Sprint(i), Service: wrap.endpoint(e)})
 	}
 	var forwarders []*forward.Forwarder
 	for vm := range uint64(vms) {
-		paused := &history.Pausing{Service: wrap.table(rows), Dice: history.NewDice(seed, vm+10)}
+		paused := &history.Pausing{Service: wrap.table(rows), Random: history.NewRandom(seed, vm+10)}
 		claims := claim.NewStore(claim.Config{Table: paused})
 		defer claims.Wait()
 		forwarders = append(forwarders, forward.New(forward.Config{Router: router, Admitter: fakeforward.AdmitAll{}, Claims: claims}))
 	}
 	var mu sync.Mutex
-	var results []history.Told
+	var results []history.CallerResult
 	var wg sync.WaitGroup
 	for c := range callers {
-		dice := history.NewDice(seed, uint64(c)+100)
+		dice := history.NewRandom(seed, uint64(c)+100)
 		wg.Go(func() {
 			for n := range requests {
 				time.Sleep(dice.Millis(500))
-				t := confirm(forwarders[dice.Roll(vms)], fmt.Sprintf("r%d-%d", c, n), fmt.Sprint("k", dice.Roll(keys)))
+				t := confirm(forwarders[dice.IntN(vms)], fmt.Sprintf("r%d-%d", c, n), fmt.Sprint("k", dice.IntN(keys)))
 				mu.Lock()
 				results = append(results, t)
 				mu.Unlock()
@@ -70,11 +70,11 @@
 	return violations
 }
 
-func confirm(f *forward.Forwarder, request, key string) history.Told {
+func confirm(f *forward.Forwarder, request, key string) history.CallerResult {
 	work := callWork(request, key, false)
 	work.Deadline = time.Now().Add(3 * time.Second)
 	work.Call.Body = []byte(key)
-	t := history.Told{Request: request, Key: key, Want: "for " + key}
+	t := history.CallerResult{Request: request, Key: key, Want: "for " + key}
 	resp, err := f.Call(context.Background(), work)
 	var failed *failure.Request
 	if errors.As(err, &failed) {
@@ -98,10 +98,10 @@
 	return out
 }
 
-func endpointFaults(dice *history.Dice) func(service.Call) fakeservice.Behaviour {
+func endpointFaults(dice *history.Random) func(service.Call) fakeservice.Behaviour {
 	return func(call service.Call) fakeservice.Behaviour {
 		b := fakeservice.Behaviour{Body: "for " + string(call.Body), Delay: dice.Millis(50)}
-		switch dice.Roll(10) {
+		switch dice.IntN(10) {
 		case 0:
 			b.Unreachable = true
 		case 1, 2, 3:
--- a/forward/kvtransfer.go
+++ b/forward/kvtransfer.go
@@ -41,7 +41,7 @@
 	}
 	// The prefill is part of the request, so a prefill that may have run counts.
 	if failed == nil || failed.Ran != failure.NotRun {
-		g.attempts.outcome = g.attempts.outcome.And(failure.Unknown)
+		g.attempts.outcome = g.attempts.outcome.Combine(failure.Unknown)
 	}
 	if failed != nil {
 		countFallback(failed.Code)
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -80,7 +80,7 @@
 // prepareRetry records a failed attempt. It returns nil after the backoff if another attempt may be
 // made, and otherwise the request's final failure immediately.
 func (t *attemptTracker) prepareRetry(ctx context.Context, pool string, err *failure.Request) *failure.Request {
-	t.outcome = t.outcome.And(err.Ran)
+	t.outcome = t.outcome.Combine(err.Ran)
 	t.lastFailure = err
 	if ctx.Err() != nil {
 		return t.abandoned(ctx)
@@ -114,7 +114,7 @@
 // finalFailure returns err with the combined outcome of all attempts.
 func (t *attemptTracker) finalFailure(err *failure.Request) *failure.Request {
 	out := *err
-	out.Ran = t.outcome.And(err.Ran)
+	out.Ran = t.outcome.Combine(err.Ran)
 	return &out
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -161,7 +161,7 @@
 		Zone: s.Zone, Directory: g.directory, Routes: g.state.config.Load,
 		RoleChanges: func() []string { return g.roles.Changing() }, Signals: g.signals, Tuning: s.Placement,
 	})
-	wallClock := clock.NewWall().Now
+	wallClock := clock.NewWallClock().Now
 	g.budgets = newRetryBudgets(s.Retry)
 	self := roster.VM{Name: s.VM, Zone: s.Zone, Address: s.Peers, Capacity: s.Strength, Boot: roster.NewBoot()}
 	g.newSources()
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -13,10 +13,10 @@
 	wallPatience = time.Minute
 )
 
-// Wall is the time of day for what VMs must agree on, such as which interval something fell in. It
+// WallClock is the time of day for what VMs must agree on, such as which interval something fell in. It
 // goes on steadily from the time of day at its making, and follows a step only once that has lasted.
 // It is safe for concurrent use.
-type Wall struct {
+type WallClock struct {
 	steady, day func() time.Time
 
 	mu sync.Mutex
@@ -27,11 +27,11 @@
 	steps   time.Duration
 }
 
-// NewWall returns a Wall that believes the present time of day.
-func NewWall() *Wall { return newWall(Now, time.Now) }
+// NewWallClock returns a WallClock that believes the present time of day.
+func NewWallClock() *WallClock { return newWall(Now, time.Now) }
 
-func newWall(steady, day func() time.Time) *Wall {
-	w := &Wall{steady: steady, day: day}
+func newWall(steady, day func() time.Time) *WallClock {
+	w := &WallClock{steady: steady, day: day}
 	w.offset = w.apart(steady())
 	return w
 }
@@ -40,12 +40,12 @@
 var epoch = Now()
 
 // apart is how far the time of day is from the steady clock.
-func (w *Wall) apart(steady time.Time) time.Duration {
+func (w *WallClock) apart(steady time.Time) time.Duration {
 	return time.Duration(w.day().UnixNano()) - steady.Sub(epoch)
 }
 
 // Now is the time.
-func (w *Wall) Now() time.Time {
+func (w *WallClock) Now() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.steady()
@@ -54,7 +54,7 @@
 }
 
 // watch looks for steps of the time of day. The caller holds mu.
-func (w *Wall) watch(now time.Time) {
+func (w *WallClock) watch(now time.Time) {
 	steps := w.apart(now) - w.offset
 	switch {
 	case steps.Abs() <= wallSlack:
--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -13,7 +13,7 @@
 func (d *day) day() time.Time { return time.Unix(1000, 0).Add(d.now + d.step) }
 
 // pass lets time pass in small parts, in each of which the wall is read.
-func (d *day) pass(w *Wall, by time.Duration) time.Duration {
+func (d *day) pass(w *WallClock, by time.Duration) time.Duration {
 	for range int(by / time.Second) {
 		d.now += time.Second
 		w.Now()
@@ -24,11 +24,11 @@
 func TestWall(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		play func(d *day, w *Wall) time.Duration
+		play func(d *day, w *WallClock) time.Duration
 		off  time.Duration
 	}{
-		{"steady", func(d *day, w *Wall) time.Duration { return d.pass(w, time.Hour) }, 0},
-		{"a step ahead and back", func(d *day, w *Wall) time.Duration {
+		{"steady", func(d *day, w *WallClock) time.Duration { return d.pass(w, time.Hour) }, 0},
+		{"a step ahead and back", func(d *day, w *WallClock) time.Duration {
 			d.step = 2 * time.Second
 			if off := d.pass(w, 30*time.Second); off != 0 {
 				return off
@@ -36,18 +36,18 @@
 			d.step = 0
 			return d.pass(w, 10*time.Minute)
 		}, 0},
-		{"steps again and again", func(d *day, w *Wall) time.Duration {
+		{"steps again and again", func(d *day, w *WallClock) time.Duration {
 			for range 10 {
 				d.step += time.Second
 				d.pass(w, 30*time.Second)
 			}
 			return d.pass(w, time.Second)
 		}, 0},
-		{"a step that lasts", func(d *day, w *Wall) time.Duration {
+		{"a step that lasts", func(d *day, w *WallClock) time.Duration {
 			d.step = -2 * time.Second
 			return d.pass(w, 2*time.Minute)
 		}, -2 * time.Second},
-		{"a drift below the slack", func(d *day, w *Wall) time.Duration {
+		{"a drift below the slack", func(d *day, w *WallClock) time.Duration {
 			d.step = 40 * time.Millisecond
 			return d.pass(w, time.Hour)
 		}, 0},
--- a/internal/fakeprocess/fakeprocess.go
+++ b/internal/fakeprocess/fakeprocess.go
@@ -17,14 +17,14 @@
 // be sent when the process was paused.
 const wakeDelay = time.Second
 
-// DeadError is a call by a process that was killed.
-type DeadError struct{}
+// KilledError is a call by a process that was killed.
+type KilledError struct{}
 
 // Error implements error.
-func (DeadError) Error() string { return "process is dead" }
+func (KilledError) Error() string { return "process is dead" }
 
 // Reason implements failure.Coded.
-func (DeadError) Reason() failure.Reason { return failure.Internal }
+func (KilledError) Reason() failure.Reason { return failure.Internal }
 
 // Process is alive until Kill. The zero value runs. It is safe for concurrent use.
 type Process struct {
@@ -33,7 +33,7 @@
 	dead   bool
 }
 
-// Pause makes the process stand still until Wake.
+// Pause makes the process stand still until Resume.
 func (p *Process) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// Wake ends Pause.
-func (p *Process) Wake() {
+// Resume ends Pause.
+func (p *Process) Resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.paused != nil {
@@ -57,11 +57,11 @@
 	p.mu.Lock()
 	p.dead = true
 	p.mu.Unlock()
-	p.Wake()
+	p.Resume()
 }
 
-// Dead tells whether the process was killed.
-func (p *Process) Dead() bool {
+// Killed tells whether the process was killed.
+func (p *Process) Killed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dead
@@ -74,14 +74,14 @@
 	return p.paused != nil
 }
 
-// Wait returns once the process is not paused. The error is DeadError.
+// Wait returns once the process is not paused. The error is KilledError.
 func (p *Process) Wait() error {
 	for {
 		p.mu.Lock()
 		paused, dead := p.paused, p.dead
 		p.mu.Unlock()
 		if dead {
-			return DeadError{}
+			return KilledError{}
 		}
 		if paused == nil {
 			return nil
@@ -90,8 +90,8 @@
 	}
 }
 
-// Table returns the process's way to svc.
-func (p *Process) Table(svc table.Service) table.Service { return &tableLine{p: p, svc: svc} }
+// WrapTable returns the process's way to svc.
+func (p *Process) WrapTable(svc table.Service) table.Service { return &tableLine{p: p, svc: svc} }
 
 type tableLine struct {
 	p   *Process
@@ -128,8 +128,8 @@
 	return versions, err
 }
 
-// Engine returns the process's way to e.
-func (p *Process) Engine(e engine.Engine) engine.Engine { return &engineLine{Engine: e, p: p} }
+// WrapEngine returns the process's way to e.
+func (p *Process) WrapEngine(e engine.Engine) engine.Engine { return &engineLine{Engine: e, p: p} }
 
 type engineLine struct {
 	engine.Engine
--- a/internal/h1/answer.go
+++ b/internal/h1/answer.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Answer is an answer whose head was read. Close must be called once.
-type Answer struct {
+// Response is an answer whose head was read. Close must be called once.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body, or -1 when its end shows it.
@@ -19,7 +19,7 @@
 }
 
 // Read implements io.Reader. It returns io.EOF only at the true end of the body.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
 		a.ended = true
@@ -28,7 +28,7 @@
 }
 
 // ReadAll reads the body to its end. One of more than limit bytes gives *TooLongError.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		return nil, &TooLongError{Limit: limit}
@@ -37,12 +37,12 @@
 }
 
 // Closing tells that the server ends the connection after this answer.
-func (a *Answer) Closing() bool { return a.closing }
+func (a *Response) Closing() bool { return a.closing }
 
 // Close ends the exchange. The connection is kept if the answer was read to its
 // end and nothing else came; otherwise it is closed, which tells the server to
 // drop the request.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.ex.once.Do(func() {
 		if !a.reusable() {
 			a.ex.drop()
@@ -53,7 +53,7 @@
 	})
 }
 
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	ended := a.ended || a.Length == 0
 	if !ended || a.closing || a.ex.conn.reader.Buffered() > 0 {
 		return false
--- a/internal/h1/exchange.go
+++ b/internal/h1/exchange.go
@@ -28,10 +28,10 @@
 	// MaxIdle bounds how long the connection may have been unused; zero takes
 	// the pool's own bound; see NewConnection.
 	MaxIdle time.Duration
-	// Ready, if set, is called once there is a connection, just before the first byte is
+	// BeforeWrite, if set, is called once there is a connection, just before the first byte is
 	// written: opening one may have taken long. It may still change the request. With an
 	// error nothing is written, the connection is kept, and Do returns *Error with that cause.
-	Ready func(*Request) error
+	BeforeWrite func(*Request) error
 	// Accept tells whether an answer's head belongs to this request. One that
 	// does not is read past, once or twice; nil accepts any.
 	Accept func(status int, h http.Header) bool
@@ -54,7 +54,7 @@
 
 // Do sends a request once and reads the head of its answer. The exchange ends
 // with ctx. The error is *Error.
-func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, reused, err := p.connect(ctx, r.MaxIdle)
 	if err != nil {
 		return nil, &Error{Cause: err}
@@ -82,10 +82,10 @@
 }
 
 func (r *Request) ready() error {
-	if r.Ready == nil {
+	if r.BeforeWrite == nil {
 		return nil
 	}
-	return r.Ready(r)
+	return r.BeforeWrite(r)
 }
 
 // silent tells whether an exchange ended because nothing came for too long, and not
@@ -174,7 +174,7 @@
 }
 
 // head reads heads until one belongs to the request.
-func (ex *exchange) head(r *Request) (*Answer, error) {
+func (ex *exchange) head(r *Request) (*Response, error) {
 	for strays := 0; ; {
 		a, err := ex.readHead(r.Method)
 		switch {
@@ -194,12 +194,12 @@
 	}
 }
 
-func (ex *exchange) readHead(method string) (*Answer, error) {
+func (ex *exchange) readHead(method string) (*Response, error) {
 	resp, err := http.ReadResponse(ex.conn.reader, &http.Request{Method: method})
 	if err != nil {
 		return nil, err
 	}
-	return &Answer{
+	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
 		body: resp.Body, closing: resp.Close, ex: ex,
 	}, nil
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -358,7 +358,7 @@
 func TestPruneAndLimits(t *testing.T) {
 	s := serve(t, echo)
 	p := newPool(t, s, Options{MaxIdle: 2, MaxIdleTime: time.Minute})
-	var open []*Answer
+	var open []*Response
 	for range 4 {
 		a, err := p.Do(t.Context(), post("a"))
 		if err != nil {
@@ -413,7 +413,7 @@
 // keepConnections makes the pool keep n connections.
 func keepConnections(t *testing.T, p *Pool, n int) {
 	t.Helper()
-	var open []*Answer
+	var open []*Response
 	for range n {
 		a, err := p.Do(t.Context(), post("x"))
 		if err != nil {
@@ -480,14 +480,14 @@
 	changed := errors.New("the plan has changed")
 	for _, state := range []string{"new", "kept"} {
 		r := post(state)
-		r.Ready = func(*Request) error { return changed }
+		r.BeforeWrite = func(*Request) error { return changed }
 		_, err := p.Do(t.Context(), r)
 		var failed *Error
 		if !errors.As(err, &failed) || failed.Sent || !errors.Is(err, changed) {
 			t.Errorf("on a %s connection: %v", state, err)
 		}
 		r = post(state)
-		r.Ready = func(r *Request) error { r.Body = []byte("changed"); return nil }
+		r.BeforeWrite = func(r *Request) error { r.Body = []byte("changed"); return nil }
 		if got, err := ask(t, p, r); err != nil || got != "changed" {
 			t.Errorf("after it: %q, %v", got, err)
 		}
--- a/internal/history/claims.go
+++ b/internal/history/claims.go
@@ -35,19 +35,19 @@
 	Unavailable bool
 }
 
-// Claims records the operations on one key. It is safe for concurrent use.
-type Claims struct {
+// ClaimHistory records the operations on one key. It is safe for concurrent use.
+type ClaimHistory struct {
 	mu    sync.Mutex
 	start time.Time
 	ops   []porcupine.Operation
 	held  int
 }
 
-// NewClaims returns an empty history.
-func NewClaims() *Claims { return &Claims{start: time.Now()} }
+// NewClaimHistory returns an empty history.
+func NewClaimHistory() *ClaimHistory { return &ClaimHistory{start: time.Now()} }
 
 // Run carries out and records one operation of a client.
-func (c *Claims) Run(client int, in ClaimInput, op func() ClaimOutput) {
+func (c *ClaimHistory) Run(client int, in ClaimInput, op func() ClaimOutput) {
 	call := time.Since(c.start).Nanoseconds()
 	out := op()
 	c.mu.Lock()
@@ -60,13 +60,13 @@
 	}
 }
 
-// Held is the number of Begins that got the claim.
-func (c *Claims) Held() int { return c.held }
+// ClaimedCount is the number of Begins that got the claim.
+func (c *ClaimHistory) ClaimedCount() int { return c.held }
 
 // Linearizable checks the history against the sequential specification:
 // between two releases one Begin gets the claim, and a finished call's answer
 // is given to every repeat.
-func (c *Claims) Linearizable() bool {
+func (c *ClaimHistory) Linearizable() bool {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{claimState{phase: free}} },
 		Step: func(state, input, output any) []any {
--- a/internal/history/faults.go
+++ b/internal/history/faults.go
@@ -10,30 +10,30 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// Dice is a source of chance that is safe for concurrent use.
-type Dice struct {
+// Random is a source of chance that is safe for concurrent use.
+type Random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewDice returns dice that always fall the same way for a seed and a use.
-func NewDice(seed, use uint64) *Dice { return &Dice{rng: rand.New(rand.NewPCG(seed, use))} }
+// NewRandom returns dice that always fall the same way for a seed and a use.
+func NewRandom(seed, use uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, use))} }
 
-// Roll returns a number from zero up to, not including, n.
-func (d *Dice) Roll(n int) int {
+// IntN returns a number from zero up to, not including, n.
+func (d *Random) IntN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rng.IntN(n)
 }
 
 // Millis returns a time of less than n milliseconds.
-func (d *Dice) Millis(n int) time.Duration { return time.Duration(d.Roll(n)) * time.Millisecond }
+func (d *Random) Millis(n int) time.Duration { return time.Duration(d.IntN(n)) * time.Millisecond }
 
 // TableFaults makes a table lose answers, apply late, refuse and lag.
-func TableFaults(d *Dice) func(memtable.Call) memtable.Fault {
+func TableFaults(d *Random) func(memtable.Call) memtable.Fault {
 	return func(memtable.Call) memtable.Fault {
 		f := memtable.Fault{Delay: d.Millis(10)}
-		switch d.Roll(10) {
+		switch d.IntN(10) {
 		case 0:
 			f.LoseResponse = true
 		case 1:
@@ -51,7 +51,7 @@
 // two seconds, just before or just after a commit.
 type Pausing struct {
 	table.Service
-	Dice *Dice
+	Random *Random
 }
 
 // Commit implements table.Service.
@@ -62,8 +62,8 @@
 }
 
 func (p *Pausing) pause() {
-	if p.Dice.Roll(6) == 0 {
-		time.Sleep(p.Dice.Millis(2000))
+	if p.Random.IntN(6) == 0 {
+		time.Sleep(p.Random.Millis(2000))
 	}
 }
 
--- a/internal/history/runs.go
+++ b/internal/history/runs.go
@@ -6,8 +6,8 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Told is what a caller was told about one request.
-type Told struct {
+// CallerResult is what a caller was told about one request.
+type CallerResult struct {
 	Request string
 	// Key is the request's idempotency key, or empty.
 	Key string
@@ -22,7 +22,7 @@
 
 // Check returns each promise that was broken: a key ran twice, a request that
 // was called not run did run, a caller got an answer that is not its own.
-func Check(told []Told, runs []Run) []string {
+func Check(told []CallerResult, runs []Run) []string {
 	var broken []string
 	byKey, byRequest := make(map[string]int), make(map[string]int)
 	for _, r := range runs {
--- a/internal/httponce/sender.go
+++ b/internal/httponce/sender.go
@@ -27,8 +27,8 @@
 	Timeout time.Duration
 	// MaxConns bounds the connections to one address.
 	MaxConns int
-	// MaxAnswer bounds the body of an answer, in bytes.
-	MaxAnswer int64
+	// MaxResponseBytes bounds the body of an answer, in bytes.
+	MaxResponseBytes int64
 }
 
 // Sender makes calls, each request sent at most once. It is safe for concurrent use.
@@ -46,8 +46,8 @@
 	if c.MaxConns <= 0 {
 		c.MaxConns = DefaultMaxConns
 	}
-	if c.MaxAnswer <= 0 {
-		c.MaxAnswer = DefaultMaxAnswer
+	if c.MaxResponseBytes <= 0 {
+		c.MaxResponseBytes = DefaultMaxAnswer
 	}
 	transport := NewTransport(TransportOptions{
 		Dial:           c.Dial,
@@ -56,14 +56,14 @@
 		MaxIdle:        c.MaxConns,
 	})
 	transport.MaxConnsPerHost = c.MaxConns
-	return &Sender{transport: transport, timeout: c.Timeout, maxAnswer: c.MaxAnswer}
+	return &Sender{transport: transport, timeout: c.Timeout, maxAnswer: c.MaxResponseBytes}
 }
 
 // Close closes the idle connections.
 func (s *Sender) Close() { s.transport.CloseIdleConnections() }
 
-// Answer is a whole answer.
-type Answer struct {
+// BufferedResponse is a whole answer.
+type BufferedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -73,7 +73,7 @@
 // timeout and reads the whole answer, whatever its status. It follows no
 // redirect. The error is *Error; an answer that did not come whole
 // counts as sent.
-func (s *Sender) Call(ctx context.Context, method, url string, header http.Header, body []byte) (*Answer, error) {
+func (s *Sender) Call(ctx context.Context, method, url string, header http.Header, body []byte) (*BufferedResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, &Error{Sent: true, Cause: err}
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: data}, nil
+	return &BufferedResponse{Status: resp.StatusCode, Header: resp.Header, Body: data}, nil
 }
 
 // readAll reads an answer's body up to the limit.
--- a/internal/httponce/sender_test.go
+++ b/internal/httponce/sender_test.go
@@ -97,7 +97,7 @@
 				if tt.ctx != nil {
 					ctx = tt.ctx
 				}
-				sender := NewSender(Config{Dial: dial, MaxAnswer: 99})
+				sender := NewSender(Config{Dial: dial, MaxResponseBytes: 99})
 				_, err := sender.Call(ctx, http.MethodPost, tt.url, nil, []byte("body"))
 				var e *Error
 				if !errors.As(err, &e) || e.Sent != tt.wantSent {
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -21,8 +21,8 @@
 	return Network{Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) }}
 }
 
-// Over makes a transport use the network.
-func (n Network) Over(t *http.Transport) *http.Transport {
+// ApplyTo makes a transport use the network.
+func (n Network) ApplyTo(t *http.Transport) *http.Transport {
 	if n.Dial != nil {
 		t.DialContext = n.Dial
 	}
--- a/internal/transcript/http.go
+++ b/internal/transcript/http.go
@@ -11,10 +11,10 @@
 
 // Handler records what callers send to h and, in the pieces in which it is
 // flushed, what h answers.
-func (l *Log) Handler(h http.Handler) http.Handler { return l.Between(Caller, Entry, h) }
+func (l *Log) Handler(h http.Handler) http.Handler { return l.HandlerBetween(Caller, Entry, h) }
 
-// Between is Handler for two other parties.
-func (l *Log) Between(from, to Party, h http.Handler) http.Handler {
+// HandlerBetween is Handler for two other parties.
+func (l *Log) HandlerBetween(from, to Party, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	c := &contender{stop: stop, done: make(chan struct{})}
-	c.holder = NewHolder(c.Table(svc), Config{
+	c.holder = NewHolder(c.WrapTable(svc), Config{
 		Pool:     "chat",
 		Zone:     "a",
 		Identity: Identity{VM: name, Process: name, Address: name},
@@ -136,7 +136,7 @@
 		if got := b.current().Fence(); got != old.Fence()+1 {
 			t.Errorf("fence %d after %d", got, old.Fence())
 		}
-		a.Wake()
+		a.Resume()
 		waitUntil(t, "a has lost the lease", func() bool { return a.current() != old || !a.holds() })
 	})
 }
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -33,7 +33,7 @@
 func (w *testbed) submit(name string, role engine.Role) bool {
 	for _, p := range w.processes() {
 		c := Change{Engine: name, Kind: engine.ChangeRole, Role: role}
-		if !p.Dead() && p.executor.Submit(c) == nil {
+		if !p.Killed() && p.executor.Submit(c) == nil {
 			return true
 		}
 	}
--- a/order/testbed_test.go
+++ b/order/testbed_test.go
@@ -88,7 +88,7 @@
 func (p *process) Target(name string) (Target, bool) {
 	e, ok := p.w.engines[name]
 	vm := "vm-" + name
-	return Target{Name: name, VM: vm, Engine: p.Engine(e), Fencing: p.w.fencing[name]}, ok
+	return Target{Name: name, VM: vm, Engine: p.WrapEngine(e), Fencing: p.w.fencing[name]}, ok
 }
 
 // process is one controller process.
@@ -115,7 +115,7 @@
 	}
 	p.responder = NewResponder(p.gate, p.identity, Timing{})
 	client := &fakeorder.Client{Process: &p.Process, Withholder: w.entry, Network: w.network, RestoreFails: w.restoreFails}
-	svc := p.Table(w.table)
+	svc := p.WrapTable(w.table)
 	holder := lease.NewHolder(svc, lease.Config{Pool: "chat", Zone: "a", Identity: p.identity})
 	p.executor = NewExecutor(Config{
 		Journal:       NewJournal(svc),
@@ -151,11 +151,11 @@
 
 func (p *process) wake() {
 	p.w.network.SetUnresponsive(p.identity.Address, false)
-	p.Wake()
+	p.Resume()
 }
 
 func (p *process) kill() {
-	if p.Dead() {
+	if p.Killed() {
 		return
 	}
 	p.w.network.Bind(p.identity.Address, nil)
@@ -205,7 +205,7 @@
 	if r.fault != nil {
 		fault = r.fault()
 	}
-	lost := &table.UnknownError{Cause: fakeprocess.DeadError{}}
+	lost := &table.UnknownError{Cause: fakeprocess.KilledError{}}
 	switch fault {
 	case loseWrite:
 		return nil, lost
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -15,7 +15,7 @@
 	if j.withdrawn != nil {
 		return j.handleWithdrawal()
 	}
-	j.ran = j.ran.And(failed.Ran)
+	j.ran = j.ran.Combine(failed.Ran)
 	j.lastFailure = failed
 	j.logFailure(failed)
 	switch {
@@ -69,7 +69,7 @@
 		}
 	}
 	out := *failed
-	out.Ran = j.ran.And(failed.Ran)
+	out.Ran = j.ran.Combine(failed.Ran)
 	if ctx.Err() != nil && out.Ran != failure.Done {
 		out.Code, out.Message = failure.CallerGone, "the caller went away"
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/table/client.go
+++ b/table/client.go
@@ -112,7 +112,7 @@
 }
 
 // statusError converts a response with a status other than 200 to an error.
-func statusError(response *httponce.Answer) error {
+func statusError(response *httponce.BufferedResponse) error {
 	var r ErrorResponse
 	if err := json.Unmarshal(response.Body, &r); err != nil {
 		return &UnknownError{Cause: &ResponseError{Status: response.Status, Cause: err}}
