--- a/engine/client.go
+++ b/engine/client.go
@@ -14,25 +14,25 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// Options are the limits of a Client. Zero values take the defaults.
+// Options configures a Client. Zero values select the defaults.
 type Options struct {
-	// Address is the engine's host:port, by IP number.
+	// Address is the engine's host:port; host is an IP address.
 	Address string
-	// Dial opens connections; nil dials TCP.
+	// Dial opens connections; nil selects TCP.
 	Dial httponce.DialFunc
 	// ConnectTimeout bounds a dial; the default is 1 s.
 	ConnectTimeout time.Duration
-	// CallTimeout bounds the wait for an answer's head, and the whole of a
-	// call that is no stream; the default is 2 s.
+	// CallTimeout bounds the wait for a response's headers, and the entire
+	// call if it is not a stream; the default is 2 s.
 	CallTimeout time.Duration
-	// IdleTimeout bounds the silence in a stream; the default is 5 s. Engines
-	// send an empty line each second while a request waits.
+	// IdleTimeout bounds the time between two lines of a stream; the default
+	// is 5 s. Engines send an empty line each second while a request waits.
 	IdleTimeout time.Duration
-	// KeepAlive is how long an unused connection is kept; the default is 30 s.
+	// KeepAlive is how long an idle connection stays open; the default is 30 s.
 	KeepAlive time.Duration
-	// MaxIdle is the number of unused connections kept; the default is 16.
+	// MaxIdle is the maximum number of idle connections; the default is 16.
 	MaxIdle int
-	// MaxFrame bounds one frame in bytes; the default is 1 MiB.
+	// MaxFrame is the maximum size of a frame in bytes; the default is 1 MiB.
 	MaxFrame int
 }
 
@@ -43,11 +43,12 @@
 	defaultKeepAlive      = 30 * time.Second
 	defaultMaxIdle        = 16
 	defaultMaxFrame       = 1 << 20
-	// maxReply bounds the body of a State or CacheEvents, maxRefusal of a Refusal.
-	maxReply   = 16 << 20
-	maxRefusal = 64 << 10
-	// maxQuoted bounds what a StatusError keeps of a body.
-	maxQuoted = 200
+	// maxResponseBytes bounds the body of a State or CacheEvents,
+	// maxRefusalBytes that of a Refusal or an OrderState.
+	maxResponseBytes = 16 << 20
+	maxRefusalBytes  = 64 << 10
+	// maxQuotedBytes bounds the part of a body quoted in a StatusError.
+	maxQuotedBytes = 200
 )
 
 func (o Options) withDefaults() Options {
@@ -67,7 +68,7 @@
 	return v
 }
 
-// Client is an Engine over HTTP/JSON. It is safe for concurrent use.
+// Client implements Engine over HTTP/JSON. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	http *http.Transport
@@ -75,7 +76,7 @@
 
 var _ Engine = (*Client)(nil)
 
-// NewClient returns a client of one engine. It connects when first used.
+// NewClient returns a client of one engine. It connects on first use.
 func NewClient(o Options) *Client {
 	o = o.withDefaults()
 	t := httponce.NewTransport(httponce.TransportOptions{
@@ -88,18 +89,18 @@
 	return &Client{opts: o, http: t}
 }
 
-// Close closes the unused connections. Open streams go on.
+// Close closes the idle connections. Open streams are unaffected.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func (c *Client) url(path string) string { return "http://" + c.opts.Address + path }
 
-// Generate implements Engine. The stream ends when ctx does.
+// Generate implements Engine. The stream ends when ctx is done.
 func (c *Client) Generate(ctx context.Context, req GenerateRequest) (Stream, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return nil, failed(failure.BadRequest, failure.NotRun, "request cannot be encoded", err)
+		return nil, requestFailure(failure.BadRequest, failure.NotRun, "request cannot be encoded", err)
 	}
-	given := ctx.Done()
+	callerDone := ctx.Done()
 	ctx, cancel := context.WithCancelCause(ctx)
 	resp, err := c.post(ctx, GeneratePath, body)
 	if err != nil {
@@ -114,10 +115,10 @@
 	if got := resp.Header.Get(AttemptHeader); got != req.Attempt {
 		defer cancel(nil)
 		resp.Abort()
-		return nil, mismatch("answer is for attempt " + strconv.Quote(got))
+		return nil, mismatchError("response is for attempt " + strconv.Quote(got))
 	}
 	s := newStream(ctx, cancel, resp, req, c.opts)
-	s.given = given
+	s.callerDone = callerDone
 	return s, nil
 }
 
@@ -130,34 +131,36 @@
 	return httponce.Send(c.http, hr)
 }
 
-// generateRefusal believes that the attempt has not run only if the engine
-// says so in a whole refusal of this very attempt.
+// generateRefusal converts a non-200 response into an error. The outcome is
+// NotRun only if a complete refusal that echoes this attempt reports it.
 func generateRefusal(resp *httponce.Response, attempt string) error {
 	r, err := readRefusal(resp.Response)
 	if err != nil {
-		return failed(failure.EndpointFailed, failure.Unknown, "engine failed", err)
+		return requestFailure(failure.EndpointFailed, failure.Unknown, "engine failed", err)
 	}
 	if r.Attempt != attempt {
 		resp.Abort()
-		return mismatch("refusal is for attempt " + strconv.Quote(r.Attempt))
+		return mismatchError("refusal is for attempt " + strconv.Quote(r.Attempt))
 	}
 	ran := failure.Unknown
 	if r.NotRun {
 		ran = failure.NotRun
 	}
-	f := failed(r.Reason, ran, "engine refused", &RefusedError{Code: r.Reason, Message: r.Message})
+	f := requestFailure(r.Reason, ran, "engine refused", &RefusedError{Code: r.Reason, Message: r.Message})
 	f.RetryAfter = time.Duration(r.RetryAfterMillis) * time.Millisecond
 	return f
 }
 
+// readRefusal decodes a Refusal. It fails with *StatusError if the body is not a
+// complete one.
 func readRefusal(resp *http.Response) (Refusal, error) {
 	var r Refusal
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	if err == nil {
 		err = json.Unmarshal(body, &r)
 	}
 	if err != nil || r.Reason == "" {
-		quoted := string(body[:min(len(body), maxQuoted)])
+		quoted := string(body[:min(len(body), maxQuotedBytes)])
 		return r, &StatusError{Status: resp.StatusCode, Body: quoted}
 	}
 	return r, nil
@@ -172,7 +175,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
 	resp, err := c.post(ctx, CancelPath, body)
-	return finish(resp, err, nil)
+	return decodeResponse(resp, err, nil)
 }
 
 // State implements Engine. It fails with *UnreachableError.
@@ -197,13 +200,14 @@
 		return &UnreachableError{Cause: err}
 	}
 	resp, err := httponce.Send(c.http, hr)
-	return finish(resp, err, into)
+	return decodeResponse(resp, err, into)
 }
 
-// finish reads the whole answer of a call into a value, or to nowhere.
-func finish(resp *httponce.Response, err error, into any) error {
+// decodeResponse reads a call's response and decodes its body into the value, or
+// discards it if into is nil.
+func decodeResponse(resp *httponce.Response, err error, into any) error {
 	if err != nil {
-		return &UnreachableError{Sent: sent(err), Cause: err}
+		return &UnreachableError{Sent: maybeSent(err), Cause: err}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -213,7 +217,7 @@
 		}
 		return &UnreachableError{Sent: true, Cause: err}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && into != nil {
 		err = json.Unmarshal(body, into)
 	}
@@ -223,25 +227,27 @@
 	return nil
 }
 
-func sent(err error) bool {
+// maybeSent reports whether any byte of the request may have been sent. Errors
+// other than *httponce.Error count as sent.
+func maybeSent(err error) bool {
 	var e *httponce.Error
 	return !errors.As(err, &e) || e.Sent
 }
 
-// sendFailure is the failure of a Generate that got no answer.
+// sendFailure returns the error of a Generate call that received no response.
 func sendFailure(ctx context.Context, err error) error {
 	var e *httponce.Error
 	if !errors.As(err, &e) {
-		return failed(failure.Internal, failure.Unknown, "engine call failed", err)
+		return requestFailure(failure.Internal, failure.Unknown, "engine call failed", err)
 	}
 	code, message := e.Reason(), "engine did not answer"
-	if gone := contextReason(ctx); gone != "" {
-		code, message = gone, "call was given up"
+	if reason := contextReason(ctx); reason != "" {
+		code, message = reason, "call was given up"
 	}
-	return failed(code, e.Outcome(), message, err)
+	return requestFailure(code, e.Outcome(), message, err)
 }
 
-// contextReason is the reason for which a context ended, or empty.
+// contextReason returns the reason why ctx ended, or "" if it has not.
 func contextReason(ctx context.Context) failure.Reason {
 	switch {
 	case ctx.Err() == nil:
@@ -253,11 +259,11 @@
 	}
 }
 
-func failed(code failure.Reason, ran failure.Outcome, message string, cause error) *failure.Request {
+func requestFailure(code failure.Reason, ran failure.Outcome, message string, cause error) *failure.Request {
 	return &failure.Request{Code: code, Ran: ran, Message: message, Cause: cause}
 }
 
-func mismatch(detail string) error {
+func mismatchError(detail string) error {
 	cause := &FrameError{Code: failure.AnswerMismatch, Detail: detail}
-	return failed(failure.AnswerMismatch, failure.Unknown, "answer belongs to another attempt", cause)
+	return requestFailure(failure.AnswerMismatch, failure.Unknown, "answer belongs to another attempt", cause)
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/springweir/springweir/internal/pipenet"
 )
 
-// serve runs a handler in the bubble and returns a client of it.
+// serve starts a server in the synctest bubble and returns a client of it.
 func serve(t *testing.T, h http.HandlerFunc) (*Client, *pipenet.Listener) {
 	t.Helper()
 	l := pipenet.Listen()
@@ -33,8 +33,8 @@
 	return c, l
 }
 
-// send writes the head for an attempt and the lines.
-func send(attempt string, lines ...string) http.HandlerFunc {
+// respondLines sends the headers for an attempt and the lines.
+func respondLines(attempt string, lines ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(AttemptHeader, attempt)
 		io.WriteString(w, strings.Join(lines, "\n")+"\n")
@@ -42,44 +42,44 @@
 	}
 }
 
-func token(attempt string, position int) string {
+func tokenFrame(attempt string, position int) string {
 	return fmt.Sprintf(`{"attempt":%q,"position":%d,"tokens":1,"text":"x"}`, attempt, position)
 }
 
-const last = `{"attempt":"a","position":2,"finish":"stop"}`
+const lastFrame = `{"attempt":"a","position":2,"finish":"stop"}`
 
-func answer(status int, body string) http.HandlerFunc {
+func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		io.WriteString(w, body)
 	}
 }
 
-func hang(h http.HandlerFunc) http.HandlerFunc {
+func thenHang(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// Only once the body is read does the server see the caller leave.
+		// The server detects the client's disconnect only after reading the body.
 		io.Copy(io.Discard, r.Body)
 		h(w, r)
 		<-r.Context().Done()
 	}
 }
 
-func drop(h http.HandlerFunc) http.HandlerFunc {
+func thenDisconnect(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		h(w, r)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// beats sends empty lines and then the rest.
-func beats(w http.ResponseWriter, r *http.Request) {
-	send("a", "")(w, r)
+// respondWithHeartbeats sends empty lines for 40 s and then a complete response.
+func respondWithHeartbeats(w http.ResponseWriter, r *http.Request) {
+	respondLines("a", "")(w, r)
 	for range 10 {
 		time.Sleep(4 * time.Second)
 		io.WriteString(w, "\n")
 		w.(http.Flusher).Flush()
 	}
-	io.WriteString(w, token("a", 1)+"\n"+last+"\n")
+	io.WriteString(w, tokenFrame("a", 1)+"\n"+lastFrame+"\n")
 }
 
 func TestGenerate(t *testing.T) {
@@ -87,44 +87,44 @@
 		Frames int
 		Reason failure.Reason
 		Ran    failure.Outcome
-		// Dials is the number of connections after a second, whole answer.
+		// Dials is the number of connections after a second, complete response.
 		Dials int
 	}
-	whole := send("a", token("a", 1), last)
+	complete := respondLines("a", tokenFrame("a", 1), lastFrame)
 	refusal := `{"attempt":"a","reason":"endpoint-refused","not_run":true}`
 	for _, tc := range []struct {
 		name string
 		h    http.HandlerFunc
 		want result
 	}{
-		{"whole", whole, result{2, "", "", 1}},
-		{"heartbeats", beats, result{2, "", "", 1}},
-		{"refused", answer(503, refusal), result{0, failure.EndpointRefused, failure.NotRun, 1}},
-		{"refused after start", answer(503, `{"attempt":"a","reason":"endpoint-failed"}`), result{0, failure.EndpointFailed, failure.Unknown, 1}},
-		{"refusal of another attempt", answer(503, strings.Replace(refusal, `"a"`, `"b"`, 1)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"refusal cut short", answer(503, refusal[:40]), result{0, failure.EndpointFailed, failure.Unknown, 1}},
-		{"status without refusal", answer(500, "oops"), result{0, failure.EndpointFailed, failure.Unknown, 1}},
-		{"answer to another attempt", send("b", token("b", 1)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"no attempt", answer(200, token("a", 1)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"crossed frame", send("a", token("a", 1), token("b", 2), last), result{1, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"gap", send("a", token("a", 1), token("a", 3), last), result{1, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"repeated frame", send("a", token("a", 1), token("a", 1), last), result{1, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"starts before the resume point", send("a", token("a", 0)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
-		{"no terminal frame", send("a", token("a", 1)), result{1, failure.AnswerTruncated, failure.Unknown, 2}},
-		{"dropped", drop(send("a", token("a", 1))), result{1, failure.AnswerTruncated, failure.Unknown, 2}},
-		{"half a frame", send("a", token("a", 1)[:20]), result{0, failure.AnswerTruncated, failure.Unknown, 2}},
-		{"frame too long", send("a", strings.Repeat("x", 2<<10)), result{0, failure.EndpointFailed, failure.Unknown, 2}},
-		{"dropped before the head", drop(func(http.ResponseWriter, *http.Request) {}), result{0, failure.EndpointBroke, failure.Unknown, 2}},
-		{"silent before the head", hang(func(http.ResponseWriter, *http.Request) {}), result{0, failure.EndpointBroke, failure.Unknown, 2}},
-		{"silent in the stream", hang(send("a", token("a", 1))), result{1, failure.EndpointBroke, failure.Unknown, 2}},
-		{"more behind the end", send("a", token("a", 1), last, token("a", 2)), result{2, "", "", 2}},
-		{"hangs behind the end", hang(whole), result{2, "", "", 2}},
+		{"whole", complete, result{2, "", "", 1}},
+		{"heartbeats", respondWithHeartbeats, result{2, "", "", 1}},
+		{"refused", respond(503, refusal), result{0, failure.EndpointRefused, failure.NotRun, 1}},
+		{"refused after start", respond(503, `{"attempt":"a","reason":"endpoint-failed"}`), result{0, failure.EndpointFailed, failure.Unknown, 1}},
+		{"refusal of another attempt", respond(503, strings.Replace(refusal, `"a"`, `"b"`, 1)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"refusal cut short", respond(503, refusal[:40]), result{0, failure.EndpointFailed, failure.Unknown, 1}},
+		{"status without refusal", respond(500, "oops"), result{0, failure.EndpointFailed, failure.Unknown, 1}},
+		{"answer to another attempt", respondLines("b", tokenFrame("b", 1)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"no attempt", respond(200, tokenFrame("a", 1)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"crossed frame", respondLines("a", tokenFrame("a", 1), tokenFrame("b", 2), lastFrame), result{1, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"gap", respondLines("a", tokenFrame("a", 1), tokenFrame("a", 3), lastFrame), result{1, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"repeated frame", respondLines("a", tokenFrame("a", 1), tokenFrame("a", 1), lastFrame), result{1, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"starts before the resume point", respondLines("a", tokenFrame("a", 0)), result{0, failure.AnswerMismatch, failure.Unknown, 2}},
+		{"no terminal frame", respondLines("a", tokenFrame("a", 1)), result{1, failure.AnswerTruncated, failure.Unknown, 2}},
+		{"dropped", thenDisconnect(respondLines("a", tokenFrame("a", 1))), result{1, failure.AnswerTruncated, failure.Unknown, 2}},
+		{"half a frame", respondLines("a", tokenFrame("a", 1)[:20]), result{0, failure.AnswerTruncated, failure.Unknown, 2}},
+		{"frame too long", respondLines("a", strings.Repeat("x", 2<<10)), result{0, failure.EndpointFailed, failure.Unknown, 2}},
+		{"dropped before the head", thenDisconnect(func(http.ResponseWriter, *http.Request) {}), result{0, failure.EndpointBroke, failure.Unknown, 2}},
+		{"silent before the head", thenHang(func(http.ResponseWriter, *http.Request) {}), result{0, failure.EndpointBroke, failure.Unknown, 2}},
+		{"silent in the stream", thenHang(respondLines("a", tokenFrame("a", 1))), result{1, failure.EndpointBroke, failure.Unknown, 2}},
+		{"more behind the end", respondLines("a", tokenFrame("a", 1), lastFrame, tokenFrame("a", 2)), result{2, "", "", 2}},
+		{"hangs behind the end", thenHang(complete), result{2, "", "", 2}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				first := true
 				c, l := serve(t, func(w http.ResponseWriter, r *http.Request) {
-					h := whole
+					h := complete
 					if first {
 						h = tc.h
 					}
@@ -140,7 +140,7 @@
 				}
 				synctest.Wait()
 				if n, err := generate(t.Context(), c); n != 2 || err != nil {
-					t.Errorf("whole answer afterwards: %d frames, %v", n, err)
+					t.Errorf("complete response afterwards: %d frames, %v", n, err)
 				}
 				got.Dials = l.Dials()
 				if diff := cmp.Diff(tc.want, got); diff != "" {
@@ -151,7 +151,7 @@
 	}
 }
 
-// generate asks for the answer from position 1 on, and counts its frames.
+// generate requests a response from position 1 on and counts its frames.
 func generate(ctx context.Context, c *Client) (int, error) {
 	s, err := c.Generate(ctx, GenerateRequest{Attempt: "a", ResumeFrom: 1})
 	if err != nil {
@@ -169,30 +169,31 @@
 	}
 }
 
-// Who gave up is told apart from what broke, and a call that never left is not run.
-func TestGivenUp(t *testing.T) {
+// Expired deadlines, cancelled contexts and unreachable engines give different
+// reasons, and a call that was never sent has the outcome NotRun.
+func TestGenerateFailureReasons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, l := serve(t, hang(send("a", token("a", 1))))
+		c, l := serve(t, thenHang(respondLines("a", tokenFrame("a", 1))))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := generate(ctx, c)
-		check(t, err, failure.DeadlinePassed, failure.Unknown)
+		checkFailure(t, err, failure.DeadlinePassed, failure.Unknown)
 
 		ctx, cancel = context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, cancel)
 		_, err = generate(ctx, c)
-		check(t, err, failure.CallerGone, failure.Unknown)
+		checkFailure(t, err, failure.CallerGone, failure.Unknown)
 
 		_, err = generate(ctx, c)
-		check(t, err, failure.CallerGone, failure.NotRun)
+		checkFailure(t, err, failure.CallerGone, failure.NotRun)
 
 		l.Close()
 		_, err = generate(t.Context(), c)
-		check(t, err, failure.EndpointUnreachable, failure.NotRun)
+		checkFailure(t, err, failure.EndpointUnreachable, failure.NotRun)
 	})
 }
 
-func check(t *testing.T, err error, reason failure.Reason, ran failure.Outcome) {
+func checkFailure(t *testing.T, err error, reason failure.Reason, ran failure.Outcome) {
 	t.Helper()
 	var f *failure.Request
 	if !errors.As(err, &f) || f.Code != reason || f.Ran != ran {
@@ -200,8 +201,8 @@
 	}
 }
 
-// An empty snapshot differs from none: it tells that nothing is cached.
-func TestEmptySnapshotArrives(t *testing.T) {
+// An empty snapshot, which means that nothing is cached, must not decode as nil.
+func TestEmptySnapshotDecoded(t *testing.T) {
 	for _, want := range []CacheEvents{
 		{Incarnation: "i", Snapshot: []uint64{}, Next: 9},
 		{Incarnation: "i", Snapshot: []uint64{7}, Next: 9},
@@ -212,7 +213,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c, _ := serve(t, answer(http.StatusOK, string(body)))
+			c, _ := serve(t, respond(http.StatusOK, string(body)))
 			got, err := c.Events(t.Context(), 1)
 			if diff := cmp.Diff(want, got); diff != "" || err != nil {
 				t.Errorf("%v (-want +got):\n%s", err, diff)
@@ -234,7 +235,7 @@
 		{`oops`, &UnreachableError{Sent: true, Cause: &StatusError{Status: 409, Body: "oops"}}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			c, _ := serve(t, answer(409, tc.body))
+			c, _ := serve(t, respond(409, tc.body))
 			o := Order{ID: "o2", Fence: 7, Incarnation: "old"}
 			_, err := c.Order(t.Context(), o, time.Now().Add(time.Second))
 			if diff := cmp.Diff(tc.want, err); diff != "" {
@@ -244,10 +245,9 @@
 	}
 }
 
-// Each order has a connection of its own, and at its deadline the sender stops,
-// knowing whether anything left.
+// Order returns at its deadline and reports whether any byte may have been sent.
 func TestOrderDeadline(t *testing.T) {
-	unread := func(context.Context, string, string) (net.Conn, error) {
+	blocked := func(context.Context, string, string) (net.Conn, error) {
 		c, _ := net.Pipe()
 		return c, nil
 	}
@@ -257,7 +257,7 @@
 		go io.Copy(io.Discard, s)
 		return c, nil
 	}
-	silent := func(context.Context, string, string) (net.Conn, error) {
+	unanswered := func(context.Context, string, string) (net.Conn, error) {
 		c, s := net.Pipe()
 		go io.Copy(io.Discard, s)
 		return c, nil
@@ -268,9 +268,9 @@
 		sent bool
 		took time.Duration
 	}{
-		{"window shut", unread, false, time.Second},
+		{"window shut", blocked, false, time.Second},
 		{"connected too late", slow, false, 2 * time.Second},
-		{"no answer", silent, true, time.Second},
+		{"no answer", unanswered, true, time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -286,28 +286,28 @@
 	}
 }
 
-// lateConn takes every write, as a socket does whose deadline has passed while
-// the process was paused and whose timer has not fired yet.
-type lateConn struct {
+// unboundedConn accepts every write, like a socket whose deadline passed while the
+// process was paused and whose timer has not fired yet.
+type unboundedConn struct {
 	net.Conn
 	written int
 }
 
-func (c *lateConn) SetDeadline(time.Time) error { return nil }
+func (c *unboundedConn) SetDeadline(time.Time) error { return nil }
 
-func (c *lateConn) Close() error { return nil }
+func (c *unboundedConn) Close() error { return nil }
 
-func (c *lateConn) Write(p []byte) (int, error) {
+func (c *unboundedConn) Write(p []byte) (int, error) {
 	c.written += len(p)
 	return len(p), nil
 }
 
-func (c *lateConn) Read([]byte) (int, error) { return 0, io.EOF }
+func (c *unboundedConn) Read([]byte) (int, error) { return 0, io.EOF }
 
-// A process that wakes after the deadline looks at the clock before it writes.
-func TestOrderLooksAtTheClock(t *testing.T) {
+// A process that resumes after the deadline must not write the order.
+func TestOrderChecksDeadlineBeforeWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		conn := new(lateConn)
+		conn := new(unboundedConn)
 		c := NewClient(Options{Address: "engine", Dial: func(context.Context, string, string) (net.Conn, error) {
 			time.Sleep(2 * time.Second)
 			return conn, nil
@@ -320,8 +320,8 @@
 	})
 }
 
-// On a real socket, giving an order up resets the connection, so that the
-// kernel keeps nothing to send.
+// On a real socket, cancelling an order resets the connection, so that the kernel
+// retains no unsent data.
 func TestOrderResetsConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -337,7 +337,7 @@
 			return
 		}
 		defer conn.Close()
-		// Once something has come, the order is sent; then give it up.
+		// The first byte shows that the order was sent; then cancel it.
 		_, err = conn.Read(make([]byte, 1))
 		cancel()
 		for err == nil {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,12 +1,12 @@
-// Package engine is the system's view of a model engine: generation streams,
+// Package engine defines the interface to model engines: generation streams,
 // KV transfer, cache events, load reports and orders.
 //
-// The interface is narrow so that another wire format can be swapped in.
-// Client speaks HTTP/JSON; package engine/fakeengine is the in-memory fake.
+// The interface is narrow so that the wire format can be replaced.
+// Client speaks HTTP/JSON; package engine/fakeengine is an in-memory fake.
 //
 // The package builds on Linux only. The hard deadline of an order's connection
-// needs TCP_USER_TIMEOUT, without which the kernel of a paused sender could
-// deliver the order long after the sender's lease has ended.
+// requires TCP_USER_TIMEOUT, without which the kernel of a paused sender could
+// deliver the order long after the sender's lease has expired.
 package engine
 
 import (
@@ -16,38 +16,38 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Role is the kind of work that an engine takes.
+// Role is the kind of work that an engine accepts.
 type Role string
 
-// The roles.
+// Engine roles. Mixed runs both prefill and decode.
 const (
 	Prefill Role = "prefill"
 	Decode  Role = "decode"
 	Mixed   Role = "mixed"
 )
 
-// Priority orders work on an engine. Lower is more urgent.
+// Priority orders requests on an engine. Lower values are more urgent.
 type Priority int
 
-// The priority classes.
+// Priority classes.
 const (
-	// Interactive is a short question that somebody waits for.
+	// Interactive is for short requests with a user waiting.
 	Interactive Priority = 0
-	// Standard is the default.
+	// Standard is the default class.
 	Standard Priority = 1
-	// Batch can wait.
+	// Batch is for requests without a latency requirement.
 	Batch Priority = 2
 )
 
-// GenerateRequest asks an engine for one answer.
+// GenerateRequest is a request for one completion.
 type GenerateRequest struct {
-	// ID is the caller's request; Attempt is unique for each try. The engine
-	// echoes Attempt in every frame.
+	// ID identifies the caller's request; Attempt is unique to each attempt.
+	// The engine echoes Attempt in every frame.
 	ID      string `json:"id"`
 	Attempt string `json:"attempt"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Version is the version of the weights; empty takes any loaded one.
+	// Version is the version of the weights; empty accepts any loaded version.
 	Version  string   `json:"version,omitempty"`
 	Priority Priority `json:"priority"`
 	// Prompt is the text; PrefixHashes are the hashes of its leading blocks,
@@ -56,50 +56,51 @@
 	PromptTokens int      `json:"prompt_tokens"`
 	PrefixHashes []uint64 `json:"prefix_hashes,omitempty"`
 	MaxTokens    int      `json:"max_tokens"`
-	// DeadlineMillis is the time left, in milliseconds; zero means none.
+	// DeadlineMillis is the time remaining, in milliseconds; zero means no deadline.
 	DeadlineMillis int64 `json:"deadline_ms,omitempty"`
-	// KV names a cache exported by another engine to import instead of
-	// prefilling; empty means prefill here.
+	// KV refers to a cache exported by another engine, to import instead of
+	// prefilling; nil means that this engine prefills.
 	KV *KVRef `json:"kv,omitempty"`
-	// ResumeFrom is the number of tokens that the caller already holds. The
-	// engine continues after it. Zero starts anew.
+	// ResumeFrom is the number of tokens that the caller already received. The
+	// engine continues after them. Zero starts from the beginning.
 	ResumeFrom int `json:"resume_from,omitempty"`
-	// Emitted are those tokens' text, so that another engine can rebuild the state.
+	// Emitted is the text of those tokens, from which another engine can rebuild
+	// the state.
 	Emitted string `json:"emitted,omitempty"`
 	// PrefillOnly stops after the prompt; the final frame carries the KVRef.
 	PrefillOnly bool `json:"prefill_only,omitempty"`
 }
 
-// KVRef names a KV cache held by an engine for a short time.
+// KVRef refers to a KV cache that an engine retains for a short time.
 type KVRef struct {
 	// Engine is the exporter's address (host:port).
 	Engine string `json:"engine"`
-	// Handle is the exporter's name for it; Incarnation is the exporter's.
+	// Handle identifies the cache at the exporter; Incarnation is the exporter's.
 	Handle      string `json:"handle"`
 	Incarnation string `json:"incarnation"`
 	Tokens      int    `json:"tokens"`
-	// Digest is checked by the importer: a partial cache is refused.
+	// Digest is verified by the importer, which refuses a partial cache.
 	Digest string `json:"digest"`
 }
 
-// FinishReason tells why a stream ended; empty in frames before the last.
+// FinishReason is why a stream ended; empty in frames before the last.
 type FinishReason string
 
-// The finish reasons.
+// Finish reasons.
 const (
 	Stop      FinishReason = "stop"
 	Length    FinishReason = "length"
 	Cancelled FinishReason = "cancelled"
 	Prefilled FinishReason = "prefilled"
-	// Failed ends a stream that the engine gave up on; Frame.Error says why.
+	// Failed ends a stream that the engine aborted; Frame.Error holds the cause.
 	Failed FinishReason = "failed"
 )
 
-// Frame is one piece of a stream.
+// Frame is one event of a stream.
 type Frame struct {
 	Attempt string `json:"attempt"`
-	// Position is the index of the first token in Text, from zero for the
-	// whole answer (so a resumed stream starts at ResumeFrom).
+	// Position is the index of the first token of Text in the complete
+	// response, from zero (so a resumed stream starts at ResumeFrom).
 	Position int    `json:"position"`
 	Tokens   int    `json:"tokens"`
 	Text     string `json:"text"`
@@ -112,33 +113,34 @@
 }
 
 // Stream delivers frames in order. Next returns io.EOF after the terminal
-// frame. A stream that ends without one gives *failure.Request with reason
-// AnswerTruncated. Close releases the connection; closing early cancels the work.
+// frame. It fails with *failure.Request, with reason AnswerTruncated if the
+// stream ended without a terminal frame. Close releases the connection; closing
+// early cancels the attempt.
 type Stream interface {
 	Next(ctx context.Context) (Frame, error)
 	Close() error
 }
 
-// Load is an engine's lagging load report.
+// Load is an engine's load report. It lags behind the engine's state by its age.
 type Load struct {
-	// Waiting and Running are requests; WaitingTokens are prompt tokens not
-	// yet prefilled; DecodeTokens are tokens of context being decoded.
+	// Waiting and Running count requests; WaitingTokens counts prompt tokens
+	// not yet prefilled; DecodeTokens counts context tokens of decoding requests.
 	Waiting       int `json:"waiting"`
 	Running       int `json:"running"`
 	WaitingTokens int `json:"waiting_tokens"`
 	DecodeTokens  int `json:"decode_tokens"`
-	// KVUsed and KVTotal are tokens of cache memory.
+	// KVUsed and KVTotal are the used and total cache memory, in tokens.
 	KVUsed  int `json:"kv_used"`
 	KVTotal int `json:"kv_total"`
-	// Age is how old the figures were when they were sent.
+	// AgeMillis is the age of the figures when they were sent, in milliseconds.
 	AgeMillis int64 `json:"age_ms"`
-	// Sequence grows by one with each report of an incarnation.
+	// Sequence increases by one with each report of an incarnation.
 	Sequence uint64 `json:"sequence"`
-	// Recent lists ids of attempts that the figures include (bounded).
+	// Recent lists the IDs of the latest attempts included in the figures (bounded).
 	Recent []string `json:"recent,omitempty"`
 }
 
-// State is what an engine says of itself now.
+// State is an engine's reported state.
 type State struct {
 	// Incarnation changes at every start of the engine.
 	Incarnation string                 `json:"incarnation"`
@@ -146,41 +148,42 @@
 	Loaded      []weightstore.Artifact `json:"loaded"`
 	// Streams is the number of open streams.
 	Streams int `json:"streams"`
-	// Leaving is set once the engine's VM is told to stop.
+	// Leaving is set once the engine's VM has been ordered to stop.
 	Leaving bool `json:"leaving"`
 	// Order is the last order accepted in this incarnation, or nil.
 	Order *OrderState `json:"order,omitempty"`
 	Load  Load        `json:"load"`
-	// HighestFence is the highest fencing number seen (zero when not kept).
+	// HighestFence is the highest fencing token received (zero if not tracked).
 	HighestFence uint64 `json:"highest_fence"`
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the operation that an order requests.
 type OrderKind string
 
-// The kinds of order.
+// Kinds of orders.
 const (
 	ChangeRole OrderKind = "change-role"
 	LoadOrder  OrderKind = "load"
 	Unload     OrderKind = "unload"
 )
 
-// Order tells an engine to change itself. Sending the same ID again is idempotent.
+// Order requests a change of an engine's role or loaded weights. Resending the
+// same ID is idempotent.
 type Order struct {
 	ID string `json:"id"`
-	// Fence is the fencing number of the sender's lease.
+	// Fence is the fencing token of the sender's lease.
 	Fence uint64 `json:"fence"`
-	// Incarnation is the incarnation meant; another one refuses it.
+	// Incarnation is the target incarnation; any other refuses the order.
 	Incarnation string                `json:"incarnation"`
 	Kind        OrderKind             `json:"kind"`
 	Role        Role                  `json:"role,omitempty"`
 	Artifact    *weightstore.Artifact `json:"artifact,omitempty"`
 }
 
-// OrderPhase is how far an order has come.
+// OrderPhase is the stage of an order's execution.
 type OrderPhase string
 
-// The phases of an order.
+// Phases of an order.
 const (
 	OrderRunning OrderPhase = "running"
 	OrderDone    OrderPhase = "done"
@@ -195,9 +198,9 @@
 	Error string     `json:"error,omitempty"`
 }
 
-// CacheEvent tells that a prefix block was stored or evicted.
+// CacheEvent reports that a prefix block was stored or evicted.
 type CacheEvent struct {
-	// Sequence grows by one; a jump is a gap.
+	// Sequence increases by one; a jump means that events were missed.
 	Sequence uint64 `json:"sequence"`
 	Hash     uint64 `json:"hash"`
 	// Stored is false for an eviction.
@@ -208,26 +211,27 @@
 type CacheEvents struct {
 	Incarnation string       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
-	// Snapshot holds all hashes when the asked sequence is too old. Nil means
-	// that there is none; an empty one tells that nothing is cached.
+	// Snapshot holds all cached hashes if the requested sequence is too old.
+	// Nil means no snapshot; an empty one means that nothing is cached.
 	Snapshot []uint64 `json:"snapshot,omitzero"`
-	// Next is the sequence to ask for next.
+	// Next is the sequence to request next.
 	Next uint64 `json:"next"`
 }
 
-// Engine talks to one engine. Implementations are safe for concurrent use and
-// never repeat a call by themselves. Generate fails with *failure.Request with
-// an honest Outcome; Order fails with the order errors in errors.go.
+// Engine is a connection to one engine. Implementations are safe for concurrent
+// use and never retry a call. Generate fails with *failure.Request, whose Outcome
+// is NotRun only if the attempt certainly did not run. Order fails with the order
+// errors of this package.
 type Engine interface {
-	// Generate starts (or, with ResumeFrom or KV, continues) an answer.
+	// Generate starts a response or, with ResumeFrom or KV, continues one.
 	Generate(ctx context.Context, req GenerateRequest) (Stream, error)
-	// Cancel ends an attempt. Cancelling an unknown one is no error.
+	// Cancel ends an attempt. Cancelling an unknown attempt is not an error.
 	Cancel(ctx context.Context, attempt string) error
-	// State reads the engine's state and its load report.
+	// State returns the engine's state with its load report.
 	State(ctx context.Context) (State, error)
-	// Events reads cache events from sequence since.
+	// Events returns the cache events from sequence since on.
 	Events(ctx context.Context, since uint64) (CacheEvents, error)
-	// Order sends an order over a connection of its own and returns once the
-	// engine has accepted it. No byte of it leaves after deadline.
+	// Order sends an order over a dedicated connection and returns once the
+	// engine has accepted it. No byte is sent after deadline.
 	Order(ctx context.Context, o Order, deadline time.Time) (OrderState, error)
 }
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -6,7 +6,8 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// StaleFenceError is an order refused because a higher fencing number was seen.
+// StaleFenceError reports an order refused because the engine has received a
+// higher fencing token.
 type StaleFenceError struct{ Sent, Highest uint64 }
 
 // Error implements error.
@@ -17,7 +18,8 @@
 // Reason implements failure.Coded.
 func (e *StaleFenceError) Reason() failure.Reason { return failure.StaleFence }
 
-// IncarnationError is an order meant for another incarnation of the engine.
+// IncarnationError reports an order refused because it targets another
+// incarnation of the engine.
 type IncarnationError struct{ Want, Have string }
 
 // Error implements error.
@@ -28,7 +30,8 @@
 // Reason implements failure.Coded.
 func (e *IncarnationError) Reason() failure.Reason { return failure.WrongIncarnation }
 
-// BusyError is an order refused because another order is running.
+// BusyError reports an order refused because another order, Running, is in
+// progress.
 type BusyError struct{ Running string }
 
 // Error implements error.
@@ -37,8 +40,8 @@
 // Reason implements failure.Coded.
 func (e *BusyError) Reason() failure.Reason { return failure.EngineBusy }
 
-// UnreachableError is a call to an engine that failed. Sent tells whether any
-// byte of it may have left this process.
+// UnreachableError reports a failed call to an engine. Sent reports whether any
+// byte of the call may have left this process.
 type UnreachableError struct {
 	Sent  bool
 	Cause error
--- a/engine/fakeengine/fakeengine.go
+++ b/engine/fakeengine/fakeengine.go
@@ -1,7 +1,7 @@
 // Package fakeengine is an in-memory engine.Engine for tests in virtual time.
-// It can crash, freeze, answer late or as another attempt, and be hit by orders
-// that arrive late or at a crash point. It records every attempt and order with
-// its effect, so that a checker can ask afterwards what ran.
+// It can crash, freeze, respond late or for another attempt, and receive orders
+// late or at a crash point. It records every attempt and order with its effect, so
+// that tests can check afterwards what ran.
 package fakeengine
 
 import (
@@ -17,49 +17,51 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Options describe a fake. Zero times mean at once.
+// Options configures a fake. Zero durations mean no delay.
 type Options struct {
-	// Incarnation names the first incarnation; Restart counts from it.
+	// Incarnation names the first incarnation; Restart appends "+1", "+2" and so on.
 	Incarnation string
 	Role        engine.Role
 	Loaded      []weightstore.Artifact
-	// CheckFence refuses orders with an old fencing number.
+	// CheckFence makes the engine refuse orders with a stale fencing token.
 	CheckFence bool
-	// FirstTokenDelay and TokenInterval are the times before the first and each later token.
+	// FirstTokenDelay and TokenInterval are the delays before the first and each
+	// later token.
 	FirstTokenDelay time.Duration
 	TokenInterval   time.Duration
-	// OrderDuration is how long an order takes.
+	// OrderDuration is the execution time of an order.
 	OrderDuration time.Duration
 }
 
-// Engine is the fake. It is safe for concurrent use. Lock order: mu is the only
-// lock, and nothing waits while it is held.
+// Engine is the fake. It is safe for concurrent use. mu is the only lock and is
+// never held while waiting.
 type Engine struct {
 	opts Options
 
-	mu          sync.Mutex
-	started     int
-	life        *life
-	role        engine.Role
-	loaded      []weightstore.Artifact
-	leaving     bool
-	unreachable bool
-	frozen      chan struct{}
-	load        engine.Load
-	cache       map[uint64]bool
-	events      []engine.CacheEvent
-	script      func(engine.GenerateRequest) Behaviour
-	orderScript func(engine.Order) OrderBehaviour
-	streams     map[string]*stream
-	attempts    []*AttemptRecord
-	orders      []*OrderRecord
-}
-
-// life is one incarnation. Closing ended crashes it.
-type life struct {
-	book  enginemodel.OrderBook
-	ended chan struct{}
-	over  bool
+	mu           sync.Mutex
+	incarnations int
+	incarnation  *incarnation
+	role         engine.Role
+	loaded       []weightstore.Artifact
+	leaving      bool
+	unreachable  bool
+	frozen       chan struct{}
+	load         engine.Load
+	cache        map[uint64]bool
+	events       []engine.CacheEvent
+	script       func(engine.GenerateRequest) Behaviour
+	orderScript  func(engine.Order) OrderBehaviour
+	streams      map[string]*stream
+	attempts     []*AttemptRecord
+	orders       []*OrderRecord
+}
+
+// incarnation is one run of the engine, from its start to its crash. crashed is
+// closed, and isCrashed set, when it ends; mu of Engine guards isCrashed and orderBook.
+type incarnation struct {
+	orderBook enginemodel.OrderBook
+	crashed   chan struct{}
+	isCrashed bool
 }
 
 var _ engine.Engine = (*Engine)(nil)
@@ -73,25 +75,25 @@
 		cache:   make(map[uint64]bool),
 		streams: make(map[string]*stream),
 	}
-	e.begin()
+	e.startIncarnation()
 	return e
 }
 
-// begin starts an incarnation. The caller holds mu, or is New.
-func (e *Engine) begin() {
-	e.started++
+// startIncarnation starts the next incarnation. The caller holds mu, except in New.
+func (e *Engine) startIncarnation() {
+	e.incarnations++
 	name := e.opts.Incarnation
-	if e.started > 1 {
-		name = fmt.Sprintf("%s+%d", name, e.started-1)
+	if e.incarnations > 1 {
+		name = fmt.Sprintf("%s+%d", name, e.incarnations-1)
 	}
-	e.life = &life{
-		book:  enginemodel.OrderBook{Incarnation: name, CheckFence: e.opts.CheckFence},
-		ended: make(chan struct{}),
+	e.incarnation = &incarnation{
+		orderBook: enginemodel.OrderBook{Incarnation: name, CheckFence: e.opts.CheckFence},
+		crashed:   make(chan struct{}),
 	}
 }
 
-// Crash ends the incarnation with all its streams and its order. Until Restart
-// the engine is unreachable.
+// Crash ends the incarnation with all its streams and its order. The engine is
+// unreachable until Restart.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,27 +101,27 @@
 }
 
 func (e *Engine) crash() {
-	if !e.life.over {
-		e.life.over = true
-		close(e.life.ended)
+	if !e.incarnation.isCrashed {
+		e.incarnation.isCrashed = true
+		close(e.incarnation.crashed)
 	}
 	clear(e.cache)
 	e.events = nil
 	clear(e.streams)
 }
 
-// Restart crashes the engine if it runs, and starts a new incarnation as it is
-// configured: with the role and artifacts of Options, whatever orders changed.
+// Restart crashes the engine if it is running and starts a new incarnation with the
+// role and artifacts of Options, discarding the changes made by orders.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crash()
 	e.role, e.loaded = e.opts.Role, e.opts.Loaded
 	e.leaving = false
-	e.begin()
+	e.startIncarnation()
 }
 
-// Freeze makes the engine take calls and answer nothing until Thaw.
+// Freeze makes the engine accept calls without responding until Thaw.
 func (e *Engine) Freeze() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +130,7 @@
 	}
 }
 
-// Thaw ends Freeze.
+// Thaw undoes Freeze.
 func (e *Engine) Thaw() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,33 +140,34 @@
 	}
 }
 
-// SetLeaving changes State.Leaving. A leaving engine refuses new attempts.
+// SetLeaving sets State.Leaving. A leaving engine refuses new attempts.
 func (e *Engine) SetLeaving(on bool) { e.set(func() { e.leaving = on }) }
 
-// SetUnreachable makes new calls fail before anything is sent.
+// SetUnreachable sets whether new calls fail before anything is sent.
 func (e *Engine) SetUnreachable(on bool) { e.set(func() { e.unreachable = on }) }
 
-// SetLoad changes the load report.
+// SetLoad sets the load report.
 func (e *Engine) SetLoad(l engine.Load) { e.set(func() { e.load = l }) }
 
-// Script sets what happens to later attempts; nil makes them succeed.
+// Script sets the behaviour of later attempts; nil makes them succeed.
 func (e *Engine) Script(f func(engine.GenerateRequest) Behaviour) { e.set(func() { e.script = f }) }
 
-// ScriptOrders sets what happens to later orders; nil makes them succeed.
+// ScriptOrders sets the behaviour of later orders; nil makes them succeed.
 func (e *Engine) ScriptOrders(f func(engine.Order) OrderBehaviour) {
 	e.set(func() { e.orderScript = f })
 }
 
+// set runs change with mu held.
 func (e *Engine) set(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// Store adds a block to the prefix cache, Evict removes it. Each is an event.
+// Store adds a block to the prefix cache and emits a cache event.
 func (e *Engine) Store(hash uint64) { e.cacheEvent(hash, true) }
 
-// Evict removes a block from the prefix cache.
+// Evict removes a block from the prefix cache and emits a cache event.
 func (e *Engine) Evict(hash uint64) { e.cacheEvent(hash, false) }
 
 func (e *Engine) cacheEvent(hash uint64, stored bool) {
@@ -175,32 +178,32 @@
 	e.events = append(e.events, engine.CacheEvent{Sequence: seq, Hash: hash, Stored: stored})
 }
 
-// enter is the start of every call: it fails when the engine can't be reached
-// and waits while it is frozen.
-func (e *Engine) enter(ctx context.Context) (*life, error) {
+// awaitReady begins every call: it fails if the engine is unreachable and waits
+// while it is frozen.
+func (e *Engine) awaitReady(ctx context.Context) (*incarnation, error) {
 	e.mu.Lock()
-	l, frozen, gone := e.life, e.frozen, e.unreachable || e.life.over
+	inc, frozen, down := e.incarnation, e.frozen, e.unreachable || e.incarnation.isCrashed
 	e.mu.Unlock()
 	if ctx.Err() != nil {
 		return nil, &engine.UnreachableError{Cause: ctx.Err()}
 	}
-	if gone {
+	if down {
 		return nil, &engine.UnreachableError{Cause: &downError{}}
 	}
 	if frozen == nil {
-		return l, nil
+		return inc, nil
 	}
 	select {
 	case <-frozen:
-		return l, nil
-	case <-l.ended:
+		return inc, nil
+	case <-inc.crashed:
 		return nil, &engine.UnreachableError{Sent: true, Cause: &downError{}}
 	case <-ctx.Done():
 		return nil, &engine.UnreachableError{Sent: true, Cause: ctx.Err()}
 	}
 }
 
-// downError is a call to an engine that does not run or is cut off.
+// downError reports a call to an engine that is crashed or unreachable.
 type downError struct{}
 
 func (*downError) Error() string { return "fake engine is down" }
@@ -210,33 +213,33 @@
 
 // State implements engine.Engine.
 func (e *Engine) State(ctx context.Context) (engine.State, error) {
-	l, err := e.enter(ctx)
+	inc, err := e.awaitReady(ctx)
 	if err != nil {
 		return engine.State{}, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return engine.State{
-		Incarnation:  l.book.Incarnation,
+		Incarnation:  inc.orderBook.Incarnation,
 		Role:         e.role,
 		Loaded:       slices.Clone(e.loaded),
 		Streams:      len(e.streams),
 		Leaving:      e.leaving,
-		Order:        l.book.State(),
+		Order:        inc.orderBook.State(),
 		Load:         e.load,
-		HighestFence: l.book.Highest(),
+		HighestFence: inc.orderBook.Highest(),
 	}, nil
 }
 
-// Events implements engine.Engine. Sequence zero gets a snapshot.
+// Events implements engine.Engine. Sequence zero returns a snapshot.
 func (e *Engine) Events(ctx context.Context, since uint64) (engine.CacheEvents, error) {
-	l, err := e.enter(ctx)
+	inc, err := e.awaitReady(ctx)
 	if err != nil {
 		return engine.CacheEvents{}, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := engine.CacheEvents{Incarnation: l.book.Incarnation, Next: uint64(len(e.events) + 1)}
+	out := engine.CacheEvents{Incarnation: inc.orderBook.Incarnation, Next: uint64(len(e.events) + 1)}
 	if since > 0 {
 		out.Events = slices.Clone(e.events[min(since-1, uint64(len(e.events))):])
 		return out, nil
--- a/engine/fakeengine/fakeengine_test.go
+++ b/engine/fakeengine/fakeengine_test.go
@@ -16,7 +16,7 @@
 
 const prompt = "May a container stand in the Molenstraat?"
 
-func options() Options {
+func testOptions() Options {
 	return Options{
 		Incarnation:   "one",
 		Role:          engine.Mixed,
@@ -25,8 +25,8 @@
 	}
 }
 
-// read collects a stream's text and how it ended.
-func read(ctx context.Context, s engine.Stream) (string, engine.FinishReason, error) {
+// readAll returns a stream's text and its finish reason or error.
+func readAll(ctx context.Context, s engine.Stream) (string, engine.FinishReason, error) {
 	defer s.Close()
 	var text string
 	for {
@@ -50,15 +50,15 @@
 }
 
 func TestAttempts(t *testing.T) {
-	whole, _ := enginemodel.AnswerTokens(prompt, 0)
-	during := 50 * time.Millisecond // three tokens
+	total, _ := enginemodel.AnswerTokens(prompt, 0)
+	interruptAfter := 50 * time.Millisecond // three tokens
 	for _, tc := range []struct {
-		name string
-		b    Behaviour
-		at   func(*Engine) // called once three tokens have come
-		want outcome
+		name      string
+		behaviour Behaviour
+		interrupt func(*Engine) // called after three tokens
+		want      outcome
 	}{
-		{"whole", Behaviour{}, nil, outcome{Tokens: whole, Finish: engine.Stop, Record: AttemptRecord{Ran: true, Completed: true, Tokens: whole}}},
+		{"whole", Behaviour{}, nil, outcome{Tokens: total, Finish: engine.Stop, Record: AttemptRecord{Ran: true, Completed: true, Tokens: total}}},
 		{"refused", Behaviour{Refuse: failure.EndpointRefused}, nil, outcome{Reason: failure.EndpointRefused, Ran: failure.NotRun}},
 		{"broke before", Behaviour{DisconnectBeforeRun: true}, nil, outcome{Reason: failure.EndpointBroke, Ran: failure.Unknown}},
 		{"truncated", Behaviour{Ending: Truncated, AfterTokens: 2}, nil, outcome{Tokens: 2, Reason: failure.AnswerTruncated, Ran: failure.Unknown, Record: AttemptRecord{Ran: true, Tokens: 2}}},
@@ -77,19 +77,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				e := New(options())
-				e.Script(func(engine.GenerateRequest) Behaviour { return tc.b })
-				if tc.at != nil {
-					time.AfterFunc(during, func() { tc.at(e) })
+				e := New(testOptions())
+				e.Script(func(engine.GenerateRequest) Behaviour { return tc.behaviour })
+				if tc.interrupt != nil {
+					time.AfterFunc(interruptAfter, func() { tc.interrupt(e) })
 				}
 				got := outcome{}
 				s, err := e.Generate(ctx, engine.GenerateRequest{Attempt: "a1", Prompt: prompt})
 				if err == nil {
 					var text string
-					text, got.Finish, err = read(ctx, s)
+					text, got.Finish, err = readAll(ctx, s)
 					for text != enginemodel.AnswerText(prompt, 0, got.Tokens) {
-						if got.Tokens++; got.Tokens > whole {
-							t.Fatalf("text is spliced: %q", text)
+						if got.Tokens++; got.Tokens > total {
+							t.Fatalf("text is not a prefix of the expected response: %q", text)
 						}
 					}
 				}
@@ -102,21 +102,21 @@
 				if diff := cmp.Diff(tc.want, got); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
 				}
-				e.Crash() // ends what the order left running
+				e.Crash() // ends the goroutine of a running order
 			})
 		})
 	}
 }
 
-func TestResumeGoesOnWhereItStopped(t *testing.T) {
-	whole, _ := enginemodel.AnswerTokens(prompt, 0)
+func TestResumeContinuesFromPosition(t *testing.T) {
+	total, _ := enginemodel.AnswerTokens(prompt, 0)
 	e := New(Options{})
 	s, err := e.Generate(t.Context(), engine.GenerateRequest{Attempt: "a2", Prompt: prompt, ResumeFrom: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, _, err := read(t.Context(), s)
-	if want := enginemodel.AnswerText(prompt, 5, whole); text != want || err != nil {
+	text, _, err := readAll(t.Context(), s)
+	if want := enginemodel.AnswerText(prompt, 5, total); text != want || err != nil {
 		t.Errorf("got %q, %v, want %q", text, err, want)
 	}
 	if _, err := s.Next(t.Context()); err != io.EOF {
@@ -124,10 +124,10 @@
 	}
 }
 
-// An importer checks the digest, so an export without one is of no use.
+// The importer verifies the digest, so every export must carry one.
 func TestExportHasDigestOfPrompt(t *testing.T) {
 	export := func(prompt string) engine.KVRef {
-		s, err := New(options()).Generate(t.Context(), engine.GenerateRequest{
+		s, err := New(testOptions()).Generate(t.Context(), engine.GenerateRequest{
 			Attempt: "a", Prompt: prompt, PromptTokens: 9, PrefillOnly: true,
 		})
 		if err != nil {
@@ -141,7 +141,7 @@
 	}
 	kv := export(prompt)
 	if kv.Digest == "" || kv.Digest == export("another").Digest {
-		t.Errorf("digest %q does not tell prompts apart", kv.Digest)
+		t.Errorf("digest %q does not distinguish prompts", kv.Digest)
 	}
 	kv.Digest = ""
 	if diff := cmp.Diff(engine.KVRef{Handle: "a", Incarnation: "one", Tokens: 9}, kv); diff != "" {
@@ -149,7 +149,7 @@
 	}
 }
 
-// What the sender learns of an order, and what came of it.
+// The error that the sender receives for an order, and the order's effect.
 func TestOrders(t *testing.T) {
 	type result struct {
 		Sent    any // error type and whether it was sent, or nil
@@ -163,11 +163,11 @@
 	a, b := role("a", "one", 1, engine.Prefill), role("b", "one", 2, engine.Decode)
 	ok := failure.Reason("")
 	for _, tc := range []struct {
-		name    string
-		checked bool
-		b       OrderBehaviour // of order a
-		then    *engine.Order  // sent 10 s later
-		want    result         // Sent of order a
+		name       string
+		checkFence bool
+		behaviour  OrderBehaviour // of order a
+		next       *engine.Order  // sent 10 s later
+		want       result         // Sent of order a
 	}{
 		{"done", false, OrderBehaviour{}, nil, result{nil, engine.Prefill, []failure.Reason{ok}, 1}},
 		{"lost", false, OrderBehaviour{Lost: true}, nil, result{true, engine.Mixed, nil, 0}},
@@ -186,14 +186,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := options()
-				o.CheckFence = tc.checked
+				o := testOptions()
+				o.CheckFence = tc.checkFence
 				e := New(o)
 				first := true
 				e.ScriptOrders(func(engine.Order) OrderBehaviour {
 					defer func() { first = false }()
 					if first {
-						return tc.b
+						return tc.behaviour
 					}
 					return OrderBehaviour{}
 				})
@@ -206,11 +206,11 @@
 					t.Fatal(err)
 				}
 				time.Sleep(10 * time.Second)
-				if tc.b.Crash != enginemodel.NoCrash {
+				if tc.behaviour.Crash != enginemodel.NoCrash {
 					e.Restart()
 				}
-				if tc.then != nil {
-					e.Order(t.Context(), *tc.then, time.Now().Add(time.Second))
+				if tc.next != nil {
+					e.Order(t.Context(), *tc.next, time.Now().Add(time.Second))
 				}
 				time.Sleep(time.Minute)
 				state, err := e.State(t.Context())
--- a/engine/fakeengine/orders.go
+++ b/engine/fakeengine/orders.go
@@ -11,17 +11,18 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// OrderBehaviour is what happens to one order on its way and at the engine.
+// OrderBehaviour is the scripted fate of one order in the network and at the engine.
 type OrderBehaviour struct {
-	// Lost never arrives, and the sender can't tell.
+	// Lost drops the order; the sender gets no response.
 	Lost bool
-	// Delay arrives after this time, also when the sender has given up or died.
+	// Delay is the network delay. The order arrives even if the sender has given
+	// up or exited by then.
 	Delay time.Duration
-	// LoseResponse loses the engine's answer.
+	// LoseResponse drops the engine's response.
 	LoseResponse bool
-	// Fail lets the order run its time and fail.
+	// Fail makes the order run for OrderDuration and then fail.
 	Fail bool
-	// Crash ends the incarnation at a point.
+	// Crash is the point at which the incarnation crashes.
 	Crash enginemodel.CrashPoint
 }
 
@@ -30,10 +31,10 @@
 	Order       engine.Order
 	Incarnation string
 	ReceivedAt  time.Time
-	// Refused is the reason of a refusal, or empty.
+	// Refused is the reason of the refusal, or empty.
 	Refused failure.Reason
-	// Started is set when the order began to change the engine; a repeat of the
-	// last order does not. DoneAt is when it had, or zero.
+	// Started is set if the order started to execute; a repeat of the last order
+	// does not. DoneAt is when it completed, or zero.
 	Started bool
 	DoneAt  time.Time
 }
@@ -49,15 +50,15 @@
 	return out
 }
 
-// reply is what the engine answers to an order; none when it is lost.
-type reply struct {
+// orderResult is the engine's response to an order; lost means no response.
+type orderResult struct {
 	state engine.OrderState
 	err   error
 	lost  bool
 }
 
-// Order implements engine.Engine. What is sent travels on by itself: it
-// arrives whatever becomes of the sender, unless ScriptOrders loses it.
+// Order implements engine.Engine. Once sent, an order arrives even if the sender
+// stops waiting, unless ScriptOrders drops it.
 func (e *Engine) Order(ctx context.Context, o engine.Order, deadline time.Time) (engine.OrderState, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -66,17 +67,17 @@
 	if e.orderScript != nil {
 		b = e.orderScript(o)
 	}
-	gone := e.unreachable || e.life.over
+	down := e.unreachable || e.incarnation.isCrashed
 	e.mu.Unlock()
-	if ctx.Err() != nil || gone || time.Until(deadline) <= 0 {
+	if ctx.Err() != nil || down || time.Until(deadline) <= 0 {
 		return engine.OrderState{}, &engine.UnreachableError{Cause: &downError{}}
 	}
-	answer := make(chan reply, 1)
+	result := make(chan orderResult, 1)
 	if !b.Lost {
-		go func() { answer <- e.deliver(o, b) }()
+		go func() { result <- e.deliver(o, b) }()
 	}
 	select {
-	case r := <-answer:
+	case r := <-result:
 		if r.lost {
 			return engine.OrderState{}, &engine.UnreachableError{Sent: true, Cause: &downError{}}
 		}
@@ -86,106 +87,107 @@
 	}
 }
 
-// deliver carries an order to the engine and waits out a freeze there.
-func (e *Engine) deliver(o engine.Order, b OrderBehaviour) reply {
+// deliver hands an order to the engine after its delay and once it is not frozen.
+func (e *Engine) deliver(o engine.Order, b OrderBehaviour) orderResult {
 	time.Sleep(b.Delay)
-	l, err := e.enter(context.Background())
+	inc, err := e.awaitReady(context.Background())
 	if err != nil {
-		return reply{lost: true}
+		return orderResult{lost: true}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.over || b.Crash == enginemodel.CrashBeforeAccept {
-		e.crashLife(l)
-		return reply{lost: true}
+	if inc.isCrashed || b.Crash == enginemodel.CrashBeforeAccept {
+		e.crashIncarnation(inc)
+		return orderResult{lost: true}
 	}
-	rec := &OrderRecord{Order: o, Incarnation: l.book.Incarnation, ReceivedAt: time.Now()}
+	rec := &OrderRecord{Order: o, Incarnation: inc.orderBook.Incarnation, ReceivedAt: time.Now()}
 	e.orders = append(e.orders, rec)
-	rec.Started, err = l.book.Accept(o)
+	rec.Started, err = inc.orderBook.Accept(o)
 	if err != nil {
 		rec.Refused = failure.ReasonOf(err)
-		return reply{err: err, lost: b.LoseResponse}
+		return orderResult{err: err, lost: b.LoseResponse}
 	}
 	if rec.Started {
-		e.cutStreams(o)
-		go e.carryOut(l, rec, b)
+		e.interruptStreams(o)
+		go e.execute(inc, rec, b)
 	}
 	if b.Crash == enginemodel.CrashAfterAccept {
-		e.crashLife(l)
-		return reply{lost: true}
+		e.crashIncarnation(inc)
+		return orderResult{lost: true}
 	}
-	return reply{state: *l.book.State(), lost: b.LoseResponse}
+	return orderResult{state: *inc.orderBook.State(), lost: b.LoseResponse}
 }
 
-// cuts tells whether an order breaks off all streams, as a change of role or of
-// a base model does.
-func cuts(o engine.Order) bool {
+// interruptsStreams reports whether an order interrupts all streams, as a change of
+// role or of a base model does.
+func interruptsStreams(o engine.Order) bool {
 	return o.Kind == engine.ChangeRole || o.Artifact.Adapter == ""
 }
 
-// cutStreams breaks the open streams off if the order does that. The caller holds mu.
-func (e *Engine) cutStreams(o engine.Order) {
-	if !cuts(o) {
+// interruptStreams interrupts the open streams if the order requires it. The caller
+// holds mu.
+func (e *Engine) interruptStreams(o engine.Order) {
+	if !interruptsStreams(o) {
 		return
 	}
 	for _, s := range e.streams {
 		s.rec.InterruptedBy = o.ID
-		close(s.cut)
+		close(s.interrupted)
 	}
 	clear(e.streams)
 }
 
-// carryOut changes the engine after OrderDuration, unless the incarnation ends.
-func (e *Engine) carryOut(l *life, rec *OrderRecord, b OrderBehaviour) {
-	if !l.lives(e.opts.OrderDuration / 2) {
+// execute applies the order after OrderDuration, unless the incarnation ends.
+func (e *Engine) execute(inc *incarnation, rec *OrderRecord, b OrderBehaviour) {
+	if !inc.sleep(e.opts.OrderDuration / 2) {
 		return
 	}
 	if b.Crash == enginemodel.CrashMidway {
-		e.set(func() { e.crashLife(l) })
+		e.set(func() { e.crashIncarnation(inc) })
 		return
 	}
-	if !l.lives(e.opts.OrderDuration - e.opts.OrderDuration/2) {
+	if !inc.sleep(e.opts.OrderDuration - e.opts.OrderDuration/2) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.over {
+	if inc.isCrashed {
 		return
 	}
 	if b.Fail {
-		l.book.Fail("order failed")
+		inc.orderBook.Fail("order failed")
 		return
 	}
-	e.change(rec.Order)
+	e.apply(rec.Order)
 	rec.DoneAt = time.Now()
 	if b.Crash == enginemodel.CrashAtEnd {
-		e.crashLife(l)
+		e.crashIncarnation(inc)
 		return
 	}
-	l.book.Finish()
+	inc.orderBook.Finish()
 }
 
-// lives waits and tells whether the incarnation is still there.
-func (l *life) lives(d time.Duration) bool {
+// sleep waits for d. It returns false early if the incarnation crashes.
+func (inc *incarnation) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-l.ended:
+	case <-inc.crashed:
 		return false
 	}
 }
 
-// crashLife crashes the incarnation if it is still the engine's.
-func (e *Engine) crashLife(l *life) {
-	if e.life == l {
+// crashIncarnation crashes inc if it is the current incarnation. The caller holds mu.
+func (e *Engine) crashIncarnation(inc *incarnation) {
+	if e.incarnation == inc {
 		e.crash()
 	}
 }
 
-func (e *Engine) change(o engine.Order) {
-	without := func() []weightstore.Artifact {
+func (e *Engine) apply(o engine.Order) {
+	withoutArtifact := func() []weightstore.Artifact {
 		same := func(a weightstore.Artifact) bool { return a == *o.Artifact }
 		return slices.DeleteFunc(slices.Clone(e.loaded), same)
 	}
@@ -193,8 +195,8 @@
 	case engine.ChangeRole:
 		e.role = o.Role
 	case engine.LoadOrder:
-		e.loaded = append(without(), *o.Artifact)
+		e.loaded = append(withoutArtifact(), *o.Artifact)
 	case engine.Unload:
-		e.loaded = without()
+		e.loaded = withoutArtifact()
 	}
 }
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -14,32 +14,31 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Order implements Engine. Each order has a connection of its own, so that no
-// other traffic can hold it up or bring it back, and the deadline binds three
-// places where the order could wait:
+// Order implements Engine. Each order uses a dedicated connection, so that other
+// traffic can neither delay nor replay it. An order can be delayed in three places:
 //
-//   - in this process: the deadline is looked at right before the one write,
-//     and the connection's own deadline ends a write that blocks;
-//   - in this VM's kernel, unsent because the engine's receive window is shut or
-//     the network drops packets: TCP_USER_TIMEOUT, set to the time left, makes
+//   - in this process: the deadline is checked immediately before the single
+//     write, and the connection's deadline ends a write that blocks;
+//   - in this VM's kernel, unsent because the engine's receive window is closed or
+//     the network drops packets: TCP_USER_TIMEOUT, set to the time remaining, makes
 //     the kernel give up even while this process is paused, and SO_LINGER of
-//     zero makes it throw away what is unsent when the connection is closed;
-//   - at the engine, behind other work: out of reach, see below.
+//     zero makes it discard unsent data when the connection is closed;
+//   - at the engine, behind other work: this side cannot bound that delay.
 //
-// What stays open: a process paused between the look at the clock and the
-// write system call, which are adjacent, sends on waking (the runtime's own
-// deadline may or may not have fired by then); a VM whose monotonic clock
-// stands still while it is suspended; and bytes that left in time but are
-// still in the network or in the engine's receive buffer. An engine that checks
-// fencing numbers refuses such an order. For one that does not, the successor
-// must wait for the predecessor's word (see package lease).
+// An order can still take effect after the deadline in three cases: the process is
+// paused between the deadline check and the write system call, which are adjacent,
+// and sends on resuming (the runtime's deadline may or may not have fired by then);
+// the VM's monotonic clock stops while the VM is suspended; or bytes sent in time
+// are still in the network or in the engine's receive buffer. An engine that checks
+// fencing tokens refuses such an order. For one that does not, the lease's next
+// holder must wait for its predecessor's confirmation (see package lease).
 //
 // It fails with *StaleFenceError, *IncarnationError, *BusyError or
-// *RefusedError when the engine refused, and else with *UnreachableError.
+// *RefusedError if the engine refuses the order, otherwise with *UnreachableError.
 func (c *Client) Order(ctx context.Context, o Order, deadline time.Time) (OrderState, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	message, err := c.orderMessage(o)
+	encoded, err := c.encodeOrder(o)
 	if err != nil {
 		return OrderState{}, &UnreachableError{Cause: err}
 	}
@@ -50,21 +49,21 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if err := bindDeadline(conn, deadline); err != nil {
+	if err := setConnDeadline(conn, deadline); err != nil {
 		return OrderState{}, &UnreachableError{Cause: err}
 	}
 	if time.Until(deadline) <= 0 {
 		return OrderState{}, &UnreachableError{Cause: context.DeadlineExceeded}
 	}
-	n, err := conn.Write(message)
+	n, err := conn.Write(encoded)
 	if err != nil {
 		return OrderState{}, &UnreachableError{Sent: n > 0, Cause: err}
 	}
 	return readOrderState(conn, o)
 }
 
-// orderMessage is the whole request, so that one write sends it.
-func (c *Client) orderMessage(o Order) ([]byte, error) {
+// encodeOrder returns the complete HTTP request, so that a single write sends it.
+func (c *Client) encodeOrder(o Order) ([]byte, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return nil, err
@@ -89,7 +88,9 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", c.opts.Address)
 }
 
-func bindDeadline(conn net.Conn, deadline time.Time) error {
+// setConnDeadline limits conn's reads and writes to deadline. For TCP it also
+// bounds the kernel's retransmission and discards unsent data on close.
+func setConnDeadline(conn net.Conn, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -111,14 +112,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, orderRefusal(resp, o)
+		return s, orderRefusalError(resp, o)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	if err == nil {
 		err = json.Unmarshal(body, &s)
 	}
 	if err == nil && s.ID != o.ID {
-		err = &FrameError{Code: failure.AnswerMismatch, Detail: "answer is for order " + s.ID}
+		err = &FrameError{Code: failure.AnswerMismatch, Detail: "response is for order " + s.ID}
 	}
 	if err != nil {
 		return OrderState{}, &UnreachableError{Sent: true, Cause: err}
@@ -126,7 +127,9 @@
 	return s, nil
 }
 
-func orderRefusal(resp *http.Response, o Order) error {
+// orderRefusalError converts a non-200 response into an error. A refusal that does
+// not rule out execution becomes *UnreachableError with Sent set.
+func orderRefusalError(resp *http.Response, o Order) error {
 	r, err := readRefusal(resp)
 	if err != nil {
 		return &UnreachableError{Sent: true, Cause: err}
@@ -145,17 +148,17 @@
 	return &RefusedError{Code: r.Reason, Message: r.Message}
 }
 
-// RefusalOf returns the refusal that tells of an order's failure, for servers.
+// RefusalOf converts an order error into the Refusal that a server sends.
 func RefusalOf(err error) Refusal {
 	r := Refusal{Reason: failure.ReasonOf(err), Message: err.Error(), NotRun: true}
 	var stale *StaleFenceError
-	var other *IncarnationError
+	var incarnation *IncarnationError
 	var busy *BusyError
 	switch {
 	case errors.As(err, &stale):
 		r.HighestFence = stale.Highest
-	case errors.As(err, &other):
-		r.Have = other.Have
+	case errors.As(err, &incarnation):
+		r.Have = incarnation.Have
 	case errors.As(err, &busy):
 		r.Running = busy.Running
 	}
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -13,51 +13,52 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// scanBuffer is the usual size of a stream's read buffer; it grows up to MaxFrame.
-const scanBuffer = 4 << 10
+// initialScanBytes is the initial size of a stream's read buffer, which grows up to
+// MaxFrame.
+const initialScanBytes = 4 << 10
 
 // drainTimeout bounds the wait for the end of the body after the terminal frame.
 const drainTimeout = 50 * time.Millisecond
 
-// stream reads the frames of one answer. Its invariant: every frame returned is
-// of this attempt and continues exactly where the one before it ended.
+// stream reads the frames of one response. Invariant: every frame returned belongs
+// to this attempt and starts exactly where the previous one ended.
 type stream struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// given is closed when the context of Generate ends, which ends ctx too.
-	given    <-chan struct{}
-	resp     *httponce.Response
-	lines    *bufio.Scanner
-	attempt  string
-	position int
-	idle     time.Duration
-	// timer ends the stream after idle; it runs only inside Next.
+	// callerDone is closed when the context passed to Generate, ctx's parent, is done.
+	callerDone  <-chan struct{}
+	resp        *httponce.Response
+	lines       *bufio.Scanner
+	attempt     string
+	position    int
+	idleTimeout time.Duration
+	// timer ends the stream after idleTimeout; it runs only during Next.
 	timer *time.Timer
-	// frame is where a line is decoded.
+	// frame is the decoding buffer, reused for every line.
 	frame Frame
-	// err is what Next returns from now on; io.EOF after the terminal frame.
+	// err is returned by all further calls of Next; io.EOF after the terminal frame.
 	err error
 }
 
 func newStream(ctx context.Context, cancel context.CancelCauseFunc, resp *httponce.Response, req GenerateRequest, o Options) *stream {
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, min(scanBuffer, o.MaxFrame)), o.MaxFrame)
-	silent := func() { cancel(&IdleTimeoutError{Timeout: o.IdleTimeout.String()}) }
-	timer := time.AfterFunc(o.IdleTimeout, silent)
+	lines.Buffer(make([]byte, 0, min(initialScanBytes, o.MaxFrame)), o.MaxFrame)
+	onIdle := func() { cancel(&IdleTimeoutError{Timeout: o.IdleTimeout.String()}) }
+	timer := time.AfterFunc(o.IdleTimeout, onIdle)
 	timer.Stop()
 	return &stream{
-		timer:    timer,
-		ctx:      ctx,
-		cancel:   cancel,
-		resp:     resp,
-		lines:    lines,
-		attempt:  req.Attempt,
-		position: req.ResumeFrom,
-		idle:     o.IdleTimeout,
+		timer:       timer,
+		ctx:         ctx,
+		cancel:      cancel,
+		resp:        resp,
+		lines:       lines,
+		attempt:     req.Attempt,
+		position:    req.ResumeFrom,
+		idleTimeout: o.IdleTimeout,
 	}
 }
 
-// Next implements Stream. When ctx ends, so does the stream.
+// Next implements Stream. The stream ends when ctx is done.
 func (s *stream) Next(ctx context.Context) (Frame, error) {
 	if s.err != nil {
 		return Frame{}, s.err
@@ -65,7 +66,7 @@
 	f, err := s.read(ctx)
 	if err != nil {
 		s.err = err
-		// A connection that broke a rule may carry more of the same: no reuse.
+		// The connection may hold more invalid data, so it is not reused.
 		s.cancel(err)
 		s.resp.Abort()
 		return Frame{}, err
@@ -77,58 +78,58 @@
 }
 
 func (s *stream) read(ctx context.Context) (Frame, error) {
-	if ctx.Done() != s.given {
+	if ctx.Done() != s.callerDone {
 		stop := context.AfterFunc(ctx, func() { s.cancel(context.Cause(ctx)) })
 		defer stop()
 	}
-	s.timer.Reset(s.idle)
+	s.timer.Reset(s.idleTimeout)
 	defer s.timer.Stop()
 	for s.lines.Scan() {
 		if len(s.lines.Bytes()) > 0 {
 			return s.parse(s.lines.Bytes())
 		}
-		s.timer.Reset(s.idle)
+		s.timer.Reset(s.idleTimeout)
 	}
-	return Frame{}, s.broken(ctx)
+	return Frame{}, s.endError(ctx)
 }
 
-// broken tells why no further frame came.
-func (s *stream) broken(ctx context.Context) error {
-	var silent *IdleTimeoutError
+// endError returns the error for a stream that ended without a terminal frame.
+func (s *stream) endError(ctx context.Context) error {
+	var idle *IdleTimeoutError
 	err := s.lines.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
-		return failed(failure.EndpointFailed, failure.Unknown, "frame is too long", err)
-	case errors.As(context.Cause(s.ctx), &silent):
-		return failed(failure.EndpointBroke, failure.Unknown, "engine fell silent", silent)
+		return requestFailure(failure.EndpointFailed, failure.Unknown, "frame is too long", err)
+	case errors.As(context.Cause(s.ctx), &idle):
+		return requestFailure(failure.EndpointBroke, failure.Unknown, "engine fell silent", idle)
 	case contextReason(ctx) != "":
-		return failed(contextReason(ctx), failure.Unknown, "answer was given up", ctx.Err())
+		return requestFailure(contextReason(ctx), failure.Unknown, "answer was given up", ctx.Err())
 	case contextReason(s.ctx) != "":
-		return failed(contextReason(s.ctx), failure.Unknown, "answer was given up", s.ctx.Err())
+		return requestFailure(contextReason(s.ctx), failure.Unknown, "answer was given up", s.ctx.Err())
 	default:
-		return failed(failure.AnswerTruncated, failure.Unknown, "stream ended before its answer", err)
+		return requestFailure(failure.AnswerTruncated, failure.Unknown, "stream ended before its answer", err)
 	}
 }
 
 func (s *stream) parse(line []byte) (Frame, error) {
 	s.frame = Frame{}
 	if err := json.Unmarshal(line, &s.frame); err != nil {
-		// The last line of a broken stream has no end, so it does not parse.
-		return Frame{}, failed(failure.AnswerTruncated, failure.Unknown, "frame is not whole", err)
+		// The last line of a truncated stream is incomplete and does not parse.
+		return Frame{}, requestFailure(failure.AnswerTruncated, failure.Unknown, "frame is not whole", err)
 	}
 	f := s.frame
 	if f.Attempt != s.attempt {
-		return Frame{}, mismatch(fmt.Sprintf("frame is for attempt %q", f.Attempt))
+		return Frame{}, mismatchError(fmt.Sprintf("frame is for attempt %q", f.Attempt))
 	}
 	if f.Tokens < 0 || (f.Tokens > 0 && f.Position != s.position) {
-		return Frame{}, mismatch(fmt.Sprintf("frame at %d, want %d", f.Position, s.position))
+		return Frame{}, mismatchError(fmt.Sprintf("frame at %d, want %d", f.Position, s.position))
 	}
 	s.position += f.Tokens
 	return f, nil
 }
 
-// Close implements Stream. The connection is kept for reuse only after a whole
-// answer with nothing behind it.
+// Close implements Stream. The connection is reused only after a complete response
+// with no data after it.
 func (s *stream) Close() error {
 	if errors.Is(s.err, io.EOF) {
 		timer := time.AfterFunc(drainTimeout, func() { s.cancel(nil) })
--- a/engine/usertimeout_linux_test.go
+++ b/engine/usertimeout_linux_test.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The kernel gets the time left, and never zero, which would mean for ever.
+// The timeout is the time remaining and never zero, which would select the kernel's
+// default of many minutes.
 func TestUserTimeoutIsSet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,8 +22,8 @@
 	}
 	defer conn.Close()
 	tcp := conn.(*net.TCPConn)
-	for left, want := range map[time.Duration]int{1500 * time.Millisecond: 1500, time.Microsecond: 1, -time.Second: 1} {
-		if err := setUserTimeout(tcp, left); err != nil {
+	for remaining, want := range map[time.Duration]int{1500 * time.Millisecond: 1500, time.Microsecond: 1, -time.Second: 1} {
+		if err := setUserTimeout(tcp, remaining); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := tcp.SyscallConn()
@@ -34,7 +35,7 @@
 			got, _ = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		})
 		if err != nil || got != want {
-			t.Errorf("%v left: kernel has %d ms, %v; want %d", left, got, err, want)
+			t.Errorf("%v remaining: kernel has %d ms, %v; want %d", remaining, got, err, want)
 		}
 	}
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -8,48 +8,49 @@
 
 // Paths of the HTTP interface that Client speaks and standin/engine serves.
 const (
-	// GeneratePath takes a GenerateRequest by POST. The answer is 200 with
-	// one Frame in JSON a line, and empty lines that only show that the engine
-	// lives; or a Refusal with another status.
+	// GeneratePath accepts a GenerateRequest by POST. The response is 200 with
+	// one JSON Frame per line and empty lines as heartbeats, or a Refusal with
+	// another status.
 	GeneratePath = "/v1/generate"
-	// CancelPath takes a CancelRequest by POST.
+	// CancelPath accepts a CancelRequest by POST.
 	CancelPath = "/v1/cancel"
-	// StatePath gives a State by GET.
+	// StatePath returns a State by GET.
 	StatePath = "/v1/state"
-	// EventsPath gives CacheEvents by GET, from the parameter SinceParam.
+	// EventsPath returns CacheEvents by GET, from the sequence in SinceParam.
 	EventsPath = "/v1/events"
 	SinceParam = "since"
-	// OrderPath takes an Order by POST and gives an OrderState or a Refusal.
+	// OrderPath accepts an Order by POST and returns an OrderState or a Refusal.
 	OrderPath = "/v1/orders"
 )
 
-// AttemptHeader echoes the attempt in the head of an answer.
+// AttemptHeader is the response header that echoes the attempt.
 const AttemptHeader = "Springweir-Attempt"
 
-// CancelRequest asks to end an attempt.
+// CancelRequest is the body of a request to end an attempt.
 type CancelRequest struct {
 	Attempt string `json:"attempt"`
 }
 
-// Refusal is the body of an answer that is not a success.
+// Refusal is the body of an unsuccessful response.
 type Refusal struct {
-	// Attempt is the attempt refused (not for orders).
+	// Attempt is the refused attempt (empty for orders).
 	Attempt string         `json:"attempt,omitempty"`
 	Reason  failure.Reason `json:"reason"`
 	Message string         `json:"message"`
-	// NotRun is the engine's word that it has not started and will not.
+	// NotRun guarantees that the engine has not started the work and will not.
 	NotRun bool `json:"not_run"`
-	// RetryAfterMillis says when coming back makes sense; zero means never.
+	// RetryAfterMillis is the suggested delay before a retry, in milliseconds;
+	// zero means that a retry is of no use.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
-	// HighestFence goes with reason StaleFence, Have with WrongIncarnation and
+	// HighestFence is set with reason StaleFence, Have with WrongIncarnation and
 	// Running with EngineBusy.
 	HighestFence uint64 `json:"highest_fence,omitempty"`
 	Have         string `json:"have,omitempty"`
 	Running      string `json:"running,omitempty"`
 }
 
-// RefusedError is a call that the engine refused for a reason with no type of
-// its own. The engine has then not acted on it.
+// RefusedError reports a call that the engine refused for a reason without a
+// specific error type. The engine has not acted on it.
 type RefusedError struct {
 	Code    failure.Reason
 	Message string
@@ -61,8 +62,8 @@
 // Reason implements failure.Coded.
 func (e *RefusedError) Reason() failure.Reason { return e.Code }
 
-// StatusError is an answer with a status that the interface does not know, or
-// a body that cannot be understood. Nothing is known about the call's effect.
+// StatusError reports a response with an unexpected status or an undecodable
+// body. The call's effect is unknown.
 type StatusError struct {
 	Status int
 	Body   string
@@ -70,13 +71,13 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("engine answered status %d: %q", e.Status, e.Body)
+	return fmt.Sprintf("engine responded with status %d: %q", e.Status, e.Body)
 }
 
 // Reason implements failure.Coded.
 func (e *StatusError) Reason() failure.Reason { return failure.EndpointFailed }
 
-// FrameError is an answer that breaks the rules of the interface.
+// FrameError reports a response that violates the protocol.
 type FrameError struct {
 	Code   failure.Reason
 	Detail string
@@ -88,11 +89,11 @@
 // Reason implements failure.Coded.
 func (e *FrameError) Reason() failure.Reason { return e.Code }
 
-// IdleTimeoutError is a stream on which nothing came for the idle timeout.
+// IdleTimeoutError reports a stream that received no data for the idle timeout.
 type IdleTimeoutError struct{ Timeout string }
 
 // Error implements error.
-func (e *IdleTimeoutError) Error() string { return "engine silent for " + e.Timeout }
+func (e *IdleTimeoutError) Error() string { return "no data from engine for " + e.Timeout }
 
 // Reason implements failure.Coded.
 func (e *IdleTimeoutError) Reason() failure.Reason { return failure.EndpointBroke }
