--- a/object/client.go
+++ b/object/client.go
@@ -10,19 +10,19 @@
 	"github.com/springweir/springweir/internal/httponce"
 )
 
-// Path is the HTTP path before an object's name. PUT stores the body, GET
-// returns it, or 404.
+// Path is the HTTP path prefix of an object's name. PUT stores the body, GET
+// returns it or status 404, DELETE removes it.
 const Path = "/object/"
 
-// Limits of a store.
+// Limits of the store.
 const (
-	// MaxBytes is the largest object.
+	// MaxBytes is the maximum size of an object in bytes.
 	MaxBytes = 16 << 20
-	// MaxNameBytes is the longest name.
+	// MaxNameBytes is the maximum length of a name in bytes.
 	MaxNameBytes = 1024
 )
 
-// InvalidError is an object that breaks a limit. Nothing was stored.
+// InvalidError reports an object that exceeds a limit. Nothing was stored.
 type InvalidError struct {
 	Name    string
 	Problem string
@@ -36,7 +36,7 @@
 // Reason implements failure.Coded.
 func (e *InvalidError) Reason() failure.Reason { return failure.ObjectInvalid }
 
-// StatusError is an answer with an unexpected HTTP status.
+// StatusError reports a response with an unexpected HTTP status.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -47,7 +47,7 @@
 // Reason implements failure.Coded.
 func (e *StatusError) Reason() failure.Reason { return failure.ObjectUnavailable }
 
-// Validate returns an *InvalidError unless data may be stored under name.
+// Validate returns an *InvalidError if name or data exceeds a limit.
 func Validate(name string, data []byte) error {
 	if name == "" || len(name) > MaxNameBytes {
 		return &InvalidError{Name: name, Problem: fmt.Sprintf("name must have 1 to %d bytes", MaxNameBytes)}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Client speaks HTTP to the platform's object store.
+// Client is an HTTP client of the platform's object store.
 type Client struct {
 	base   string
 	sender *httponce.Sender
@@ -98,14 +98,14 @@
 }
 
 func (c *Client) call(ctx context.Context, method, name string, data []byte) ([]byte, error) {
-	a, err := c.sender.Call(ctx, method, c.base+url.PathEscape(name), nil, data)
+	resp, err := c.sender.Call(ctx, method, c.base+url.PathEscape(name), nil, data)
 	switch {
 	case err != nil:
 		return nil, &UnavailableError{Cause: err}
-	case a.Status == http.StatusNotFound && method == http.MethodGet:
+	case resp.Status == http.StatusNotFound && method == http.MethodGet:
 		return nil, &MissingError{Name: name}
-	case a.Status != http.StatusOK:
-		return nil, &UnavailableError{Cause: &StatusError{Status: a.Status}}
+	case resp.Status != http.StatusOK:
+		return nil, &UnavailableError{Cause: &StatusError{Status: resp.Status}}
 	}
-	return a.Body, nil
+	return resp.Body, nil
 }
--- a/object/memobject/memobject.go
+++ b/object/memobject/memobject.go
@@ -12,7 +12,8 @@
 	"github.com/springweir/springweir/object"
 )
 
-// Store is an in-memory object.Store. Its lock is never held while waiting.
+// Store is an in-memory object.Store. It is safe for concurrent use; its lock is
+// never held while waiting.
 type Store struct {
 	mu      sync.Mutex
 	objects map[string][]byte
@@ -22,21 +23,21 @@
 
 var _ object.Store = (*Store)(nil)
 
-// Fault is what to do to every call. The zero value does nothing.
+// Fault is the fault injected into every call. The zero value injects none.
 type Fault struct {
-	// Delay is how long a call waits before anything else happens.
+	// Delay is the time that a call waits before it is processed.
 	Delay time.Duration
-	// Down fails calls before they have any effect.
+	// Down makes calls fail before they take effect.
 	Down bool
-	// LoseResponse lets a Put take effect and fails it all the same.
+	// LoseResponse makes a Put fail after it has taken effect.
 	LoseResponse bool
 }
 
-// Counts are the calls since the start, failed ones included.
+// Counts holds the numbers of calls since the store was created, including failed
+// ones.
 type Counts struct {
-	Puts uint64 `json:"puts"`
-	Gets uint64 `json:"gets"`
-	// Deletes are counted apart from puts.
+	Puts    uint64 `json:"puts"`
+	Gets    uint64 `json:"gets"`
 	Deletes uint64 `json:"deletes"`
 }
 
@@ -52,14 +53,14 @@
 // New returns an empty store.
 func New() *Store { return &Store{objects: make(map[string][]byte)} }
 
-// SetFault puts f in force; the zero Fault ends all faults.
+// SetFault activates f; the zero Fault clears all faults.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,8 +72,8 @@
 	if err := object.Validate(name, data); err != nil {
 		return err
 	}
-	f := s.begin(func(c *Counts) { c.Puts++ })
-	if err := f.hit(ctx); err != nil {
+	f := s.startCall(func(c *Counts) { c.Puts++ })
+	if err := f.apply(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -86,8 +87,8 @@
 
 // Get implements object.Store.
 func (s *Store) Get(ctx context.Context, name string) ([]byte, error) {
-	f := s.begin(func(c *Counts) { c.Gets++ })
-	if err := f.hit(ctx); err != nil {
+	f := s.startCall(func(c *Counts) { c.Gets++ })
+	if err := f.apply(ctx); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -101,8 +102,8 @@
 
 // Delete implements object.Store.
 func (s *Store) Delete(ctx context.Context, name string) error {
-	f := s.begin(func(c *Counts) { c.Deletes++ })
-	if err := f.hit(ctx); err != nil {
+	f := s.startCall(func(c *Counts) { c.Deletes++ })
+	if err := f.apply(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -111,16 +112,16 @@
 	return nil
 }
 
-// begin counts a call and returns the fault in force.
-func (s *Store) begin(count func(*Counts)) Fault {
+// startCall counts a call and returns the active fault.
+func (s *Store) startCall(count func(*Counts)) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count(&s.counts)
 	return s.fault
 }
 
-// hit waits and fails as f says.
-func (f Fault) hit(ctx context.Context) error {
+// apply waits for f.Delay and returns the injected error, if any.
+func (f Fault) apply(ctx context.Context) error {
 	if f.Delay > 0 {
 		loop.Sleep(ctx, f.Delay)
 	}
--- a/object/object.go
+++ b/object/object.go
@@ -1,4 +1,4 @@
-// Package object is the system's view of the platform's object store.
+// Package object defines the interface to the platform's object store.
 package object
 
 import (
@@ -8,20 +8,20 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Store keeps immutable blobs by name. Implementations are safe for concurrent
-// use. Errors are *UnavailableError or *MissingError.
+// Store stores immutable blobs by name. Implementations are safe for concurrent
+// use. Errors are *UnavailableError, *MissingError or *InvalidError.
 type Store interface {
 	// Put stores data under name. Putting the same name twice with the same
 	// data is idempotent.
 	Put(ctx context.Context, name string, data []byte) error
 	// Get returns the data stored under name.
 	Get(ctx context.Context, name string) ([]byte, error)
-	// Delete removes what is stored under name. It is idempotent: a name that
-	// is not stored is no failure.
+	// Delete removes the data stored under name. It is idempotent: a missing
+	// name is not an error.
 	Delete(ctx context.Context, name string) error
 }
 
-// UnavailableError is a call that failed; a Put may have taken effect.
+// UnavailableError reports a failed call. A Put or Delete may have taken effect.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -35,7 +35,7 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// MissingError is a name that is not stored.
+// MissingError reports a name under which nothing is stored.
 type MissingError struct{ Name string }
 
 // Error implements error.
--- a/service/fakeservice/fakeservice.go
+++ b/service/fakeservice/fakeservice.go
@@ -1,5 +1,5 @@
-// Package fakeservice is an in-memory service.Endpoint for tests. It records
-// every call and whether it ran, so that a checker can ask afterwards.
+// Package fakeservice is an in-memory service.Endpoint for tests. It records every
+// call and whether it ran, so that tests can check this afterwards.
 package fakeservice
 
 import (
@@ -15,27 +15,31 @@
 	"github.com/springweir/springweir/service"
 )
 
-// Behaviour is what happens to one call, in the order of the fields.
+// Behaviour is the scripted behaviour of one call, applied in the order of the
+// fields.
 type Behaviour struct {
 	// Unreachable fails the call before anything is sent.
 	Unreachable bool
-	// Refuse fails it by the endpoint's word that it did not run.
+	// Refuse fails the call with a refusal that guarantees that it did not run.
 	Refuse bool
-	// DisconnectBeforeRun breaks the connection after sending and before the run.
+	// DisconnectBeforeRun closes the connection after the call is sent and before
+	// it runs.
 	DisconnectBeforeRun bool
-	// Delay passes before the run. A caller who leaves meanwhile learns
-	// nothing, and the call runs all the same: the endpoint does not see it.
+	// Delay is the time before the run. If the caller disconnects meanwhile, it
+	// cannot learn the outcome, and the call still runs: the endpoint does not
+	// detect the disconnect.
 	Delay time.Duration
-	// DisconnectAfterRun breaks the connection after the run.
+	// DisconnectAfterRun closes the connection after the run.
 	DisconnectAfterRun bool
-	// ResponseDelay passes between run and answer.
+	// ResponseDelay is the time between the run and the response.
 	ResponseDelay time.Duration
-	// ResponseAttempt answers as another attempt, which fails the call.
+	// ResponseAttempt is the attempt echoed in the response; another attempt than
+	// the call's fails the call. Empty echoes the call's.
 	ResponseAttempt string
-	// Status and Body are the answer; zero means 200 and "ok".
+	// Status and Body are the response; zero values mean 200 and "ok".
 	Status int
 	Body   string
-	// Leaving marks the answer.
+	// Leaving sets Response.Leaving.
 	Leaving bool
 }
 
@@ -43,11 +47,11 @@
 type Record struct {
 	Call       service.Call
 	ReceivedAt time.Time
-	// Ran tells whether the call has run.
+	// Ran reports whether the call has run.
 	Ran bool
 }
 
-// Endpoint is the fake. Its zero value answers every call with 200 and "ok".
+// Endpoint is the fake. Its zero value responds to every call with 200 and "ok".
 // It is safe for concurrent use.
 type Endpoint struct {
 	mu      sync.Mutex
@@ -57,7 +61,7 @@
 
 var _ service.Endpoint = (*Endpoint)(nil)
 
-// Script sets what happens to later calls; nil makes them succeed.
+// Script sets the behaviour of later calls; nil makes them succeed.
 func (e *Endpoint) Script(f func(service.Call) Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,7 +79,7 @@
 	return out
 }
 
-// Runs is the number of runs of calls with an Idempotency-Key, or of an attempt.
+// Runs returns how many calls ran whose idempotency key or attempt is id.
 func (e *Endpoint) Runs(id string) int {
 	n := 0
 	for _, r := range e.Records() {
@@ -92,27 +96,28 @@
 	call.Header = call.Header.Clone()
 	call.Body = slices.Clone(call.Body)
 	if err := ctx.Err(); err != nil {
-		return nil, givenUp(ctx, failure.NotRun)
+		return nil, contextFailure(ctx, failure.NotRun)
 	}
 	b := e.behaviour(call)
 	if b.Unreachable {
-		return nil, failed(failure.EndpointUnreachable, failure.NotRun)
+		return nil, requestFailure(failure.EndpointUnreachable, failure.NotRun)
 	}
 	rec := e.record(call)
 	switch {
 	case b.Refuse:
-		return nil, failed(failure.EndpointRefused, failure.NotRun)
+		return nil, requestFailure(failure.EndpointRefused, failure.NotRun)
 	case b.DisconnectBeforeRun:
-		return nil, failed(failure.EndpointBroke, failure.Unknown)
+		return nil, requestFailure(failure.EndpointBroke, failure.Unknown)
 	}
 	return e.run(ctx, rec, b)
 }
 
-// run carries the call out beside the caller, who may leave at any time.
+// run executes the call in the background, since the caller may disconnect at any
+// time.
 func (e *Endpoint) run(ctx context.Context, rec *Record, b Behaviour) (*service.Response, error) {
-	answered := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
-		defer close(answered)
+		defer close(finished)
 		time.Sleep(b.Delay)
 		e.mu.Lock()
 		rec.Ran = true
@@ -122,19 +127,19 @@
 		}
 	}()
 	select {
-	case <-answered:
-		return b.answer(rec.Call.Attempt)
+	case <-finished:
+		return b.response(rec.Call.Attempt)
 	case <-ctx.Done():
-		return nil, givenUp(ctx, failure.Unknown)
+		return nil, contextFailure(ctx, failure.Unknown)
 	}
 }
 
-func (b Behaviour) answer(attempt string) (*service.Response, error) {
+func (b Behaviour) response(attempt string) (*service.Response, error) {
 	switch {
 	case b.DisconnectAfterRun:
-		return nil, failed(failure.EndpointBroke, failure.Unknown)
+		return nil, requestFailure(failure.EndpointBroke, failure.Unknown)
 	case b.ResponseAttempt != "" && b.ResponseAttempt != attempt:
-		return nil, failed(failure.AnswerMismatch, failure.Unknown)
+		return nil, requestFailure(failure.AnswerMismatch, failure.Unknown)
 	}
 	status, body := b.Status, b.Body
 	if status == 0 {
@@ -170,13 +175,13 @@
 	return rec
 }
 
-func givenUp(ctx context.Context, ran failure.Outcome) error {
+func contextFailure(ctx context.Context, ran failure.Outcome) error {
 	if ctx.Err() == context.DeadlineExceeded {
-		return failed(failure.DeadlinePassed, ran)
+		return requestFailure(failure.DeadlinePassed, ran)
 	}
-	return failed(failure.CallerGone, ran)
+	return requestFailure(failure.CallerGone, ran)
 }
 
-func failed(code failure.Reason, ran failure.Outcome) error {
+func requestFailure(code failure.Reason, ran failure.Outcome) error {
 	return &failure.Request{Code: code, Ran: ran, Message: "fake service"}
 }
--- a/service/fakeservice/fakeservice_test.go
+++ b/service/fakeservice/fakeservice_test.go
@@ -20,9 +20,9 @@
 		Runs   int
 	}
 	for _, tc := range []struct {
-		name string
-		b    Behaviour
-		want result
+		name      string
+		behaviour Behaviour
+		want      result
 	}{
 		{"answered", Behaviour{Delay: time.Second / 2}, result{"", "", 1}},
 		{"unreachable", Behaviour{Unreachable: true}, result{failure.EndpointUnreachable, failure.NotRun, 0}},
@@ -38,7 +38,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				var e Endpoint
-				e.Script(func(service.Call) Behaviour { return tc.b })
+				e.Script(func(service.Call) Behaviour { return tc.behaviour })
 				_, err := e.Do(ctx, service.Call{Attempt: "a"})
 				time.Sleep(time.Hour)
 				got := result{Runs: e.Runs("a")}
--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -16,22 +16,22 @@
 	FetchPath    = "/weights/fetch"
 )
 
-// FetchRequest is the body of a request to FetchPath. It asks for room to fetch
-// the next bytes of an artifact; the stand-ins move no real weights.
+// FetchRequest is the body of a request to FetchPath. It reserves part of the rate
+// limit for the next bytes of an artifact; the stand-ins transfer no real weights.
 type FetchRequest struct {
-	// Fetcher names who fetches.
+	// Fetcher identifies the client that fetches.
 	Fetcher  string   `json:"fetcher"`
 	Artifact Artifact `json:"artifact"`
 	Bytes    int64    `json:"bytes"`
 }
 
-// Refusal is the body of an answer with status 429.
+// Refusal is the body of a response with status 429.
 type Refusal struct {
-	// RetryAfterMillis is when to come back, in milliseconds.
+	// RetryAfterMillis is the delay before a retry, in milliseconds.
 	RetryAfterMillis int64 `json:"retry_after_ms"`
 }
 
-// Client speaks HTTP/JSON to the platform's weight store.
+// Client is an HTTP/JSON client of the platform's weight store.
 type Client struct {
 	base   string
 	sender *httponce.Sender
@@ -58,38 +58,38 @@
 	return limits, err
 }
 
-// Fetch takes n bytes of an artifact off the store's rate in the name of
+// Fetch charges n bytes of an artifact to the store's rate limit on behalf of
 // fetcher. Engines call it. The error is *RateLimitError, *MissingError or
 // *UnavailableError.
 func (c *Client) Fetch(ctx context.Context, fetcher string, a Artifact, n int64) error {
 	return c.call(ctx, FetchPath, a, FetchRequest{Fetcher: fetcher, Artifact: a, Bytes: n}, &struct{}{})
 }
 
-// call sends one request about a and decodes its answer.
-func (c *Client) call(ctx context.Context, path string, a Artifact, request, answer any) error {
+// call sends a request that concerns a and decodes the response.
+func (c *Client) call(ctx context.Context, path string, a Artifact, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return &UnavailableError{Cause: err}
 	}
-	got, err := c.sender.Call(ctx, http.MethodPost, c.base+path, nil, body)
+	resp, err := c.sender.Call(ctx, http.MethodPost, c.base+path, nil, body)
 	if err != nil {
 		return &UnavailableError{Cause: err}
 	}
-	switch got.Status {
+	switch resp.Status {
 	case http.StatusOK:
-		err = json.Unmarshal(got.Body, answer)
+		err = json.Unmarshal(resp.Body, response)
 	case http.StatusNotFound:
 		return &MissingError{Artifact: a}
 	case http.StatusTooManyRequests:
 		var r Refusal
-		if err = json.Unmarshal(got.Body, &r); err == nil {
+		if err = json.Unmarshal(resp.Body, &r); err == nil {
 			return &RateLimitError{RetryAfter: time.Duration(r.RetryAfterMillis) * time.Millisecond}
 		}
 	default:
-		return &UnavailableError{Cause: &ResponseError{Status: got.Status}}
+		return &UnavailableError{Cause: &ResponseError{Status: resp.Status}}
 	}
 	if err != nil {
-		return &UnavailableError{Cause: &ResponseError{Status: got.Status, Cause: err}}
+		return &UnavailableError{Cause: &ResponseError{Status: resp.Status, Cause: err}}
 	}
 	return nil
 }
--- a/weightstore/errors.go
+++ b/weightstore/errors.go
@@ -7,7 +7,7 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// UnavailableError is a call to the weight store that failed.
+// UnavailableError reports a failed call to the weight store.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -21,7 +21,7 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// MissingError is an artifact that the store does not hold.
+// MissingError reports an artifact that is not in the store.
 type MissingError struct{ Artifact Artifact }
 
 // Error implements error.
@@ -30,31 +30,31 @@
 // Reason implements failure.Coded.
 func (e *MissingError) Reason() failure.Reason { return failure.WeightsMissing }
 
-// RateLimitError is a fetch refused by the rate limit.
+// RateLimitError reports a fetch refused by the rate limit.
 type RateLimitError struct {
-	// RetryAfter is when the store expects to have room.
+	// RetryAfter is the delay after which the store expects to have capacity.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *RateLimitError) Error() string {
-	return fmt.Sprintf("weight store limits fetches: come back in %v", e.RetryAfter)
+	return fmt.Sprintf("weight store rate limit exceeded: retry after %v", e.RetryAfter)
 }
 
 // Reason implements failure.Coded.
 func (e *RateLimitError) Reason() failure.Reason { return failure.WeightsLimited }
 
-// ResponseError is an answer that the client does not understand.
+// ResponseError reports a response that the client cannot interpret.
 type ResponseError struct {
 	// Status is the HTTP status.
 	Status int
-	// Cause is the failure to decode, or nil.
+	// Cause is the decoding error, or nil if the status is unexpected.
 	Cause error
 }
 
 // Error implements error.
 func (e *ResponseError) Error() string {
-	return fmt.Sprintf("weight store answer with status %d not understood: %v", e.Status, e.Cause)
+	return fmt.Sprintf("weight store sent an invalid response with status %d: %v", e.Status, e.Cause)
 }
 
 // Reason implements failure.Coded.
--- a/weightstore/fakestore/fakestore.go
+++ b/weightstore/fakestore/fakestore.go
@@ -1,4 +1,4 @@
-// Package fakestore is an in-memory weight store with the rate limit of the real one.
+// Package fakestore is an in-memory weight store with the rate limits of the real one.
 package fakestore
 
 import (
@@ -29,18 +29,18 @@
 	limits       weightstore.Limits
 	down         bool
 	windowStart  time.Time
-	// granted is what the present window has given out, in bytes.
-	granted int64
-	// fetchers are those whom the present window has served.
-	fetchers map[string]bool
-	refused  uint64
-	total    int64
+	// grantedBytes is the number of bytes granted in the current window.
+	grantedBytes int64
+	// fetchers holds the fetchers served in the current window.
+	fetchers   map[string]bool
+	refused    uint64
+	totalBytes int64
 }
 
 var _ weightstore.Store = (*Store)(nil)
 
-// New returns a store with limits. Every artifact that is not Put has
-// defaultBytes; zero makes it missing.
+// New returns a store with limits. Every artifact not set by Put has the size
+// defaultBytes; with zero it is missing.
 func New(limits weightstore.Limits, defaultBytes int64) *Store {
 	return &Store{
 		sizes:        make(map[weightstore.Artifact]int64),
@@ -57,33 +57,33 @@
 	s.sizes[info.Artifact] = info.Bytes
 }
 
-// SetLimits changes the limits.
+// SetLimits replaces the limits.
 func (s *Store) SetLimits(l weightstore.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = l
 }
 
-// SetDown makes all calls fail, or ends that.
+// SetDown sets whether all calls fail.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// Counts are the fetches since the start.
+// Counts holds the totals of fetches since the store was created.
 type Counts struct {
-	// Bytes is what was granted.
+	// Bytes is the number of bytes granted.
 	Bytes int64 `json:"bytes"`
-	// Refused counts fetches over the limit.
+	// Refused counts the fetches refused by a limit.
 	Refused uint64 `json:"refused"`
 }
 
-// Counts returns the counts so far.
+// Counts returns the current totals.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Counts{Bytes: s.total, Refused: s.refused}
+	return Counts{Bytes: s.totalBytes, Refused: s.refused}
 }
 
 // Describe implements weightstore.Store.
@@ -104,7 +104,8 @@
 	return s.limits, nil
 }
 
-// Fetch takes n bytes of an artifact off the rate, as weightstore.Client does.
+// Fetch charges n bytes of an artifact to the rate limit, like
+// weightstore.Client.Fetch.
 func (s *Store) Fetch(_ context.Context, fetcher string, a weightstore.Artifact, n int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,30 +115,32 @@
 	now := time.Now()
 	if now.Sub(s.windowStart) >= s.limits.Window {
 		s.windowStart = now
-		s.granted = 0
+		s.grantedBytes = 0
 		clear(s.fetchers)
 	}
-	if !s.hasRoom(fetcher, n) {
+	if !s.hasCapacity(fetcher, n) {
 		s.refused++
 		return &weightstore.RateLimitError{RetryAfter: s.windowStart.Add(s.limits.Window).Sub(now)}
 	}
 	s.fetchers[fetcher] = true
-	s.granted += n
-	s.total += n
+	s.grantedBytes += n
+	s.totalBytes += n
 	return nil
 }
 
-// hasRoom tells whether the present window has room, with s.mu held.
-func (s *Store) hasRoom(fetcher string, n int64) bool {
+// hasCapacity reports whether the current window can serve n more bytes to fetcher.
+// The caller holds s.mu.
+func (s *Store) hasCapacity(fetcher string, n int64) bool {
 	if !s.fetchers[fetcher] && len(s.fetchers) >= s.limits.Concurrent {
 		return false
 	}
-	room := int64(float64(s.limits.BytesPerSecond) * s.limits.Window.Seconds())
-	// A fetch larger than a whole window passes alone, or it never could.
-	return s.granted == 0 || s.granted+n <= room
+	windowBytes := int64(float64(s.limits.BytesPerSecond) * s.limits.Window.Seconds())
+	// A fetch that exceeds an entire window's budget is allowed as the window's
+	// first; otherwise it would never be served.
+	return s.grantedBytes == 0 || s.grantedBytes+n <= windowBytes
 }
 
-// size looks up an artifact, with s.mu held.
+// size returns an artifact's size in bytes. The caller holds s.mu.
 func (s *Store) size(a weightstore.Artifact) (int64, error) {
 	if s.down {
 		return 0, &weightstore.UnavailableError{Cause: FaultError{}}
--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -1,6 +1,6 @@
-// Package weightstore is the system's view of the store that engines fetch
-// weights from. The store limits its rate for all zones together, so loads are
-// planned against a budget.
+// Package weightstore defines the interface to the store from which engines fetch
+// weights. The store's rate limit covers all availability zones together, so loads
+// are planned against a budget.
 package weightstore
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Artifact is something an engine can load.
+// Artifact identifies weights that an engine can load.
 type Artifact struct {
 	Model string `json:"model"`
 	// Adapter is empty for the base model.
@@ -19,24 +19,24 @@
 // Info describes an artifact in the store.
 type Info struct {
 	Artifact Artifact `json:"artifact"`
-	// Bytes is the size to fetch.
+	// Bytes is the download size.
 	Bytes int64 `json:"bytes"`
 }
 
-// Limits are the store's limits, for all callers together.
+// Limits holds the store's limits, which apply to all callers together.
 type Limits struct {
-	// BytesPerSecond is the rate above which the store refuses.
+	// BytesPerSecond is the rate above which the store refuses fetches.
 	BytesPerSecond int64 `json:"bytes_per_second"`
-	// Concurrent is the number of fetches served at once.
+	// Concurrent is the maximum number of concurrent fetches.
 	Concurrent int `json:"concurrent"`
-	// Window is the time over which the rate is taken.
+	// Window is the period over which the rate is measured.
 	Window time.Duration `json:"window"`
 }
 
-// Store describes the weight store. The engines do the fetching.
+// Store provides metadata of the weight store. Only engines fetch weights.
 type Store interface {
 	// Describe returns the size of an artifact.
 	Describe(ctx context.Context, a Artifact) (Info, error)
-	// Limits returns the limits in force.
+	// Limits returns the current limits.
 	Limits(ctx context.Context) (Limits, error)
 }
