--- a/cmd/springweir-controller/main.go
+++ b/cmd/springweir-controller/main.go
@@ -1,4 +1,4 @@
-// Command springweir-controller is the control path of an entry VM: leases,
+// Command springweir-controller is the control plane of an entry VM: leases,
 // plans, orders, configurations and the operators' API.
 package main
 
@@ -20,7 +20,7 @@
 	}))
 }
 
-// run reads the entry's section of the same file too, for its peer address.
+// run also reads the entry's section of the same file, for its peer address.
 func run(ctx context.Context, p *settings.Process, file string) error {
 	entry, err := settings.LoadProcess(file, settings.EntryKind)
 	if err != nil {
--- a/cmd/springweir-entry/main.go
+++ b/cmd/springweir-entry/main.go
@@ -1,4 +1,4 @@
-// Command springweir-entry is the data path of an entry VM: it takes callers'
+// Command springweir-entry is the data plane of an entry VM. It receives callers'
 // requests and sends them to the endpoints of its availability zone.
 package main
 
--- a/cmd/springweir-gateway/main.go
+++ b/cmd/springweir-gateway/main.go
@@ -1,5 +1,5 @@
-// Command springweir-gateway is the one process of an entry VM on the users'
-// platform: it stands between callers and endpoints.
+// Command springweir-gateway is the proxy between callers and endpoints. It is the only
+// springweir process of an entry VM on the users' platform.
 package main
 
 import (
@@ -24,10 +24,10 @@
 	exitSettings = 2
 )
 
-// options are the flags.
+// options holds the flags.
 type options struct {
-	// platform is the platform's settings file, own the gateway's own.
-	platform, own string
+	// platform is the path of the platform's settings file, gateway that of the gateway's.
+	platform, gateway string
 }
 
 func main() {
@@ -41,12 +41,12 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			own, loaded, err := o.load()
+			gatewaySettings, loaded, err := o.load()
 			if err != nil {
 				code = exitSettings
 				return err
 			}
-			stop := logs.Start(os.Stdout, logs.Options{PerSecond: int(own.LogRate), Level: slog.Level(-own.LogLevel)})
+			stop := logs.Start(os.Stdout, logs.Options{PerSecond: int(gatewaySettings.LogRate), Level: slog.Level(-gatewaySettings.LogLevel)})
 			defer stop()
 			g := platform.New(loaded)
 			go o.reload(cmd.Context(), g)
@@ -54,7 +54,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&o.platform, "platform", os.Getenv(platform.SettingsVariable), "the platform's settings file of this VM")
-	cmd.Flags().StringVar(&o.own, "config", "", "the gateway file; without one every key has its default")
+	cmd.Flags().StringVar(&o.gateway, "config", "", "the gateway file; without one every key has its default")
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	err := cmd.ExecuteContext(ctx)
 	stop()
@@ -66,23 +66,23 @@
 
 // load reads both settings files.
 func (o *options) load() (*settings.Gateway, gateway.Settings, error) {
-	own, err := o.ownSettings()
+	gatewaySettings, err := o.gatewaySettings()
 	if err != nil {
 		return nil, gateway.Settings{}, err
 	}
-	loaded, err := platform.Load(o.platform, own)
-	return own, loaded, err
+	loaded, err := platform.Load(o.platform, gatewaySettings)
+	return gatewaySettings, loaded, err
 }
 
-func (o *options) ownSettings() (*settings.Gateway, error) {
-	if o.own == "" {
+func (o *options) gatewaySettings() (*settings.Gateway, error) {
+	if o.gateway == "" {
 		return settings.DefaultGateway(), nil
 	}
-	return settings.LoadGateway(o.own)
+	return settings.LoadGateway(o.gateway)
 }
 
-// reload reads the settings again at each SIGHUP. Files that cannot be used leave
-// the settings as they are.
+// reload reloads the settings at each SIGHUP until ctx ends. Invalid files leave the
+// settings unchanged.
 func (o *options) reload(ctx context.Context, g *gateway.Gateway) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/cmd/springweir-policy/main.go
+++ b/cmd/springweir-policy/main.go
@@ -1,5 +1,5 @@
-// Command springweir-policy measures the decisions in virtual time and prints
-// one line for each trace, policy and seed.
+// Command springweir-policy simulates the scheduling policies in virtual time and
+// prints one line for each trace, policy and seed.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// newCommand returns the command line.
+// newCommand returns the root command.
 func newCommand() *cobra.Command {
 	suite := simulate.DefaultSuite()
 	var experiment, plots string
--- a/cmd/springweir-standin/engine.go
+++ b/cmd/springweir-standin/engine.go
@@ -17,10 +17,10 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// crashExit is the exit code of a crash that a flag asked for.
+// crashExit is the exit code of a crash requested by a flag.
 const crashExit = 3
 
-// engineFlags are the flags that need a check.
+// engineFlags holds the flags that require validation.
 type engineFlags struct {
 	role, fencing, crash string
 	load                 []string
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// define defines the flags that need a check.
+// define defines the flags that require validation.
 func (f *engineFlags) define(cmd *cobra.Command) {
 	set := cmd.Flags()
 	set.StringVar(&f.role, "role", string(engine.Mixed), "prefill, decode or mixed")
@@ -71,7 +71,7 @@
 	set.StringVar(&f.crash, "crash-in-order", "", "exit at a point of the first order: before-accept, after-accept, midway or at-end")
 }
 
-// faultFlags are the flags about time and about what goes wrong.
+// faultFlags defines the flags for timing and fault injection.
 func faultFlags(cmd *cobra.Command, o *standinengine.Options) {
 	f := cmd.Flags()
 	f.StringVar(&o.BadVersion, "bad-version", "", "version of weights that fails to load")
@@ -81,7 +81,7 @@
 	f.Uint64Var(&o.EventGap, "event-gap", 0, "drop each n-th cache event; 0 drops none")
 }
 
-// modelFlags are the flags about the engine's speeds and memory.
+// modelFlags defines the flags for the engine's speed and memory.
 func modelFlags(cmd *cobra.Command, p *enginemodel.Params) {
 	f := cmd.Flags()
 	f.IntVar(&p.KVTokens, "kv-tokens", p.KVTokens, "cache memory in tokens")
@@ -98,7 +98,7 @@
 	os.Exit(crashExit)
 }
 
-// apply checks the flags and puts them into options.
+// apply validates the flags and stores them in o.
 func (f *engineFlags) apply(o *standinengine.Options) error {
 	o.Role = engine.Role(f.role)
 	if !slices.Contains([]engine.Role{engine.Prefill, engine.Decode, engine.Mixed}, o.Role) {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// parseArtifact reads model[/adapter]@version.
+// parseArtifact parses model[/adapter]@version.
 func parseArtifact(s string) (weightstore.Artifact, bool) {
 	name, version, ok := strings.Cut(s, "@")
 	model, adapter, _ := strings.Cut(name, "/")
--- a/cmd/springweir-standin/flags.go
+++ b/cmd/springweir-standin/flags.go
@@ -15,14 +15,14 @@
 	defaultGrace  = time.Minute
 )
 
-// stopFlags are the flags about how an endpoint stops.
+// stopFlags defines the flags that control how an endpoint shuts down.
 func stopFlags(cmd *cobra.Command, s *standin.Server, e *standin.Endpoint) {
 	f := cmd.Flags()
 	f.DurationVar(&e.Linger, "linger", defaultLinger, "time to stay reachable after SIGTERM")
 	f.DurationVar(&s.Grace, "grace", defaultGrace, "longest wait for open work after SIGTERM")
 }
 
-// flagError is a flag with a value that it does not take.
+// flagError is an invalid value of a flag.
 type flagError struct{ Flag, Value string }
 
 func (e *flagError) Error() string { return fmt.Sprintf("--%s does not take %q", e.Flag, e.Value) }
--- a/cmd/springweir-standin/main.go
+++ b/cmd/springweir-standin/main.go
@@ -1,5 +1,5 @@
-// Command springweir-standin runs small stand-ins for what springweir talks to:
-// the platform, engines and services. They are for trials and tests.
+// Command springweir-standin runs simulated versions of the systems that springweir
+// depends on: the platform, engines and services. It is meant for trials and tests.
 package main
 
 import (
--- a/cmd/springweir-standin/platform.go
+++ b/cmd/springweir-standin/platform.go
@@ -9,7 +9,7 @@
 	"github.com/springweir/springweir/standin/platform"
 )
 
-// platformGrace is the longest wait for open requests after SIGTERM.
+// platformGrace bounds the wait for in-flight requests after SIGTERM.
 const platformGrace = 5 * time.Second
 
 func newPlatformCommand() *cobra.Command {
--- a/cmd/springweirctl/main.go
+++ b/cmd/springweirctl/main.go
@@ -1,4 +1,4 @@
-// Command springweirctl is the operators' command line. All of it lives in
+// Command springweirctl is the command-line tool for operators. It is implemented in
 // package operator/cli.
 package main
 
--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,10 +1,9 @@
-// Package failure defines the vocabulary that every part shares for things
-// that go wrong: reason codes, what is known about whether a request ran, and
-// the typed failure that callers see.
+// Package failure defines the error model shared by all packages: reason codes,
+// the outcome of a failed request, and the error type that callers receive.
 //
-// Each package declares its own failure types and gives each a Reason by
-// implementing Coded. Context is added with eris.Wrap, which keeps the type
-// reachable through errors.As.
+// Each package declares its own error types and implements Coded on them.
+// Context is added with eris.Wrap, which keeps the type reachable through
+// errors.As.
 package failure
 
 import (
@@ -14,37 +13,37 @@
 	"time"
 )
 
-// Reason is a stable code in kebab case. The same code appears in a caller's
-// JSON error, in log lines and as the label of a counter.
+// Reason is a stable error code in kebab case. It appears in the JSON error sent
+// to the caller, in log lines and as a counter label.
 type Reason string
 
-// Outcome states what is known about whether a request ran.
+// Outcome states whether a failed request is known to have run.
 type Outcome string
 
-// The three outcomes. NotRun is said only when it is provable.
+// Values of Outcome. NotRun is used only if the request provably did not run.
 const (
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 	Done    Outcome = "done"
 )
 
-// Coded is a failure with a reason code.
+// Coded is an error with a reason code.
 type Coded interface {
 	error
 	Reason() Reason
 }
 
-// Request is the failure of a caller's request, as the caller sees it.
+// Request is the error returned to a caller whose request failed.
 type Request struct {
 	// Code is the reason code.
 	Code Reason
-	// Ran states what is known about whether the request ran.
+	// Ran states whether the request is known to have run.
 	Ran Outcome
-	// RetryAfter says when coming back makes sense; zero means never.
+	// RetryAfter is the recommended delay before a retry; zero means that a retry is no use.
 	RetryAfter time.Duration
-	// Message is a short sentence for a person.
+	// Message is a short human-readable description, sent to the caller.
 	Message string
-	// Cause is the failure underneath, or nil. It is logged, not sent.
+	// Cause is the underlying error, or nil. It is logged but not sent to the caller.
 	Cause error
 }
 
@@ -62,7 +61,7 @@
 // Unwrap returns the cause.
 func (r *Request) Unwrap() error { return r.Cause }
 
-// Status returns the HTTP status code that goes with the reason.
+// Status returns the HTTP status code for the reason.
 func (r *Request) Status() int {
 	if s, ok := statusByReason[r.Code]; ok {
 		return s
@@ -70,8 +69,8 @@
 	return http.StatusInternalServerError
 }
 
-// ReasonOf returns the code of the first Coded failure in err's chain, or
-// Internal when there is none.
+// ReasonOf returns the code of the first Coded error in err's chain, or Internal
+// if there is none.
 func ReasonOf(err error) Reason {
 	var c Coded
 	if errors.As(err, &c) {
@@ -80,8 +79,8 @@
 	return Internal
 }
 
-// Combine returns the outcome of two attempts of one request together: done beats
-// unknown, and unknown beats not-run.
+// Combine returns the overall outcome of two attempts of one request. Done takes
+// precedence over Unknown, and Unknown over NotRun.
 func (o Outcome) Combine(other Outcome) Outcome {
 	if o == Done || other == Done {
 		return Done
--- a/failure/reasons.go
+++ b/failure/reasons.go
@@ -4,115 +4,115 @@
 
 // Reasons of failures that callers can see.
 const (
-	// Internal is a defect of springweir itself.
+	// Internal is an internal error of springweir.
 	Internal Reason = "internal"
-	// BadRequest is a request that cannot be understood.
+	// BadRequest is an invalid request.
 	BadRequest Reason = "bad-request"
 	// Unauthorised is a missing or unknown API key.
 	Unauthorised Reason = "unauthorised"
-	// KeyMissing is a request without an API key where one is needed.
+	// KeyMissing is a request without a required API key.
 	KeyMissing Reason = "key-missing"
-	// KeyMalformed is a request whose API key cannot be read, or that sends several.
+	// KeyMalformed is a request with a malformed API key or with several keys.
 	KeyMalformed Reason = "key-malformed"
-	// KeyUnknown is an API key that no organisation has, or has any more.
+	// KeyUnknown is an API key that belongs to no organisation, or no longer does.
 	KeyUnknown Reason = "key-unknown"
 	// NotAllowed is a model, service or priority that the organisation may not use.
 	NotAllowed Reason = "not-allowed"
 	// NoSuchModel is a model that no pool serves.
 	NoSuchModel Reason = "no-such-model"
-	// NoSuchService is a service that the tree does not name.
+	// NoSuchService is a service that is not in the configuration tree.
 	NoSuchService Reason = "no-such-service"
-	// NoSuchPath is a path or method that the interface does not have.
+	// NoSuchPath is a path or method that the API does not define.
 	NoSuchPath Reason = "no-such-path"
-	// TooLarge is a body over the limit.
+	// TooLarge is a body that exceeds the size limit.
 	TooLarge Reason = "too-large"
-	// DeadlineUnreachable is a request refused because it could not finish in time.
+	// DeadlineUnreachable is a request rejected because it could not finish by its deadline.
 	DeadlineUnreachable Reason = "deadline-unreachable"
-	// DeadlinePassed is a request whose deadline passed before its answer was whole.
+	// DeadlinePassed is a request whose deadline passed before its response was complete.
 	DeadlinePassed Reason = "deadline-passed"
-	// QueueFull is a request refused because its queue is full.
+	// QueueFull is a request rejected because its queue is full.
 	QueueFull Reason = "queue-full"
-	// OrganisationLimit is a request over its organisation's limit.
+	// OrganisationLimit is a request that exceeds its organisation's limit.
 	OrganisationLimit Reason = "organisation-limit"
-	// NoEndpoint is a request for which no endpoint can be used now.
+	// NoEndpoint is a request for which no endpoint is currently available.
 	NoEndpoint Reason = "no-endpoint"
-	// EndpointsLimited is a request that no endpoint may be sent now, by what the endpoints said of
-	// their own state: rate limits, backoffs.
+	// EndpointsLimited is a request that may currently be sent to no endpoint because of the rate
+	// limits and backoffs that the endpoints reported.
 	EndpointsLimited Reason = "endpoints-limited"
-	// EndpointRefused is a request that the endpoint itself refused before it started.
+	// EndpointRefused is a request that the endpoint rejected before starting it.
 	EndpointRefused Reason = "endpoint-refused"
-	// EndpointUnreachable is a request of which nothing could be written to the endpoint.
+	// EndpointUnreachable is a request of which no byte could be written to the endpoint.
 	EndpointUnreachable Reason = "endpoint-unreachable"
-	// EndpointBroke is a request whose connection broke after some of it was written.
+	// EndpointBroke is a request whose connection failed after part of it was written.
 	EndpointBroke Reason = "endpoint-broke"
-	// EndpointFailed is a request that the endpoint answered with a failure.
+	// EndpointFailed is a request for which the endpoint returned an error.
 	EndpointFailed Reason = "endpoint-failed"
-	// EndpointStalled is an attempt given up because the endpoint stayed silent.
+	// EndpointStalled is an attempt cancelled because the endpoint was unresponsive.
 	EndpointStalled Reason = "endpoint-stalled"
-	// AnswerTruncated is a stream that ended without its terminal frame.
+	// AnswerTruncated is a response stream that ended without its terminal frame.
 	AnswerTruncated Reason = "answer-truncated"
-	// AnswerMismatch is an answer that belongs to another attempt.
+	// AnswerMismatch is a response that belongs to another attempt.
 	AnswerMismatch Reason = "answer-mismatch"
-	// ClaimUnavailable is a call refused because its claim could not be recorded.
+	// ClaimUnavailable is a call rejected because its claim could not be recorded.
 	ClaimUnavailable Reason = "claim-unavailable"
-	// ClaimInProgress is a repeat of a call that is still running.
+	// ClaimInProgress is a retry of a call that is still running.
 	ClaimInProgress Reason = "claim-in-progress"
-	// ClaimUnknown is a repeat of a call whose result was lost.
+	// ClaimUnknown is a retry of a call whose result was lost.
 	ClaimUnknown Reason = "claim-unknown"
 	// KeyReused is an idempotency key reused with a different request.
 	KeyReused Reason = "key-reused"
-	// ConfigUnconfirmed is a request refused by a VM that may hold an old configuration.
+	// ConfigUnconfirmed is a request rejected by a VM whose configuration may be stale.
 	ConfigUnconfirmed Reason = "config-unconfirmed"
-	// EndpointWithheld is work refused because a planned change is about to take
-	// the endpoint away.
+	// EndpointWithheld is work rejected because a planned change is about to make
+	// the endpoint unavailable.
 	EndpointWithheld Reason = "endpoint-withheld"
-	// EndpointLeaving is work refused because the endpoint is about to stop.
+	// EndpointLeaving is work rejected because the endpoint is about to stop.
 	EndpointLeaving Reason = "endpoint-leaving"
-	// PlanChanged is an attempt not sent because what it was planned on has changed.
+	// PlanChanged is an attempt not sent because the state that its plan relied on has changed.
 	PlanChanged Reason = "plan-changed"
-	// Stopping is a request refused by a VM that is stopping.
+	// Stopping is a request rejected by a VM that is shutting down.
 	Stopping Reason = "stopping"
-	// NoSuchRoute is a host and path that no route takes.
+	// NoSuchRoute is a host and path that match no route.
 	NoSuchRoute Reason = "no-such-route"
-	// NoConfig is a request refused by a VM that knows no configuration yet.
+	// NoConfig is a request rejected by a VM that has not loaded a configuration yet.
 	NoConfig Reason = "no-config"
-	// CallerGone is a request whose caller went away.
+	// CallerGone is a request whose caller disconnected.
 	CallerGone Reason = "caller-gone"
-	// RetryBudget is a retry not made because the budget was spent.
+	// RetryBudget is a retry not made because the retry budget was exhausted.
 	RetryBudget Reason = "retry-budget"
-	// CrashesEndpoints is a request refused because endpoints crashed each time it ran. It is
-	// final: the same request is refused at every VM.
+	// CrashesEndpoints is a request rejected because endpoints crashed each time it ran. The
+	// rejection is final: every VM rejects the same request.
 	CrashesEndpoints Reason = "crashes-endpoints"
-	// CrashSuspected is a request held back until it is known whether endpoints crashed under it.
+	// CrashSuspected is a request blocked until it is known whether it crashed endpoints.
 	CrashSuspected Reason = "crash-suspected"
 )
 
-// Reasons of failures towards the platform, between processes and of orders.
+// Reasons of failures of platform calls, of calls between processes and of orders.
 const (
-	// TableUnavailable is a table call that certainly had no effect.
+	// TableUnavailable is a failed table call that is known to have had no effect.
 	TableUnavailable Reason = "table-unavailable"
 	// TableUnknown is a table write that may or may not have taken effect.
 	TableUnknown Reason = "table-unknown"
 	// TableConflict is a conditional write whose condition did not hold.
 	TableConflict Reason = "table-conflict"
-	// TableInvalid is a table request that breaks a limit or makes no sense.
+	// TableInvalid is a table request that exceeds a limit or is malformed.
 	TableInvalid Reason = "table-invalid"
-	// TableSuperseded is a table write of which only a later write by another can be seen.
+	// TableSuperseded is a table write that may have been overwritten by another writer's later write.
 	TableSuperseded Reason = "table-superseded"
-	// TableHistoryGone is a question for changes that the table no longer keeps.
+	// TableHistoryGone is a query for changes that the table no longer retains.
 	TableHistoryGone Reason = "table-history-gone"
-	// TableEpochOver is an answer or a condition from before the store came back from a copy.
+	// TableEpochOver is a response or condition from before the store was restored from a backup.
 	TableEpochOver Reason = "table-epoch-over"
 
-	// FeedNotReader is a question for a table to a VM that has no news of its own of it.
+	// FeedNotReader is a query for a table sent to a VM that does not read that table itself.
 	FeedNotReader Reason = "feed-not-reader"
-	// FeedBehind is an answer of a VM that knows less of a table than the one that asks.
+	// FeedBehind is a response from a VM whose copy of a table is older than the requester's.
 	FeedBehind Reason = "feed-behind"
-	// FeedSilent is a VM that did not answer a question for a table.
+	// FeedSilent is a VM that did not respond to a query for a table.
 	FeedSilent Reason = "feed-silent"
 	// ObjectUnavailable is an object store call that failed.
 	ObjectUnavailable Reason = "object-unavailable"
-	// ObjectInvalid is an object that breaks a limit of the store.
+	// ObjectInvalid is an object that exceeds a limit of the store.
 	ObjectInvalid Reason = "object-invalid"
 	// ObjectMissing is an object that does not exist.
 	ObjectMissing Reason = "object-missing"
@@ -120,39 +120,39 @@
 	MembershipUnavailable Reason = "membership-unavailable"
 	// WeightsUnavailable is a weight store that could not be reached.
 	WeightsUnavailable Reason = "weights-unavailable"
-	// WeightsMissing is an artifact that the weight store does not hold.
+	// WeightsMissing is an artifact that is not in the weight store.
 	WeightsMissing Reason = "weights-missing"
-	// WeightsLimited is a fetch that the weight store's rate limit refused.
+	// WeightsLimited is a fetch rejected by the weight store's rate limit.
 	WeightsLimited Reason = "weights-limited"
-	// StaleFence is an order that an engine refused for its old fencing number.
+	// StaleFence is an order that an engine rejected because of an outdated fencing token.
 	StaleFence Reason = "stale-fence"
-	// WrongIncarnation is an order meant for an earlier incarnation of the engine.
+	// WrongIncarnation is an order addressed to an earlier incarnation of the engine.
 	WrongIncarnation Reason = "wrong-incarnation"
-	// EngineBusy is an order refused because another is running.
+	// EngineBusy is an order rejected because another order is running.
 	EngineBusy Reason = "engine-busy"
-	// PeerUnreachable is a call to another process of the system that failed.
+	// PeerUnreachable is a failed call to another springweir process.
 	PeerUnreachable Reason = "peer-unreachable"
-	// DutyRefused is a call of a duty that the platform did not take.
+	// DutyRefused is a call made by a duty that the platform rejected.
 	DutyRefused Reason = "duty-refused"
-	// LeaseLost is an action not taken because the lease is not held.
+	// LeaseLost is an action not performed because the lease is not held.
 	LeaseLost Reason = "lease-lost"
 )
 
-// Reasons of failures towards operators.
+// Reasons of failures reported to operators.
 const (
-	// BadSettings is a settings text that was refused.
+	// BadSettings is a settings text that failed validation.
 	BadSettings Reason = "bad-settings"
-	// ConfigConflict is a change of configuration that lost to another one.
+	// ConfigConflict is a configuration change that lost to a concurrent one.
 	ConfigConflict Reason = "config-conflict"
-	// ConfigPending is a configuration not yet in force everywhere.
+	// ConfigPending is a configuration that is not yet active on every VM.
 	ConfigPending Reason = "config-pending"
-	// NoSuchVersion is a version of the configuration that does not exist.
+	// NoSuchVersion is a configuration version that does not exist.
 	NoSuchVersion Reason = "no-such-version"
-	// NoSuchEndpoint is an endpoint that the tree does not name.
+	// NoSuchEndpoint is an endpoint that is not in the configuration tree.
 	NoSuchEndpoint Reason = "no-such-endpoint"
-	// BadPlan is a planned change that cannot be made.
+	// BadPlan is an invalid planned change.
 	BadPlan Reason = "bad-plan"
-	// OperatorUnreachable is a call to a controller's operator API that got no answer.
+	// OperatorUnreachable is a call to a controller's operator API that got no response.
 	OperatorUnreachable Reason = "operator-unreachable"
 )
 
@@ -192,7 +192,7 @@
 	NoSuchRoute:         http.StatusNotFound,
 	NoConfig:            http.StatusServiceUnavailable,
 	CallerGone:          499,
-	CrashesEndpoints:    http.StatusBadRequest, // tells every client not to send it again
+	CrashesEndpoints:    http.StatusBadRequest, // a client error, so that clients do not retry
 	CrashSuspected:      http.StatusServiceUnavailable,
 	RetryBudget:         http.StatusServiceUnavailable,
 }
--- a/internal/clock/alarm.go
+++ b/internal/clock/alarm.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// watchPeriod is how often a suspension is looked for. Whatever was due meanwhile is done that
-// much after the VM wakes: soon enough for callers, who count in hundreds of milliseconds.
+// watchPeriod is the interval of the checks for a suspension. Alarms that became due during a
+// suspension fire at most this long after the VM resumes, which is soon enough for callers,
+// whose timeouts are hundreds of milliseconds and more.
 const watchPeriod = 100 * time.Millisecond
 
-// alarms are those that are set. Timers of the runtime stand still during a suspension, so
-// each would ring late by its length.
+// alarms holds the active alarms. Runtime timers stop during a suspension, so that each would
+// fire late by its length.
 var alarms = struct {
-	mu  sync.Mutex
-	set map[*alarm]bool
-}{set: map[*alarm]bool{}}
+	mu     sync.Mutex
+	active map[*alarm]bool
+}{active: map[*alarm]bool{}}
 
-// alarm calls f once at a time of this clock.
+// alarm calls f once, when this clock reaches at.
 type alarm struct {
 	at    time.Time
 	timer *time.Timer
@@ -29,12 +30,12 @@
 	a := &alarm{at: at, f: f}
 	alarms.mu.Lock()
 	defer alarms.mu.Unlock()
-	a.timer = time.AfterFunc(Until(at), a.ring)
-	alarms.set[a] = true
+	a.timer = time.AfterFunc(Until(at), a.fire)
+	alarms.active[a] = true
 	return a
 }
 
-func (a *alarm) ring() {
+func (a *alarm) fire() {
 	a.stop()
 	a.once.Do(a.f)
 }
@@ -43,47 +44,47 @@
 	alarms.mu.Lock()
 	defer alarms.mu.Unlock()
 	a.timer.Stop()
-	delete(alarms.set, a)
+	delete(alarms.active, a)
 }
 
-// Watch looks for suspensions until ctx ends, and then rings what was due meanwhile. Each
-// process runs it once.
+// Watch checks for suspensions until ctx ends. After each suspension it fires the alarms that
+// have become due. Each process runs it once.
 func Watch(ctx context.Context) {
 	ticker := time.NewTicker(watchPeriod)
 	defer ticker.Stop()
-	before := system.suspension()
+	previous := system.suspension()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if now := system.suspension(); now > before {
-			before = now
-			ringDue()
+		if now := system.suspension(); now > previous {
+			previous = now
+			fireDue()
 		}
 	}
 }
 
-// ringDue rings the alarms whose time has come and sets the others anew.
-func ringDue() {
+// fireDue fires the alarms that are due and resets the timers of the others.
+func fireDue() {
 	alarms.mu.Lock()
 	var due []*alarm
-	for a := range alarms.set {
-		left := Until(a.at)
-		if left <= 0 {
+	for a := range alarms.active {
+		remaining := Until(a.at)
+		if remaining <= 0 {
 			due = append(due, a)
 			continue
 		}
-		a.timer.Reset(left)
+		a.timer.Reset(remaining)
 	}
 	alarms.mu.Unlock()
 	for _, a := range due {
-		a.ring()
+		a.fire()
 	}
 }
 
-// deadline is a context that ends at a time of this clock.
+// deadline is a context that ends when this clock reaches at.
 type deadline struct {
 	context.Context
 	at time.Time
@@ -101,11 +102,11 @@
 	return err
 }
 
-// WithDeadline is context.WithDeadline on this clock. The cause of contexts made from it is
-// context.DeadlineExceeded too, while their own error says that they were cancelled.
+// WithDeadline is context.WithDeadline on this clock. The cause of derived contexts is
+// context.DeadlineExceeded too, but their Err is context.Canceled.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
-	if sooner, ok := ctx.Deadline(); ok && sooner.Before(at) {
-		at = sooner
+	if parent, ok := ctx.Deadline(); ok && parent.Before(at) {
+		at = parent
 	}
 	inner, cancel := context.WithCancelCause(ctx)
 	a := newAlarm(at, func() { cancel(context.DeadlineExceeded) })
@@ -120,10 +121,10 @@
 	return WithDeadline(ctx, Now().Add(d))
 }
 
-// Simulate makes this clock show suspensions that a test makes up, until restore is called.
-// suspended is how long the VM has been suspended so far.
+// Simulate makes this clock use simulated suspensions in a test until restore is called.
+// suspended returns the total time for which the VM has been suspended.
 func Simulate(suspended func() time.Duration) (restore func()) {
-	before := system
+	previous := system
 	system = newClock(func() reading { return reading{boot: suspended(), ok: true} })
-	return func() { system = before }
+	return func() { system = previous }
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock is the VM's clock for ages, leases and deadlines. It never steps, and it
-// goes on while the VM is suspended: Go's own monotonic clock stands still then, so that
-// after a suspension of ten seconds a lease of six would still look held, and a kept
-// connection that its server closed long ago would still look fresh.
+// Package clock provides a monotonic clock for ages, leases and deadlines that includes
+// the time for which the VM was suspended. Go's own monotonic clock stops during a
+// suspension: after one of ten seconds, a lease of six seconds would still appear held, and
+// an idle connection that its server has closed would still appear usable.
 package clock
 
 import (
@@ -11,22 +11,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// system is the clock of this process.
-var system = newWatchedClock(readSystem)
+// system is the clock used by the functions of this package.
+var system = newCachedClock(readSystem)
 
-// Now is the time. Times of this clock compare with each other, and with those of time.Now
-// as long as the VM has not been suspended since the process started. Only the difference of
-// two of them means something: their time of day lacks what the VM was suspended for.
+// Now returns the current time. Times of this clock are comparable with each other, and with
+// those of time.Now only if the VM has not been suspended since the process started. Only
+// differences of them are meaningful: adding the suspended time makes their time of day wrong.
 func Now() time.Time { return system.now() }
 
-// Since is the time since t, suspensions included.
+// Since returns the time elapsed since t, including suspensions.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time until t.
+// Until returns the duration until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// OrSystem returns now, or this clock for nil. It completes settings that take a clock
-// from outside.
+// OrSystem returns now, or Now if now is nil. It supplies the default of configurations
+// with an injectable clock.
 func OrSystem(now func() time.Time) func() time.Time {
 	if now == nil {
 		return Now
@@ -34,46 +34,47 @@
 	return now
 }
 
-// reading are two clocks of the kernel, read one between two readings of the other.
+// reading holds the values of two kernel clocks; boot was read between before and after.
 type reading struct {
-	// before and after are of the clock that stands still while the VM is suspended, and
-	// boot is of the one that does not.
+	// before and after are CLOCK_MONOTONIC, which stops while the VM is suspended. boot is
+	// CLOCK_BOOTTIME, which does not.
 	before, boot, after time.Duration
-	// ok is false where the kernel has no such clocks.
+	// ok is false if the kernel does not provide these clocks.
 	ok bool
 }
 
 func readSystem() reading {
-	before, ok1 := kernel(unix.CLOCK_MONOTONIC)
-	boot, ok2 := kernel(unix.CLOCK_BOOTTIME)
-	after, ok3 := kernel(unix.CLOCK_MONOTONIC)
+	before, ok1 := readKernel(unix.CLOCK_MONOTONIC)
+	boot, ok2 := readKernel(unix.CLOCK_BOOTTIME)
+	after, ok3 := readKernel(unix.CLOCK_MONOTONIC)
 	return reading{before: before, boot: boot, after: after, ok: ok1 && ok2 && ok3}
 }
 
-func kernel(id int32) (time.Duration, bool) {
+func readKernel(id int32) (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
-		return 0, false // an old kernel: suspensions cannot be told from any other pause
+		return 0, false // an old kernel: suspensions can't be detected
 	}
 	return time.Duration(t.Nano()), true
 }
 
-// clock adds what the VM was suspended for to time.Now, so that time in package
-// testing/synctest holds for it too.
+// clock adds the suspended time to time.Now, and thus follows the virtual time of package
+// testing/synctest.
 type clock struct {
 	read func() reading
-	// watched tells that the time of day shows when to read: during a suspension it goes on, and the
-	// steady clock does not. Both come with each time.Now, at a sixth of the price. It is not set
-	// where read is made up.
-	watched bool
-	// apart is how far the two were apart when the kernel was last asked, in nanoseconds.
-	apart atomic.Int64
-	// base is how far the two clocks of the kernel were apart at the start, and suspended
-	// how much more that has become.
+	// skipUnchanged makes now call read only if the offset between the wall clock and Go's
+	// monotonic clock has changed, as it does in a suspension. Both come with time.Now, at a
+	// sixth of the cost of read. It is false if read is simulated.
+	skipUnchanged bool
+	// lastOffset is that offset at the last call of read, in nanoseconds.
+	lastOffset atomic.Int64
+	// base is the difference between the two kernel clocks at the start, and suspended the
+	// increase since then in nanoseconds.
 	//
-	// Invariant: suspended never falls, and rises only with a suspension: it is raised
-	// only to what both readings around the other clock prove. A pause of this process
-	// between the readings makes them prove less, never more.
+	// Invariant: suspended never decreases, and increases only through a suspension. The
+	// increase is computed from after, the later of the two monotonic readings, and base from
+	// before, so that a pause of this process between the readings lowers the result and never
+	// raises it.
 	base      time.Duration
 	suspended atomic.Int64
 }
@@ -86,48 +87,50 @@
 	return c
 }
 
-// newWatchedClock returns a clock that asks the kernel only when the time of day has moved against
-// the steady clock.
-func newWatchedClock(read func() reading) *clock {
+// newCachedClock returns a clock that reads the kernel clocks only if the offset between the wall
+// clock and the monotonic clock has changed by at least minSuspension.
+func newCachedClock(read func() reading) *clock {
 	c := newClock(read)
-	c.watched = true
-	c.apart.Store(apart(time.Now()))
+	c.skipUnchanged = true
+	c.lastOffset.Store(wallOffset(time.Now()))
 	return c
 }
 
-// shortest is the least suspension that is looked for. Nothing rests on shorter ones.
-const shortest = 2 * time.Millisecond
+// minSuspension is the shortest suspension that is detected. No user of this package depends on
+// shorter ones.
+const minSuspension = 2 * time.Millisecond
 
-// began is what the steady clock is counted from here.
-var began = time.Now()
+// processStart is the origin of the monotonic clock in wallOffset.
+var processStart = time.Now()
 
-// apart is how far the time of day is from the steady clock.
-func apart(t time.Time) int64 { return t.UnixNano() - int64(t.Sub(began)) }
+// wallOffset returns the wall clock minus the monotonic clock at t, in nanoseconds.
+func wallOffset(t time.Time) int64 { return t.UnixNano() - int64(t.Sub(processStart)) }
 
 func (c *clock) now() time.Time {
 	t := time.Now()
-	moved := apart(t)
-	if c.watched && time.Duration(moved-c.apart.Load()).Abs() < shortest {
+	offset := wallOffset(t)
+	if c.skipUnchanged && time.Duration(offset-c.lastOffset.Load()).Abs() < minSuspension {
 		return t.Add(time.Duration(c.suspended.Load()))
 	}
 	suspended := c.suspension()
-	c.apart.Store(moved) // after the suspension is known to all
+	c.lastOffset.Store(offset) // only after c.suspended was updated, so that concurrent calls see it
 	return t.Add(suspended)
 }
 
-// suspension is how long the VM was suspended since the start of the process.
+// suspension reads the kernel clocks and returns how long the VM has been suspended since the
+// start of the process.
 func (c *clock) suspension() time.Duration {
 	r := c.read()
-	known := c.suspended.Load()
+	current := c.suspended.Load()
 	if !r.ok {
-		return time.Duration(known)
+		return time.Duration(current)
 	}
-	proved := int64(r.boot - r.after - c.base)
-	for proved > known {
-		if c.suspended.CompareAndSwap(known, proved) {
-			return time.Duration(proved)
+	observed := int64(r.boot - r.after - c.base)
+	for observed > current {
+		if c.suspended.CompareAndSwap(current, observed) {
+			return time.Duration(observed)
 		}
-		known = c.suspended.Load()
+		current = c.suspended.Load()
 	}
-	return time.Duration(known)
+	return time.Duration(current)
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// kernelClocks are clocks of a kernel that a test sets.
+// kernelClocks simulates the kernel clocks.
 type kernelClocks struct{ running, suspended, pause time.Duration }
 
 func (k *kernelClocks) read() reading {
@@ -15,8 +15,8 @@
 	}
 }
 
-// A suspension counts in full, a pause of the process between two readings not at all, and
-// the clock never goes back.
+// A suspension is counted in full, a pause of the process between two readings is not counted,
+// and the clock never goes back.
 func TestNowCountsSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &kernelClocks{running: time.Hour}
@@ -30,8 +30,8 @@
 			{"nothing happens", func() {}, 0},
 			{"time passes", func() { time.Sleep(time.Second); k.running += time.Second }, time.Second},
 			{"the VM is suspended", func() { k.suspended += 10 * time.Second }, 11 * time.Second},
-			{"the process is held up while it reads", func() { k.pause = 300 * time.Millisecond }, 11 * time.Second},
-			{"that is over", func() { k.pause = 0 }, 11 * time.Second},
+			{"the process pauses between two readings", func() { k.pause = 300 * time.Millisecond }, 11 * time.Second},
+			{"the pause ends", func() { k.pause = 0 }, 11 * time.Second},
 			{"the VM is suspended again", func() { k.suspended += time.Minute }, 71 * time.Second},
 		}
 		for _, s := range steps {
@@ -43,28 +43,28 @@
 	})
 }
 
-// The kernel is asked only when the time of day has moved against the steady clock, and then a
-// suspension counts in full; a step of the time of day counts nothing.
-func TestTheTimeOfDayShowsWhenToAsk(t *testing.T) {
-	// The bubble's time of day and steady clock are read in one: a pause between the two readings of a
-	// real time.Now looks like a step, and is asked about rightly.
+// The kernel clocks are read only after the offset between wall clock and monotonic clock has
+// changed. A suspension is then counted in full, and a step of the wall clock is not counted.
+func TestKernelIsReadOnlyAfterWallClockOffsetChange(t *testing.T) {
+	// In a synctest bubble both clocks are read atomically. Outside, a pause between the two
+	// readings of time.Now looks like a step and rightly causes a read.
 	synctest.Test(t, func(t *testing.T) {
 		k := &kernelClocks{running: time.Hour}
-		asked := 0
-		c := newWatchedClock(func() reading { asked++; return k.read() })
-		asked = 0
+		reads := 0
+		c := newCachedClock(func() reading { reads++; return k.read() })
+		reads = 0
 		for range 1000 {
 			c.now()
 		}
-		if asked != 0 {
-			t.Errorf("the kernel was asked %d times while nothing happened", asked)
+		if reads != 0 {
+			t.Errorf("the kernel clocks were read %d times without a change", reads)
 		}
 		step := func(name string, by, suspended, want time.Duration) {
-			c.apart.Add(-int64(by)) // as if the time of day had moved on
+			c.lastOffset.Add(-int64(by)) // as if the wall clock had advanced
 			k.suspended += suspended
-			before := asked
-			if got := time.Until(c.now()).Round(time.Second); got != want || asked != before+1 {
-				t.Errorf("%s: the clock is %v ahead, want %v; asked %d times", name, got, want, asked-before)
+			before := reads
+			if got := time.Until(c.now()).Round(time.Second); got != want || reads != before+1 {
+				t.Errorf("%s: the clock is %v ahead, want %v; %d reads, want 1", name, got, want, reads-before)
 			}
 		}
 		step("a suspension", 10*time.Second, 10*time.Second, 10*time.Second)
@@ -74,8 +74,8 @@
 	})
 }
 
-// Where the kernel has no clock that runs on, the time of Go's clock holds.
-func TestNowWithoutSuchAClock(t *testing.T) {
+// Without CLOCK_BOOTTIME the clock follows time.Now.
+func TestNowWithoutBoottimeClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClock(func() reading { return reading{} })
 		start := c.now()
@@ -86,10 +86,10 @@
 	})
 }
 
-// The system's own clock agrees with Go's while nothing is suspended.
+// The system clock agrees with Go's clock while the VM is not suspended.
 func TestSystemClock(t *testing.T) {
 	if r := readSystem(); !r.ok || r.after < r.before {
-		t.Fatalf("the kernel's clocks read %+v", r)
+		t.Fatalf("got kernel clocks %+v", r)
 	}
 	before := Now()
 	time.Sleep(20 * time.Millisecond)
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -6,63 +6,65 @@
 )
 
 const (
-	// wallSlack is how far the time of day may be from what is expected without being a step.
-	wallSlack = 50 * time.Millisecond
-	// wallPatience is how long a step must last to be believed. A clock that is wrong for a while
-	// must not move what is counted by the time of day; one that was put right stays so.
-	wallPatience = time.Minute
+	// stepTolerance is the deviation from the expected wall clock that is not considered a step.
+	stepTolerance = 50 * time.Millisecond
+	// stepConfirmTime is how long a step must persist before it is followed. A temporarily wrong
+	// clock must not affect values that depend on the wall clock; a corrected clock persists.
+	stepConfirmTime = time.Minute
 )
 
-// WallClock is the time of day for what VMs must agree on, such as which interval something fell in. It
-// goes on steadily from the time of day at its making, and follows a step only once that has lasted.
-// It is safe for concurrent use.
+// WallClock is a wall clock for values that VMs must agree on, such as the interval of an event.
+// It advances with the monotonic clock from the wall clock at its creation and follows a step of
+// the wall clock only after stepConfirmTime. It is safe for concurrent use.
 type WallClock struct {
-	steady, day func() time.Time
+	monotonic, wall func() time.Time
 
 	mu sync.Mutex
-	// offset is added to the steady clock, in nanoseconds since 1970.
+	// offset is the wall clock, as the time since 1970, minus the monotonic time since epoch.
 	offset time.Duration
-	// stepped is since when the time of day differs, and steps by how much; zero if it does not.
-	stepped time.Time
-	steps   time.Duration
+	// stepSince is when the wall clock was first seen to deviate, or zero if it does not.
+	// stepSize is the deviation.
+	stepSince time.Time
+	stepSize  time.Duration
 }
 
-// NewWallClock returns a WallClock that believes the present time of day.
-func NewWallClock() *WallClock { return newWall(Now, time.Now) }
+// NewWallClock returns a WallClock that starts at the current wall clock.
+func NewWallClock() *WallClock { return newWallClock(Now, time.Now) }
 
-func newWall(steady, day func() time.Time) *WallClock {
-	w := &WallClock{steady: steady, day: day}
-	w.offset = w.apart(steady())
+func newWallClock(monotonic, wall func() time.Time) *WallClock {
+	w := &WallClock{monotonic: monotonic, wall: wall}
+	w.offset = w.offsetFrom(monotonic())
 	return w
 }
 
-// epoch is what the steady clock is counted from here.
+// epoch is the origin of the monotonic clock in WallClock.
 var epoch = Now()
 
-// apart is how far the time of day is from the steady clock.
-func (w *WallClock) apart(steady time.Time) time.Duration {
-	return time.Duration(w.day().UnixNano()) - steady.Sub(epoch)
+// offsetFrom returns the current wall clock, as the time since 1970, minus the monotonic time
+// since epoch.
+func (w *WallClock) offsetFrom(monotonic time.Time) time.Duration {
+	return time.Duration(w.wall().UnixNano()) - monotonic.Sub(epoch)
 }
 
-// Now is the time.
+// Now returns the current time.
 func (w *WallClock) Now() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.steady()
-	w.watch(now)
+	now := w.monotonic()
+	w.detectStep(now)
 	return time.Unix(0, int64(now.Sub(epoch)+w.offset))
 }
 
-// watch looks for steps of the time of day. The caller holds mu.
-func (w *WallClock) watch(now time.Time) {
-	steps := w.apart(now) - w.offset
+// detectStep detects steps of the wall clock and follows those that persist. The caller holds mu.
+func (w *WallClock) detectStep(now time.Time) {
+	step := w.offsetFrom(now) - w.offset
 	switch {
-	case steps.Abs() <= wallSlack:
-		w.stepped = time.Time{}
-	case w.stepped.IsZero() || (steps-w.steps).Abs() > wallSlack:
-		w.stepped, w.steps = now, steps
-	case now.Sub(w.stepped) >= wallPatience:
-		w.offset += steps
-		w.stepped = time.Time{}
+	case step.Abs() <= stepTolerance:
+		w.stepSince = time.Time{}
+	case w.stepSince.IsZero() || (step-w.stepSize).Abs() > stepTolerance:
+		w.stepSince, w.stepSize = now, step
+	case now.Sub(w.stepSince) >= stepConfirmTime:
+		w.offset += step
+		w.stepSince = time.Time{}
 	}
 }
--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// day is a time of day that a test steps, on a steady clock that it moves.
-type day struct{ now, step time.Duration }
+// fakeClocks simulates a monotonic clock and a wall clock that is ahead of it by step.
+type fakeClocks struct{ now, step time.Duration }
 
-func (d *day) steady() time.Time { return epoch.Add(d.now) }
+func (d *fakeClocks) monotonic() time.Time { return epoch.Add(d.now) }
 
-func (d *day) day() time.Time { return time.Unix(1000, 0).Add(d.now + d.step) }
+func (d *fakeClocks) wall() time.Time { return time.Unix(1000, 0).Add(d.now + d.step) }
 
-// pass lets time pass in small parts, in each of which the wall is read.
-func (d *day) pass(w *WallClock, by time.Duration) time.Duration {
+// advance advances the time by one second at a time, reads the wall clock after each, and returns
+// its deviation from the monotonic clock.
+func (d *fakeClocks) advance(w *WallClock, by time.Duration) time.Duration {
 	for range int(by / time.Second) {
 		d.now += time.Second
 		w.Now()
@@ -23,40 +24,40 @@
 
 func TestWall(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		play func(d *day, w *WallClock) time.Duration
-		off  time.Duration
+		name   string
+		run    func(d *fakeClocks, w *WallClock) time.Duration
+		offset time.Duration
 	}{
-		{"steady", func(d *day, w *WallClock) time.Duration { return d.pass(w, time.Hour) }, 0},
-		{"a step ahead and back", func(d *day, w *WallClock) time.Duration {
+		{"steady", func(d *fakeClocks, w *WallClock) time.Duration { return d.advance(w, time.Hour) }, 0},
+		{"a step ahead and back", func(d *fakeClocks, w *WallClock) time.Duration {
 			d.step = 2 * time.Second
-			if off := d.pass(w, 30*time.Second); off != 0 {
+			if off := d.advance(w, 30*time.Second); off != 0 {
 				return off
 			}
 			d.step = 0
-			return d.pass(w, 10*time.Minute)
+			return d.advance(w, 10*time.Minute)
 		}, 0},
-		{"steps again and again", func(d *day, w *WallClock) time.Duration {
+		{"repeated steps", func(d *fakeClocks, w *WallClock) time.Duration {
 			for range 10 {
 				d.step += time.Second
-				d.pass(w, 30*time.Second)
+				d.advance(w, 30*time.Second)
 			}
-			return d.pass(w, time.Second)
+			return d.advance(w, time.Second)
 		}, 0},
-		{"a step that lasts", func(d *day, w *WallClock) time.Duration {
+		{"a step that persists", func(d *fakeClocks, w *WallClock) time.Duration {
 			d.step = -2 * time.Second
-			return d.pass(w, 2*time.Minute)
+			return d.advance(w, 2*time.Minute)
 		}, -2 * time.Second},
-		{"a drift below the slack", func(d *day, w *WallClock) time.Duration {
+		{"a deviation below the tolerance", func(d *fakeClocks, w *WallClock) time.Duration {
 			d.step = 40 * time.Millisecond
-			return d.pass(w, time.Hour)
+			return d.advance(w, time.Hour)
 		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d := &day{}
-			w := newWall(d.steady, d.day)
-			if off := tc.play(d, w); off != tc.off {
-				t.Errorf("off by %v, want %v", off, tc.off)
+			d := &fakeClocks{}
+			w := newWallClock(d.monotonic, d.wall)
+			if off := tc.run(d, w); off != tc.offset {
+				t.Errorf("got offset %v, want %v", off, tc.offset)
 			}
 		})
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is what the thin mains of the two daemons have in common: the
-// command line, the settings file, logs, signals and the platform's clients.
+// Package daemon contains the code shared by the main packages of the two daemons:
+// command line, settings file, logging, signals and clients of the platform.
 package daemon
 
 import (
@@ -27,12 +27,12 @@
 	Name, Short string
 	// Kind is the daemon's section of the settings file.
 	Kind settings.Kind
-	// Run serves until ctx ends, which a SIGTERM or SIGINT makes it do.
+	// Run serves until ctx ends. SIGTERM and SIGINT cancel ctx.
 	Run func(ctx context.Context, p *settings.Process, file string) error
 }
 
-// Main runs the daemon and returns its exit code: 0 after a planned stop, 1
-// after a failure, 2 for a settings file that was refused.
+// Main runs the daemon and returns its exit code: 0 after a normal shutdown, 1
+// after a failure, 2 for an invalid settings file.
 func Main(s Spec) int {
 	code := 0
 	var file string
@@ -69,6 +69,6 @@
 func setLogLevel(level int) {
 	set := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(set)
-	_ = set.Set("v", strconv.Itoa(level)) // a number is always taken
+	_ = set.Set("v", strconv.Itoa(level)) // can't fail for a number
 	_ = set.Set("logtostderr", "true")
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -11,7 +11,7 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Platform holds clients of all that the platform gives.
+// Platform holds the clients of the platform's services.
 type Platform struct {
 	Rows    table.Service
 	Objects object.Store
@@ -19,7 +19,7 @@
 	Weights weightstore.Store
 }
 
-// NewPlatform returns clients of the platform that a process's settings name.
+// NewPlatform returns clients of the platform that is configured in p.
 func NewPlatform(p *settings.Process) Platform {
 	return Platform{
 		Rows:    table.NewMetered(table.NewClient(p.Platform, httponce.Config{}), metrics.GetDefaultSet()),
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -15,12 +15,12 @@
 
 const root = "../.."
 
-// promiseCount is the number of points under "What must always hold".
+// promiseCount is the number of promises, the points under "What must always hold".
 const promiseCount = 9
 
-// tree is what the pages may name.
+// tree holds the names that the pages may refer to.
 type tree struct {
-	// tests holds the names of test functions and benchmarks by directory.
+	// tests holds the names of tests and benchmarks by directory.
 	tests map[string]map[string]bool
 	// paths holds files and directories, by path from the root.
 	paths map[string]bool
@@ -50,9 +50,9 @@
 		tr.paths[name] = true
 		switch {
 		case strings.HasSuffix(name, "_test.go"):
-			tr.addTests(filepath.Dir(name), read(t, name))
+			tr.addTests(filepath.Dir(name), readFile(t, name))
 		case entry.Name() == "Makefile" || strings.HasSuffix(name, ".mk"):
-			for _, m := range makeTarget.FindAllStringSubmatch(read(t, name), -1) {
+			for _, m := range makeTarget.FindAllStringSubmatch(readFile(t, name), -1) {
 				tr.targets[m[1]] = true
 			}
 		}
@@ -73,8 +73,8 @@
 	}
 }
 
-// anywhere tells whether some package has the test.
-func (tr tree) anywhere(name string) bool {
+// hasTest reports whether any package has the test.
+func (tr tree) hasTest(name string) bool {
 	for _, tests := range tr.tests {
 		if tests[name] {
 			return true
@@ -83,7 +83,7 @@
 	return false
 }
 
-func read(t *testing.T, name string) string {
+func readFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, name))
 	if err != nil {
@@ -101,11 +101,11 @@
 	section   = regexp.MustCompile(`(?m)^## (\d)\. .*$`)
 )
 
-// namesProblems lists the tests, targets and paths that a page names and that
+// namesProblems lists the tests, make targets and paths that a page refers to but that
 // are not in the tree.
 func (tr tree) namesProblems(page, text string) (problems []string) {
 	for _, name := range testName.FindAllString(text, -1) {
-		if !tr.anywhere(name) {
+		if !tr.hasTest(name) {
 			problems = append(problems, fmt.Sprintf("%s: no test %s", page, name))
 		}
 	}
@@ -128,8 +128,8 @@
 }
 
 // promiseProblems lists what is missing in the page of promises: a promise, its
-// mechanism, a test in the package that the page says, or a word on what is not
-// proved. Tests named under what is not proved do not count.
+// mechanism, a test in the stated package, or its section "Not proved". Tests named
+// in that section do not count.
 func (tr tree) promiseProblems(text string) (problems []string) {
 	heads := section.FindAllStringSubmatchIndex(text, -1)
 	for i, head := range heads {
@@ -158,7 +158,7 @@
 	return append(problems, tr.qualifiedProblems(text)...)
 }
 
-// qualifiedProblems wants each test named with the package that it is in.
+// qualifiedProblems lists the tests that are named without a package or with a wrong one.
 func (tr tree) qualifiedProblems(text string) (problems []string) {
 	for _, m := range qualified.FindAllStringSubmatch(text, -1) {
 		if !tr.tests[m[1]][m[2]] {
@@ -173,13 +173,13 @@
 
 func TestPromisesHaveTests(t *testing.T) {
 	tr := readTree(t)
-	for _, problem := range tr.promiseProblems(read(t, "docs/PROMISES.md")) {
+	for _, problem := range tr.promiseProblems(readFile(t, "docs/PROMISES.md")) {
 		t.Errorf("docs/PROMISES.md: %s", problem)
 	}
 }
 
-// TestPagesNameWhatExists checks every page of the repository but the log of
-// changes, which may name what is gone.
+// TestPagesNameWhatExists checks every page of the repository except the changelog,
+// which may refer to names that were removed.
 func TestPagesNameWhatExists(t *testing.T) {
 	tr := readTree(t)
 	pages := 0
@@ -188,17 +188,17 @@
 			continue
 		}
 		pages++
-		for _, problem := range tr.namesProblems(path, read(t, path)) {
+		for _, problem := range tr.namesProblems(path, readFile(t, path)) {
 			t.Error(problem)
 		}
 	}
 	if pages < 15 {
-		t.Errorf("only %d pages; is the root wrong?", pages)
+		t.Errorf("found only %d pages; the root may be wrong", pages)
 	}
 }
 
-// TestChecksObject shows that each check can fail.
-func TestChecksObject(t *testing.T) {
+// TestChecksDetectProblems verifies that each check can fail.
+func TestChecksDetectProblems(t *testing.T) {
 	tr := tree{
 		tests:   map[string]map[string]bool{"a/b": {"TestOne": true}},
 		paths:   map[string]bool{"docs/X.md": true},
@@ -217,9 +217,9 @@
 	}
 	names := func(text string) []string { return tr.namesProblems("docs/Y.md", text) }
 	for _, tt := range []struct {
-		name  string
-		got   []string
-		wants []string
+		name string
+		got  []string
+		want []string
 	}{
 		{"good page", tr.promiseProblems(page()), nil},
 		{"good names", names("TestOne, `make model`, [x](X.md#y), `docs/X.md`, [z](https://a.b/c)"), nil},
@@ -236,7 +236,7 @@
 			"docs/Y.md: no test TestGone", "docs/Y.md: no target gone", "docs/Y.md: no page Gone.md", "docs/Y.md: no file docs/Gone.md"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if diff := cmp.Diff(slices.Clone(tt.wants), tt.got); diff != "" {
+			if diff := cmp.Diff(slices.Clone(tt.want), tt.got); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
 		})
--- a/internal/fakeprocess/fakeprocess.go
+++ b/internal/fakeprocess/fakeprocess.go
@@ -1,6 +1,6 @@
-// Package fakeprocess is a process that tests can pause and kill. What it does to
-// the outside goes through lines that hold it up while it is paused, before and
-// after each call, and fail once it is dead. It works in a synctest bubble.
+// Package fakeprocess simulates a process that tests can pause and kill. Its calls go
+// through wrappers that block before and after each call while the process is paused,
+// and fail after it was killed. It works in a synctest bubble.
 package fakeprocess
 
 import (
@@ -13,31 +13,31 @@
 	"github.com/springweir/springweir/table"
 )
 
-// wakeDelay is how late after its deadline an order may leave that was about to
-// be sent when the process was paused.
-const wakeDelay = time.Second
+// resumeDelay is the deadline, from the time of sending, of an order whose own deadline passed
+// while the process was paused.
+const resumeDelay = time.Second
 
 // KilledError is a call by a process that was killed.
 type KilledError struct{}
 
 // Error implements error.
-func (KilledError) Error() string { return "process is dead" }
+func (KilledError) Error() string { return "process was killed" }
 
 // Reason implements failure.Coded.
 func (KilledError) Reason() failure.Reason { return failure.Internal }
 
-// Process is alive until Kill. The zero value runs. It is safe for concurrent use.
+// Process is a simulated process. The zero value is running. It is safe for concurrent use.
 type Process struct {
 	mu     sync.Mutex
 	paused chan struct{}
-	dead   bool
+	killed bool
 }
 
-// Pause makes the process stand still until Resume.
+// Pause blocks the process until Resume.
 func (p *Process) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.paused == nil && !p.dead {
+	if p.paused == nil && !p.killed {
 		p.paused = make(chan struct{})
 	}
 }
@@ -52,33 +52,33 @@
 	}
 }
 
-// Kill ends the process. Calls that it has sent go on without it.
+// Kill ends the process. Calls in flight continue.
 func (p *Process) Kill() {
 	p.mu.Lock()
-	p.dead = true
+	p.killed = true
 	p.mu.Unlock()
 	p.Resume()
 }
 
-// Killed tells whether the process was killed.
+// Killed reports whether the process was killed.
 func (p *Process) Killed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dead
+	return p.killed
 }
 
-// Paused tells whether the process stands still.
+// Paused reports whether the process is paused.
 func (p *Process) Paused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.paused != nil
 }
 
-// Wait returns once the process is not paused. The error is KilledError.
+// Wait blocks while the process is paused. It returns KilledError after Kill.
 func (p *Process) Wait() error {
 	for {
 		p.mu.Lock()
-		paused, dead := p.paused, p.dead
+		paused, dead := p.paused, p.killed
 		p.mu.Unlock()
 		if dead {
 			return KilledError{}
@@ -90,74 +90,74 @@
 	}
 }
 
-// WrapTable returns the process's way to svc.
-func (p *Process) WrapTable(svc table.Service) table.Service { return &tableLine{p: p, svc: svc} }
+// WrapTable returns svc as called by the process.
+func (p *Process) WrapTable(svc table.Service) table.Service { return &processTable{p: p, svc: svc} }
 
-type tableLine struct {
+type processTable struct {
 	p   *Process
 	svc table.Service
 }
 
 // Get implements table.Service.
-func (l *tableLine) Get(ctx context.Context, keys ...table.Key) ([]table.Row, error) {
-	if err := l.p.Wait(); err != nil {
+func (t *processTable) Get(ctx context.Context, keys ...table.Key) ([]table.Row, error) {
+	if err := t.p.Wait(); err != nil {
 		return nil, &table.UnavailableError{Cause: err}
 	}
-	rows, err := l.svc.Get(ctx, keys...)
-	_ = l.p.Wait()
+	rows, err := t.svc.Get(ctx, keys...)
+	_ = t.p.Wait()
 	return rows, err
 }
 
 // Scan implements table.Service.
-func (l *tableLine) Scan(ctx context.Context, name, prefix, after string, limit int) ([]table.Row, error) {
-	if err := l.p.Wait(); err != nil {
+func (t *processTable) Scan(ctx context.Context, name, prefix, after string, limit int) ([]table.Row, error) {
+	if err := t.p.Wait(); err != nil {
 		return nil, &table.UnavailableError{Cause: err}
 	}
-	rows, err := l.svc.Scan(ctx, name, prefix, after, limit)
-	_ = l.p.Wait()
+	rows, err := t.svc.Scan(ctx, name, prefix, after, limit)
+	_ = t.p.Wait()
 	return rows, err
 }
 
 // Commit implements table.Service.
-func (l *tableLine) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
-	if err := l.p.Wait(); err != nil {
+func (t *processTable) Commit(ctx context.Context, txn table.Txn) ([]table.Version, error) {
+	if err := t.p.Wait(); err != nil {
 		return nil, &table.UnavailableError{Cause: err}
 	}
-	versions, err := l.svc.Commit(ctx, txn)
-	_ = l.p.Wait()
+	versions, err := t.svc.Commit(ctx, txn)
+	_ = t.p.Wait()
 	return versions, err
 }
 
-// WrapEngine returns the process's way to e.
-func (p *Process) WrapEngine(e engine.Engine) engine.Engine { return &engineLine{Engine: e, p: p} }
+// WrapEngine returns e as called by the process.
+func (p *Process) WrapEngine(e engine.Engine) engine.Engine { return &processEngine{Engine: e, p: p} }
 
-type engineLine struct {
+type processEngine struct {
 	engine.Engine
 	p *Process
 }
 
 // State implements engine.Engine.
-func (l *engineLine) State(ctx context.Context) (engine.State, error) {
-	if err := l.p.Wait(); err != nil {
+func (e *processEngine) State(ctx context.Context) (engine.State, error) {
+	if err := e.p.Wait(); err != nil {
 		return engine.State{}, &engine.UnreachableError{Cause: err}
 	}
-	st, err := l.Engine.State(ctx)
-	_ = l.p.Wait()
+	st, err := e.Engine.State(ctx)
+	_ = e.p.Wait()
 	return st, err
 }
 
 // Order implements engine.Engine. An order that was about to be sent when the
-// process was paused leaves when it wakes, whatever its context and deadline say:
-// the worst that a wake-up may do.
-func (l *engineLine) Order(ctx context.Context, o engine.Order, deadline time.Time) (engine.OrderState, error) {
-	if err := l.p.Wait(); err != nil {
+// process was paused is sent on resumption even if its context or deadline has ended,
+// which is the worst case for a paused process.
+func (e *processEngine) Order(ctx context.Context, o engine.Order, deadline time.Time) (engine.OrderState, error) {
+	if err := e.p.Wait(); err != nil {
 		return engine.OrderState{}, &engine.UnreachableError{Cause: err}
 	}
-	late := time.Now().Add(wakeDelay)
+	late := time.Now().Add(resumeDelay)
 	if deadline.Before(late) {
 		deadline = late
 	}
-	st, err := l.Engine.Order(context.WithoutCancel(ctx), o, deadline)
-	_ = l.p.Wait()
+	st, err := e.Engine.Order(context.WithoutCancel(ctx), o, deadline)
+	_ = e.p.Wait()
 	return st, err
 }
--- a/internal/h1/errors.go
+++ b/internal/h1/errors.go
@@ -7,11 +7,11 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Error is an exchange that failed before the answer's head was read.
+// Error is an exchange that failed before the response head was read.
 type Error struct {
-	// Sent is false only if certainly no byte of the request left this process.
+	// Sent is false only if it is certain that no byte of the request left this process.
 	Sent bool
-	// Reused tells that the request went out on a kept connection.
+	// Reused reports whether the request used an idle connection of the pool.
 	Reused bool
 	Cause  error
 }
@@ -35,16 +35,16 @@
 	return failure.EndpointUnreachable
 }
 
-// StrayAnswerError is the cause of an exchange that got only answers of other requests.
-type StrayAnswerError struct{ Status int }
+// StrayResponseError is the cause of an exchange that received only responses to other requests.
+type StrayResponseError struct{ Status int }
 
 // Error implements error.
-func (e *StrayAnswerError) Error() string {
-	return "the answer belongs to another request (status " + strconv.Itoa(e.Status) + ")"
+func (e *StrayResponseError) Error() string {
+	return "the response belongs to another request (status " + strconv.Itoa(e.Status) + ")"
 }
 
 // Reason implements failure.Coded.
-func (e *StrayAnswerError) Reason() failure.Reason { return failure.AnswerMismatch }
+func (e *StrayResponseError) Reason() failure.Reason { return failure.AnswerMismatch }
 
 // unwrittenError is a write that failed before its first byte.
 type unwrittenError struct{ cause error }
@@ -55,11 +55,11 @@
 // Unwrap returns the cause.
 func (e *unwrittenError) Unwrap() error { return e.cause }
 
-// TooLongError is a body over the limit of its reader.
+// TooLongError is a response body that exceeds the limit given to ReadAll.
 type TooLongError struct{ Limit int64 }
 
 // Error implements error.
-func (e *TooLongError) Error() string { return fmt.Sprintf("the answer is over %d bytes", e.Limit) }
+func (e *TooLongError) Error() string { return fmt.Sprintf("the response exceeds %d bytes", e.Limit) }
 
 // Reason implements failure.Coded.
 func (e *TooLongError) Reason() failure.Reason { return failure.EndpointFailed }
--- a/internal/h1/exchange.go
+++ b/internal/h1/exchange.go
@@ -14,98 +14,99 @@
 	"golang.org/x/sys/unix"
 )
 
-// Request is one request as it is written. Header must hold no field that frames
-// the message; Do adds Host and Content-Length.
+// Request is an HTTP request. Header must not contain Host or any field that frames the
+// message, such as Content-Length or Transfer-Encoding; Do adds Host and Content-Length.
 type Request struct {
 	Method string
-	// Target is the request target as it stands on the first line.
+	// Target is the request target, written unchanged on the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody makes an empty body be announced.
+	// HasBody makes Do send Content-Length: 0 for an empty body.
 	HasBody bool
-	// MaxIdle bounds how long the connection may have been unused; zero takes
-	// the pool's own bound; see NewConnection.
+	// MaxIdle bounds the idle time of a reused connection. Zero uses the pool's MaxIdleTime;
+	// NewConnection prevents reuse.
 	MaxIdle time.Duration
-	// BeforeWrite, if set, is called once there is a connection, just before the first byte is
-	// written: opening one may have taken long. It may still change the request. With an
-	// error nothing is written, the connection is kept, and Do returns *Error with that cause.
+	// BeforeWrite, if set, is called after a connection was acquired and before the first byte
+	// is written, since dialling may have taken long. It may change the request. If it returns
+	// an error, nothing is written, the connection returns to the pool, and Do returns *Error
+	// with that cause.
 	BeforeWrite func(*Request) error
-	// Accept tells whether an answer's head belongs to this request. One that
-	// does not is read past, once or twice; nil accepts any.
+	// Accept reports whether a response head belongs to this request. Up to maxStrayResponses
+	// others are discarded. Nil accepts any response.
 	Accept func(status int, h http.Header) bool
 }
 
-// NewConnection as a Request's MaxIdle always opens a new connection.
+// NewConnection as a Request's MaxIdle forces a new connection.
 const NewConnection time.Duration = -1
 
-// exchange is one request and its answer on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
-	pool  *Pool
-	conn  *conn
-	stop  func() bool
-	wrote chan error
-	once  sync.Once
+	pool      *Pool
+	conn      *conn
+	stop      func() bool
+	writeDone chan error
+	once      sync.Once
 }
 
-// longAgo is a deadline that ends all reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that fails all reads and writes immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// Do sends a request once and reads the head of its answer. The exchange ends
-// with ctx. The error is *Error.
+// Do sends a request at most once and reads the head of the response. The exchange,
+// including reads of the body, is aborted when ctx ends. The error is *Error.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	c, reused, err := p.connect(ctx, r.MaxIdle)
+	c, reused, err := p.acquire(ctx, r.MaxIdle)
 	if err != nil {
 		return nil, &Error{Cause: err}
 	}
-	if err := r.ready(); err != nil {
-		p.giveBack(c)
+	if err := r.beforeWrite(); err != nil {
+		p.putUnused(c)
 		return nil, &Error{Reused: reused, Cause: err}
 	}
 	ex := &exchange{pool: p, conn: c}
-	ex.stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(longAgo) })
+	ex.stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastDeadline) })
 	if err := ex.write(r); err != nil {
-		ex.drop()
+		ex.abort()
 		var unwritten *unwrittenError
-		return nil, &Error{Sent: !errors.As(err, &unwritten), Reused: reused, Cause: cause(ctx, err)}
+		return nil, &Error{Sent: !errors.As(err, &unwritten), Reused: reused, Cause: contextCause(ctx, err)}
 	}
-	a, err := ex.head(r)
+	resp, err := ex.readResponse(r)
 	if err != nil {
-		ex.drop()
-		if reused && silent(ctx, err) {
+		ex.abort()
+		if reused && timedOut(ctx, err) {
 			p.dropIdle()
 		}
-		return nil, &Error{Sent: true, Reused: reused, Cause: cause(ctx, err)}
+		return nil, &Error{Sent: true, Reused: reused, Cause: contextCause(ctx, err)}
 	}
-	return a, nil
+	return resp, nil
 }
 
-func (r *Request) ready() error {
+func (r *Request) beforeWrite() error {
 	if r.BeforeWrite == nil {
 		return nil
 	}
 	return r.BeforeWrite(r)
 }
 
-// silent tells whether an exchange ended because nothing came for too long, and not
-// because its sender lost interest.
-func silent(ctx context.Context, err error) bool {
+// timedOut reports whether an exchange failed because of a timeout rather than because
+// its context was cancelled.
+func timedOut(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return !errors.Is(context.Cause(ctx), context.Canceled)
 	}
 	return errors.Is(err, unix.ETIMEDOUT)
 }
 
-// cause prefers the reason for which ctx ended to the error that this made.
-func cause(ctx context.Context, err error) error {
+// contextCause returns the cause of ctx if ctx has ended, otherwise err.
+func contextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-func (p *Pool) connect(ctx context.Context, maxIdle time.Duration) (c *conn, reused bool, err error) {
+func (p *Pool) acquire(ctx context.Context, maxIdle time.Duration) (c *conn, reused bool, err error) {
 	if ctx.Err() != nil {
 		return nil, false, context.Cause(ctx)
 	}
@@ -113,7 +114,7 @@
 		maxIdle = p.opts.MaxIdleTime
 	}
 	if maxIdle > 0 {
-		if c := p.take(maxIdle); c != nil {
+		if c := p.takeIdle(maxIdle); c != nil {
 			return c, true, nil
 		}
 	}
@@ -121,26 +122,26 @@
 	return c, false, err
 }
 
-// write sends the head, and the body beside the reading of the answer, since a
-// server may answer before it has read the body.
+// write sends the head and a short body. A longer body is sent in the background while
+// the response is read, since a server may respond before it has read the body.
 func (ex *exchange) write(r *Request) error {
 	head := appendHead(nil, r)
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		return ex.writeAll(append(head, r.Body...))
 	}
 	if err := ex.writeAll(head); err != nil {
 		return err
 	}
-	ex.wrote = make(chan error, 1)
+	ex.writeDone = make(chan error, 1)
 	go func() {
 		_, err := ex.conn.Write(r.Body)
-		ex.wrote <- err
+		ex.writeDone <- err
 	}()
 	return nil
 }
 
-// inlineBody is the longest body that is written in one call with its head.
-const inlineBody = 2 << 10
+// maxInlineBody is the size in bytes up to which a body is written in one call with the head.
+const maxInlineBody = 2 << 10
 
 func (ex *exchange) writeAll(b []byte) error {
 	n, err := ex.conn.Write(b)
@@ -173,22 +174,22 @@
 	return append(b, "\r\n"...)
 }
 
-// head reads heads until one belongs to the request.
-func (ex *exchange) head(r *Request) (*Response, error) {
-	for strays := 0; ; {
-		a, err := ex.readHead(r.Method)
+// readResponse reads response heads until one belongs to the request.
+func (ex *exchange) readResponse(r *Request) (*Response, error) {
+	for discarded := 0; ; {
+		resp, err := ex.readHead(r.Method)
 		switch {
 		case err != nil:
 			return nil, err
-		case a.Status < http.StatusOK:
-			continue // an interim answer; the final one follows
-		case r.Accept == nil || r.Accept(a.Status, a.Header):
-			return a, nil
+		case resp.Status < http.StatusOK:
+			continue // an interim response; the final one follows
+		case r.Accept == nil || r.Accept(resp.Status, resp.Header):
+			return resp, nil
 		}
-		if strays++; strays > maxStray || a.closing {
-			return nil, &StrayAnswerError{Status: a.Status}
+		if discarded++; discarded > maxStrayResponses || resp.closing {
+			return nil, &StrayResponseError{Status: resp.Status}
 		}
-		if _, err := io.Copy(io.Discard, a.body); err != nil {
+		if _, err := io.Copy(io.Discard, resp.body); err != nil {
 			return nil, err
 		}
 	}
@@ -205,46 +206,47 @@
 	}, nil
 }
 
-// writtenWait is how long the end of a write is waited for after a success. The server has
-// read the whole body by then, but on a busy VM the goroutine that wrote it may not have run
-// since: the connection was closed, and the next request cost a new one.
-const writtenWait = 250 * time.Millisecond
+// bodyWriteTimeout bounds the wait for the body writer after a successful response. The server
+// has read the whole body by then, but on a busy VM the goroutine that wrote it may not have
+// been scheduled since. Without the wait the connection would be closed and the next request
+// would need a new one.
+const bodyWriteTimeout = 250 * time.Millisecond
 
-// written tells whether the whole body was sent. A server that answers sooner, as with a
-// refusal, leaves the rest unread, so the connection cannot be used again.
-func (ex *exchange) written(success bool) bool {
-	if ex.wrote == nil {
+// bodyWritten reports whether the whole body was sent. A server that responds before that,
+// for example to reject the request, leaves the rest unread, so the connection can't be reused.
+func (ex *exchange) bodyWritten(success bool) bool {
+	if ex.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-ex.wrote:
+	case err := <-ex.writeDone:
 		return err == nil
 	default:
 	}
 	if !success {
 		return false
 	}
-	timer := time.NewTimer(writtenWait)
+	timer := time.NewTimer(bodyWriteTimeout)
 	defer timer.Stop()
 	select {
-	case err := <-ex.wrote:
+	case err := <-ex.writeDone:
 		return err == nil
 	case <-timer.C:
 		return false
 	}
 }
 
-// drop ends the connection with a reset, so that bytes which the network still
-// holds up are not delivered later.
-func (ex *exchange) drop() {
+// abort closes the connection with a reset, so that bytes still in transit are not
+// delivered later.
+func (ex *exchange) abort() {
 	ex.stop()
 	if tcp, ok := ex.conn.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close is only less abrupt
+		_ = tcp.SetLinger(0) // on failure the connection is closed without a reset
 	}
 	_ = ex.conn.Close()
 }
 
-// parameter finds name=value in a list separated by commas.
+// parameter returns the value of name in a comma-separated list of name=value items.
 func parameter(list, name string) (string, bool) {
 	for item := range strings.SplitSeq(list, ",") {
 		key, value, ok := strings.Cut(strings.TrimSpace(item), "=")
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,13 +1,12 @@
-// Package h1 is a client of HTTP/1.1 servers that keeps its connections itself.
+// Package h1 is an HTTP/1.1 client with its own connection pool.
 //
-// http.Transport hides three things that this product must know: whether any
-// byte of a request may have left, which connection a request goes out on, and
-// what a server sends beyond the answers it owes. A Pool shows all three: its
-// failures say whether anything was sent, a kept connection is looked at before
-// it is used again, and an answer that belongs to an earlier request is told
-// apart by the Accept function of the request.
+// http.Transport does not expose whether any byte of a request may have been
+// sent, which connection a request uses, and unsolicited data from the server.
+// With a Pool, errors report whether anything was sent, an idle connection is
+// checked before it is reused, and a response to an earlier request is detected
+// by the Accept function of the request.
 //
-// Heads are parsed by net/http.
+// Response heads are parsed by net/http.
 package h1
 
 import (
@@ -26,31 +25,31 @@
 )
 
 const (
-	// readBuffer holds the head of an answer and a small body.
-	readBuffer = 4 << 10
-	// maxStray bounds the answers of earlier requests that are read past.
-	maxStray = 2
+	// readBufferSize, in bytes, fits a response head and a small body.
+	readBufferSize = 4 << 10
+	// maxStrayResponses bounds the responses to earlier requests that one exchange discards.
+	maxStrayResponses = 2
 )
 
-// Options are the limits of a Pool. Zero values take the defaults.
+// Options configures a Pool. Zero values select the defaults.
 type Options struct {
 	// Network dials; the zero value is TCP.
 	Network network.Network
-	// ConnectTimeout bounds one dial (default 120 ms: many round trips within a
-	// region; a lost opening packet is sent again only after a second, and by then
-	// the request is better sent elsewhere).
+	// ConnectTimeout bounds one dial. The default of 120 ms allows many round trips within a
+	// region. A lost SYN is retransmitted only after a second, and by then another endpoint
+	// is the better choice.
 	ConnectTimeout time.Duration
-	// UserTimeout is TCP_USER_TIMEOUT: how long written bytes may stay
-	// unacknowledged before the connection counts as dead (default 2 s).
+	// UserTimeout is TCP_USER_TIMEOUT: how long written data may stay unacknowledged
+	// before the kernel closes the connection (default 2 s).
 	UserTimeout time.Duration
-	// KeepAlive is how long a connection may be quiet before the kernel probes the
-	// peer; one that does not acknowledge for UserTimeout counts as dead. Zero
-	// leaves the system's default, which is far longer than any request.
+	// KeepAlive is the idle time after which the kernel sends TCP keep-alive probes. A peer
+	// that acknowledges nothing for UserTimeout is considered dead. Zero keeps the system's
+	// default, which is far longer than any request.
 	KeepAlive time.Duration
-	// MaxIdleTime is how long an unused connection is kept at most
-	// (default 4 s). A server's Keep-Alive answer shortens it.
+	// MaxIdleTime bounds how long an idle connection is kept (default 4 s). A Keep-Alive
+	// header in a response can shorten it.
 	MaxIdleTime time.Duration
-	// MaxIdle is the number of unused connections kept (default 32).
+	// MaxIdle bounds the number of idle connections (default 32).
 	MaxIdle int
 }
 
@@ -78,36 +77,36 @@
 	return o
 }
 
-// Pool keeps the connections to one address. It is safe for concurrent use.
+// Pool is a connection pool for one address. It is safe for concurrent use.
 type Pool struct {
 	address string
 	opts    Options
 
-	// mu guards the fields below. It is a leaf and is not held during I/O.
+	// mu guards the fields below. It is a leaf lock and is not held during I/O.
 	mu     sync.Mutex
 	idle   []*conn
 	closed bool
 }
 
-// conn is one connection. It belongs to one exchange at a time.
+// conn is a connection, used by one exchange at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleSince is when the last exchange ended, and keep how long the server
-	// keeps the connection after that.
+	// idleSince is when the last exchange ended. keepFor is how long the connection may
+	// stay idle after that.
 	idleSince time.Time
-	keep      time.Duration
+	keepFor   time.Duration
 }
 
-// NewPool returns a pool for address (host:port). It connects when first used.
+// NewPool returns a pool for address (host:port). Connections are opened on demand.
 func NewPool(address string, o Options) *Pool {
 	return &Pool{address: address, opts: o.withDefaults()}
 }
 
-// Address is the address that the pool connects to.
+// Address returns the address that the pool connects to.
 func (p *Pool) Address() string { return p.address }
 
-// Close closes the unused connections; those in use are closed when they end.
+// Close closes the idle connections. Those in use are closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -116,8 +115,8 @@
 	closeAll(idle)
 }
 
-// dropIdle closes all unused connections. Connections may fall silent together,
-// without a reset, while new ones work; each would cost a request to find out.
+// dropIdle closes all idle connections. Existing connections may become unresponsive
+// together, without a reset, while new ones work; detecting each one would cost a request.
 func (p *Pool) dropIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -126,11 +125,11 @@
 	closeAll(idle)
 }
 
-// Prune closes connections that have been unused for too long.
+// Prune closes connections whose idle time at now exceeds their limit.
 func (p *Pool) Prune(now time.Time) {
 	p.mu.Lock()
 	n := 0
-	for n < len(p.idle) && now.Sub(p.idle[n].idleSince) >= p.idle[n].keep {
+	for n < len(p.idle) && now.Sub(p.idle[n].idleSince) >= p.idle[n].keepFor {
 		n++
 	}
 	old := p.idle[:n:n]
@@ -141,27 +140,27 @@
 
 func closeAll(conns []*conn) {
 	for _, c := range conns {
-		_ = c.Close() // nothing is owed on an unused connection
+		_ = c.Close() // no exchange uses an idle connection
 	}
 }
 
-// take returns a kept connection that has been unused for less than maxIdle and
-// on which the server has neither closed nor sent anything, or nil.
-func (p *Pool) take(maxIdle time.Duration) *conn {
+// takeIdle returns an idle connection that has been unused for less than maxIdle and that
+// the server has neither closed nor sent data on. It returns nil if there is none.
+func (p *Pool) takeIdle(maxIdle time.Duration) *conn {
 	for {
-		c := p.newest()
+		c := p.popIdle()
 		if c == nil {
 			return nil
 		}
 		unused := clock.Since(c.idleSince)
-		if unused < min(c.keep, maxIdle) && quiet(c.Conn) {
+		if unused < min(c.keepFor, maxIdle) && isIdle(c.Conn) {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-func (p *Pool) newest() *conn {
+func (p *Pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -174,15 +173,15 @@
 	return c
 }
 
-// put keeps a connection for the next exchange.
-func (p *Pool) put(c *conn) {
+// putIdle returns a connection to the pool after an exchange.
+func (p *Pool) putIdle(c *conn) {
 	c.idleSince = clock.Now()
 	p.addIdle(c)
 }
 
-// giveBack keeps a connection that was taken and not used. To the server, one that was used
-// before has been idle all the while.
-func (p *Pool) giveBack(c *conn) {
+// putUnused returns a connection to the pool that was acquired but not used. A connection that
+// was used before keeps its idleSince, since the server has seen it idle all the time.
+func (p *Pool) putUnused(c *conn) {
 	if c.idleSince.IsZero() {
 		c.idleSince = clock.Now()
 	}
@@ -207,13 +206,13 @@
 	}
 }
 
-// Connect opens a connection and keeps it for the next request. The error is of package net.
+// Connect opens a connection and adds it to the pool. The error is of package net.
 func (p *Pool) Connect(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err != nil {
 		return err
 	}
-	p.put(c)
+	p.putIdle(c)
 	return nil
 }
 
@@ -229,11 +228,11 @@
 		_ = nc.Close()
 		return nil, err
 	}
-	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), keep: p.opts.MaxIdleTime}, nil
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBufferSize), keepFor: p.opts.MaxIdleTime}, nil
 }
 
-// setUserTimeout makes the kernel give up on a peer that acknowledges nothing.
-// A connection that is no TCP socket (tests) has no such option.
+// setUserTimeout sets TCP_USER_TIMEOUT. It does nothing for a connection that is not a
+// TCP socket, as in tests.
 func setUserTimeout(nc net.Conn, d time.Duration) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -241,15 +240,15 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return // the socket is closed already; its next use says so
+		return // the socket is already closed; its next use fails
 	}
 	_ = raw.Control(func(fd uintptr) {
-		// Without the option only the answer's own time limit ends the wait.
+		// If this fails, only the timeout of the response ends the wait.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
 }
 
-// setKeepAlive makes the kernel probe a quiet peer.
+// setKeepAlive enables TCP keep-alive probes after idle.
 func setKeepAlive(nc net.Conn, idle time.Duration) error {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok || idle == 0 {
@@ -258,13 +257,13 @@
 	return tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: idle, Interval: idle, Count: keepAliveProbes})
 }
 
-// keepAliveProbes is the number of probes without an answer after which a connection
-// counts as dead. One may be lost on the way.
+// keepAliveProbes is the number of unacknowledged probes after which a connection is
+// considered dead. It is above one because a probe may be lost.
 const keepAliveProbes = 2
 
-// quiet tells whether an unused connection is open and has nothing to read. A
-// server that has closed it, or sent bytes that belong to no request, has spoilt it.
-func quiet(nc net.Conn) bool {
+// isIdle reports whether an unused connection is open and has no data to read. It can't be
+// reused once the server has closed it or sent unsolicited data.
+func isIdle(nc net.Conn) bool {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return true
@@ -283,9 +282,9 @@
 	return err == nil && empty
 }
 
-// keepAlive returns how long the server of an answer keeps its connection after it,
-// with a margin for the way there, or limit if it does not say.
-func keepAlive(h http.Header, limit time.Duration) time.Duration {
+// keepAliveTimeout returns three quarters of the timeout in the response's Keep-Alive header,
+// at most limit; the margin covers the transit of a request. Without the header it returns limit.
+func keepAliveTimeout(h http.Header, limit time.Duration) time.Duration {
 	for _, v := range h.Values("Keep-Alive") {
 		if s, ok := parameter(v, "timeout"); ok {
 			if n, err := strconv.Atoi(s); err == nil {
--- /dev/null
+++ b/internal/h1/response.go
@@ -0,0 +1,62 @@
+package h1
+
+import (
+	"io"
+	"net/http"
+)
+
+// Response is a response whose head was read. Close must be called once.
+type Response struct {
+	Status int
+	Header http.Header
+	// Length is the length of the body in bytes, or -1 if it is not known in advance.
+	Length int64
+
+	body    io.Reader
+	ended   bool
+	closing bool
+	ex      *exchange
+}
+
+// Read implements io.Reader. It returns io.EOF only if the body is complete.
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
+	if err == io.EOF {
+		r.ended = true
+	}
+	return n, err
+}
+
+// ReadAll reads the whole body. It returns *TooLongError if the body exceeds limit bytes.
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, limit+1))
+	if err == nil && int64(len(body)) > limit {
+		return nil, &TooLongError{Limit: limit}
+	}
+	return body, err
+}
+
+// Closing reports whether the server closes the connection after this response.
+func (r *Response) Closing() bool { return r.closing }
+
+// Close ends the exchange. The connection returns to the pool if the response was
+// read to its end and no further data arrived. Otherwise it is closed, which makes
+// the server cancel the request.
+func (r *Response) Close() {
+	r.ex.once.Do(func() {
+		if !r.reusable() {
+			r.ex.abort()
+			return
+		}
+		r.ex.conn.keepFor = keepAliveTimeout(r.Header, r.ex.pool.opts.MaxIdleTime)
+		r.ex.pool.putIdle(r.ex.conn)
+	})
+}
+
+func (r *Response) reusable() bool {
+	ended := r.ended || r.Length == 0
+	if !ended || r.closing || r.ex.conn.reader.Buffered() > 0 {
+		return false
+	}
+	return r.ex.stop() && r.ex.bodyWritten(r.Status/100 == 2)
+}
--- a/internal/h1/suspension_test.go
+++ b/internal/h1/suspension_test.go
@@ -8,9 +8,9 @@
 	"github.com/springweir/springweir/internal/clock"
 )
 
-// A connection that was kept while the VM was suspended is not used again: its server may
-// have closed it, and a request sent on it could be lost.
-func TestKeptConnectionAfterASuspension(t *testing.T) {
+// An idle connection is not reused after a suspension of the VM longer than its idle limit:
+// the server may have closed it, and a request sent on it could be lost.
+func TestIdleConnectionAfterSuspension(t *testing.T) {
 	var suspended atomic.Int64 // nanoseconds
 	defer clock.Simulate(func() time.Duration { return time.Duration(suspended.Load()) })()
 	s := serve(t, echo)
@@ -29,7 +29,7 @@
 		}
 		a.Close()
 		if got := s.connections(); got != step.want {
-			t.Errorf("after a suspension of %v in all %d connections were opened, want %d", step.suspended, got, step.want)
+			t.Errorf("total suspension %v: %d connections were opened, want %d", step.suspended, got, step.want)
 		}
 	}
 	p.Close()
--- a/internal/history/claims.go
+++ b/internal/history/claims.go
@@ -1,6 +1,6 @@
-// Package history checks what happened in runs with failures, afterwards: that
-// claims are linearizable, that a call ran at most once, that what was called
-// not run did not run, and that each caller got its own answer.
+// Package history checks the recorded histories of tests with fault injection: claims
+// are linearizable, a call ran at most once, a request reported as not run did not
+// run, and each caller received the response to its own request.
 package history
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Op is what a VM does with the claim of one key.
+// Op is an operation of a VM on the claim of one key.
 type Op string
 
 // The operations.
@@ -20,33 +20,34 @@
 	Release Op = "release"
 )
 
-// ClaimInput is one operation. Value is the answer that a Finish keeps.
+// ClaimInput is one operation. Value is the response that a Finish stores.
 type ClaimInput struct {
 	Op    Op
 	Value string
 }
 
-// ClaimOutput is what a Begin gave. All empty means that the key was taken.
+// ClaimOutput is the result of a Begin. The zero value means that the claim is held by
+// another call.
 type ClaimOutput struct {
 	Claimed bool
-	// Stored is the answer given to a repeat.
+	// Stored is the stored response that a retry received.
 	Stored string
-	// Unavailable is set when the claim could not be recorded.
+	// Unavailable is set if the claim could not be recorded.
 	Unavailable bool
 }
 
 // ClaimHistory records the operations on one key. It is safe for concurrent use.
 type ClaimHistory struct {
-	mu    sync.Mutex
-	start time.Time
-	ops   []porcupine.Operation
-	held  int
+	mu      sync.Mutex
+	start   time.Time
+	ops     []porcupine.Operation
+	claimed int
 }
 
 // NewClaimHistory returns an empty history.
 func NewClaimHistory() *ClaimHistory { return &ClaimHistory{start: time.Now()} }
 
-// Run carries out and records one operation of a client.
+// Run executes and records one operation of a client.
 func (c *ClaimHistory) Run(client int, in ClaimInput, op func() ClaimOutput) {
 	call := time.Since(c.start).Nanoseconds()
 	out := op()
@@ -56,16 +57,16 @@
 		ClientId: client, Input: in, Call: call, Output: out, Return: time.Since(c.start).Nanoseconds(),
 	})
 	if out.Claimed {
-		c.held++
+		c.claimed++
 	}
 }
 
-// ClaimedCount is the number of Begins that got the claim.
-func (c *ClaimHistory) ClaimedCount() int { return c.held }
+// ClaimedCount returns the number of Begins that acquired the claim.
+func (c *ClaimHistory) ClaimedCount() int { return c.claimed }
 
 // Linearizable checks the history against the sequential specification:
-// between two releases one Begin gets the claim, and a finished call's answer
-// is given to every repeat.
+// between two releases one Begin acquires the claim, and every retry of a finished
+// call receives its stored response.
 func (c *ClaimHistory) Linearizable() bool {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{claimState{phase: free}} },
@@ -76,8 +77,8 @@
 	return porcupine.CheckOperations(model.ToModel(), c.ops)
 }
 
-// phase is how far the key's call has come. Finish and Release may return while
-// their write is still under way, which finishing and releasing stand for.
+// phase is the state of the key's call. Finish and Release may return before their
+// write takes effect; finishing and releasing represent that interval.
 type phase string
 
 const (
@@ -96,9 +97,9 @@
 func step(s claimState, in ClaimInput, out ClaimOutput) []any {
 	switch in.Op {
 	case Finish:
-		return only(s.phase == held, claimState{finishing, in.Value})
+		return onlyIf(s.phase == held, claimState{finishing, in.Value})
 	case Release:
-		return only(s.phase == held, claimState{phase: releasing})
+		return onlyIf(s.phase == held, claimState{phase: releasing})
 	default:
 		return stepBegin(s, out)
 	}
@@ -107,21 +108,21 @@
 func stepBegin(s claimState, out ClaimOutput) []any {
 	switch {
 	case out.Claimed:
-		return only(s.phase == free || s.phase == releasing, claimState{phase: held})
+		return onlyIf(s.phase == free || s.phase == releasing, claimState{phase: held})
 	case out.Stored != "":
-		known := s.phase == finishing || s.phase == answered
-		return only(known && s.value == out.Stored, claimState{answered, s.value})
+		finished := s.phase == finishing || s.phase == answered
+		return onlyIf(finished && s.value == out.Stored, claimState{answered, s.value})
 	case out.Unavailable && s.phase == free:
 		// The write may have taken effect; then it is released later.
 		return []any{s, claimState{phase: releasing}}
 	case out.Unavailable:
 		return []any{s}
 	default:
-		return only(s.phase != free && s.phase != answered, s)
+		return onlyIf(s.phase != free && s.phase != answered, s)
 	}
 }
 
-func only(ok bool, s claimState) []any {
+func onlyIf(ok bool, s claimState) []any {
 	if !ok {
 		return nil
 	}
--- a/internal/history/faults.go
+++ b/internal/history/faults.go
@@ -10,26 +10,28 @@
 	"github.com/springweir/springweir/table/memtable"
 )
 
-// Random is a source of chance that is safe for concurrent use.
+// Random is a random source that is safe for concurrent use.
 type Random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewRandom returns dice that always fall the same way for a seed and a use.
+// NewRandom returns a source whose sequence is determined by seed and use; use selects an
+// independent stream of the same seed.
 func NewRandom(seed, use uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, use))} }
 
-// IntN returns a number from zero up to, not including, n.
+// IntN returns a random number in [0, n).
 func (d *Random) IntN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rng.IntN(n)
 }
 
-// Millis returns a time of less than n milliseconds.
+// Millis returns a random whole number of milliseconds in [0, n).
 func (d *Random) Millis(n int) time.Duration { return time.Duration(d.IntN(n)) * time.Millisecond }
 
-// TableFaults makes a table lose answers, apply late, refuse and lag.
+// TableFaults returns a hook that makes a table randomly lose responses, apply writes late,
+// fail and respond slowly.
 func TableFaults(d *Random) func(memtable.Call) memtable.Fault {
 	return func(memtable.Call) memtable.Fault {
 		f := memtable.Fault{Delay: d.Millis(10)}
@@ -47,8 +49,8 @@
 	}
 }
 
-// Pausing is a VM's table service whose VM is stopped now and then for up to
-// two seconds, just before or just after a commit.
+// Pausing is the table service of a VM that is randomly paused for up to two seconds
+// just before or after a commit.
 type Pausing struct {
 	table.Service
 	Random *Random
@@ -68,7 +70,8 @@
 }
 
 // Unconditional is a table service that drops the conditions of every
-// transaction. It is for showing that a checker objects.
+// transaction. It serves to show that a checker
+// detects violations.
 type Unconditional struct{ table.Service }
 
 // Commit implements table.Service.
--- a/internal/httponce/errors.go
+++ b/internal/httponce/errors.go
@@ -6,9 +6,9 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Error is a request that got no answer.
+// Error is a request that received no complete response.
 type Error struct {
-	// Sent tells whether any byte of the request may have left this process.
+	// Sent reports whether any byte of the request may have left this process.
 	Sent  bool
 	Cause error
 }
@@ -32,7 +32,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Outcome is what is known about whether the request ran.
+// Outcome returns whether the request is known to have run.
 func (e *Error) Outcome() failure.Outcome {
 	if e.Sent {
 		return failure.Unknown
@@ -40,18 +40,18 @@
 	return failure.NotRun
 }
 
-// AnswerTooLargeError is an answer over the limit.
-type AnswerTooLargeError struct{ Limit int64 }
+// ResponseTooLargeError is a response body that exceeds the limit.
+type ResponseTooLargeError struct{ Limit int64 }
 
 // Error implements error.
-func (e *AnswerTooLargeError) Error() string {
-	return fmt.Sprintf("answer is over %d bytes", e.Limit)
+func (e *ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("response exceeds %d bytes", e.Limit)
 }
 
 // Reason implements failure.Coded.
-func (e *AnswerTooLargeError) Reason() failure.Reason { return failure.TooLarge }
+func (e *ResponseTooLargeError) Reason() failure.Reason { return failure.TooLarge }
 
-// SchemeError is a URL of a scheme other than http.
+// SchemeError is a URL whose scheme is not http.
 type SchemeError struct{ Scheme string }
 
 // Error implements error.
--- a/internal/httponce/send.go
+++ b/internal/httponce/send.go
@@ -8,16 +8,16 @@
 	"sync"
 )
 
-// Send sends the request once over a transport of NewTransport. The error is
-// an *Error. A URL of another scheme than http is refused with a *SchemeError
-// inside: under TLS the transport wraps the connection, so Send could not see
+// Send sends the request at most once over a transport made by NewTransport. The
+// error is *Error. A URL whose scheme is not http fails with *SchemeError as the
+// cause: under TLS the transport wraps the connection, so Send could not detect
 // what was written.
 func Send(t *http.Transport, req *http.Request) (*Response, error) {
 	if req.URL.Scheme != "http" {
 		return nil, &Error{Cause: &SchemeError{Scheme: req.URL.Scheme}}
 	}
-	s := new(sending)
-	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: s.begin})
+	s := new(sendState)
+	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: s.gotConn})
 	req = req.WithContext(ctx)
 	req.GetBody = nil
 	if req.Body == nil || req.Body == http.NoBody {
@@ -28,21 +28,21 @@
 	if err != nil {
 		return nil, &Error{Sent: s.seal(), Cause: err}
 	}
-	return &Response{Response: resp, sending: s}, nil
+	return &Response{Response: resp, state: s}, nil
 }
 
-// Response is an answer together with the connection that it came on.
+// Response is a response and the connection that it was received on.
 type Response struct {
 	*http.Response
-	sending *sending
+	state *sendState
 }
 
-// Abort closes the body and the connection, also one that is already kept for
-// reuse because the body has ended. It is for answers that are not the
-// request's: what comes next on that connection can't be trusted either.
+// Abort closes the body and the connection, even if the connection is already idle in
+// the pool because the body has ended. It is meant for a response that belongs to
+// another request: later data on that connection can't be trusted either.
 func (r *Response) Abort() {
 	r.Body.Close()
-	s := r.sending
+	s := r.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conn != nil {
@@ -51,25 +51,25 @@
 	}
 }
 
-// emptyBody is a body of no bytes that http.Transport does not take for none,
-// so that the request never counts as replayable.
+// emptyBody is an empty body that http.Transport does not recognise as one, so that
+// it never treats the request as replayable.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
 func (emptyBody) Close() error { return nil }
 
-// sending follows one request onto its connection.
-type sending struct {
-	mu     sync.Mutex
-	conn   *conn
-	before int
-	sealed bool
+// sendState associates a request with its connection.
+type sendState struct {
+	mu           sync.Mutex
+	conn         *conn
+	writesBefore int
+	sealed       bool
 }
 
-// begin is called when the request has got its connection and before any byte
-// of it is written. The connection is the request's alone until it is answered.
-func (s *sending) begin(info httptrace.GotConnInfo) {
+// gotConn records the connection chosen for the request, before any byte of the request is
+// written. The request has exclusive use of the connection until the response.
+func (s *sendState) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return
@@ -77,25 +77,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conn = c
-	s.before = c.count()
+	s.writesBefore = c.writeCount()
 	if s.sealed {
 		c.seal()
 	}
 }
 
-// seal stops further writes first and looks at what was written second; in the
-// other order the transport's writing goroutine could send in between.
-func (s *sending) seal() bool {
+// seal blocks further writes and reports whether any byte of the request may have been
+// sent. Writes are blocked first: otherwise the transport's writing goroutine could send
+// between the two steps.
+func (s *sendState) seal() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sealed = true
 	if s.conn == nil {
 		return false
 	}
-	return s.conn.seal() > s.before
+	return s.conn.seal() > s.writesBefore
 }
 
-// conn counts the writes that may have put bytes on the wire.
+// conn counts the writes that may have sent data.
 type conn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -103,8 +104,8 @@
 	sealed bool
 }
 
-// Write implements net.Conn. A write counts before it begins, and no longer
-// when it failed without a byte.
+// Write implements net.Conn. A write is counted before it starts and uncounted if it
+// fails without having written a byte.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -122,13 +123,13 @@
 	return n, err
 }
 
-func (c *conn) count() int {
+func (c *conn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal refuses all later writes and returns the number of those before.
+// seal makes all later writes fail and returns the number of earlier ones.
 func (c *conn) seal() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httponce/send_test.go
+++ b/internal/httponce/send_test.go
@@ -14,26 +14,26 @@
 	"time"
 )
 
-// killer answers the first request of each connection and, on the second,
-// counts it as handled and closes without an answer.
-type killer struct {
+// closingServer responds to the first request on each connection. It counts the second
+// as handled and closes the connection without a response.
+type closingServer struct {
 	net.Listener
 	handled atomic.Int32
 }
 
-func newKiller(t *testing.T) *killer {
+func newClosingServer(t *testing.T) *closingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &killer{Listener: l}
+	k := &closingServer{Listener: l}
 	go k.serve()
 	t.Cleanup(func() { l.Close() })
 	return k
 }
 
-func (k *killer) serve() {
+func (k *closingServer) serve() {
 	for {
 		c, err := k.Accept()
 		if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (k *killer) handle(c net.Conn) {
+func (k *closingServer) handle(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for i := range 2 {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestNeverRepeatsOnDyingConnection(t *testing.T) {
+func TestNoRetryOnClosedConnection(t *testing.T) {
 	for _, tc := range []struct{ name, method, body, header string }{
 		{"post with key", "POST", "x", "Idempotency-Key"},
 		{"empty post with key", "POST", "", "Idempotency-Key"},
@@ -78,12 +78,12 @@
 		{"empty put with key", "PUT", "", "Idempotency-Key"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			k := newKiller(t)
+			k := newClosingServer(t)
 			tr := NewTransport(options(time.Minute))
 			defer tr.CloseIdleConnections()
 			var last error
 			for range 2 {
-				// strings.Reader makes NewRequest set GetBody, the trap.
+				// NewRequest sets GetBody for a strings.Reader, which makes the request replayable.
 				var body io.Reader = strings.NewReader(tc.body)
 				if tc.body == "" {
 					body = nil
@@ -102,9 +102,9 @@
 					resp.Body.Close()
 				}
 			}
-			var broke *Error
-			if !errors.As(last, &broke) || !broke.Sent {
-				t.Errorf("second call: got %v, want an Error that was sent", last)
+			var sendErr *Error
+			if !errors.As(last, &sendErr) || !sendErr.Sent {
+				t.Errorf("second call: got %v, want *Error with Sent set", last)
 			}
 			if n := k.handled.Load(); n != 2 {
 				t.Errorf("endpoint handled %d calls, want 2", n)
@@ -113,9 +113,9 @@
 	}
 }
 
-// The trap itself, so that the test above is known to be able to fail.
-func TestPlainTransportRepeats(t *testing.T) {
-	k := newKiller(t)
+// A plain http.Transport retries the request, so the test above is able to fail.
+func TestPlainTransportRetries(t *testing.T) {
+	k := newClosingServer(t)
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
 	for range 2 {
@@ -131,8 +131,8 @@
 	}
 }
 
-// What the caller is told when a request is given up on at each stage.
-func TestSentIsTrue(t *testing.T) {
+// Error.Sent is accurate for each stage at which a request can be cancelled.
+func TestSentIsAccurate(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 	stuckDial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
@@ -143,12 +143,12 @@
 		s.Close()
 		return c, nil
 	}
-	partly := func(context.Context, string, string) (net.Conn, error) {
+	partial := func(context.Context, string, string) (net.Conn, error) {
 		c, s := net.Pipe()
 		go io.ReadFull(s, make([]byte, 5))
 		return c, nil
 	}
-	silent := func(context.Context, string, string) (net.Conn, error) {
+	unresponsive := func(context.Context, string, string) (net.Conn, error) {
 		c, s := net.Pipe()
 		go io.Copy(io.Discard, s)
 		return c, nil
@@ -160,9 +160,9 @@
 	}{
 		{"refused", refused, false},
 		{"dial hangs", stuckDial, false},
-		{"connection already dead", broken, false},
-		{"partly taken", partly, true},
-		{"no answer", silent, true},
+		{"connection already closed", broken, false},
+		{"partial write", partial, true},
+		{"no response", unresponsive, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -176,14 +176,14 @@
 				if !errors.As(err, &e) || e.Sent != tc.sent {
 					t.Errorf("got %v, want sent = %v", err, tc.sent)
 				}
-				// The transport lets an abandoned dial run to its own timeout.
+				// The transport lets an abandoned dial run until its own timeout.
 				time.Sleep(2 * o.ConnectTimeout)
 			})
 		})
 	}
 }
 
-// Under TLS Send could not tell what was written, so it opens no connection.
+// Under TLS Send could not detect what was written, so it rejects other schemes before dialling.
 func TestOtherSchemesAreRefused(t *testing.T) {
 	for _, scheme := range []string{"https", "ftp", ""} {
 		dialled := false
@@ -201,7 +201,7 @@
 		var e *Error
 		var wrong *SchemeError
 		if !errors.As(err, &e) || e.Sent || !errors.As(err, &wrong) || wrong.Scheme != scheme || dialled {
-			t.Errorf("scheme %q: got %v (dialled: %v), want a SchemeError and nothing sent", scheme, err, dialled)
+			t.Errorf("scheme %q: got %v (dialled: %v), want *SchemeError, nothing sent and no dial", scheme, err, dialled)
 		}
 	}
 }
--- a/internal/httponce/sender.go
+++ b/internal/httponce/sender.go
@@ -11,31 +11,31 @@
 
 // Defaults of Config.
 const (
-	DefaultTimeout   = 3 * time.Second
-	DefaultMaxConns  = 64
-	DefaultMaxAnswer = 16 << 20
+	DefaultTimeout          = 3 * time.Second
+	DefaultMaxConns         = 64
+	DefaultMaxResponseBytes = 16 << 20
 
 	dialTimeout = time.Second
 	keepAlive   = 30 * time.Second
 )
 
-// Config says how a Sender connects. The zero value takes the defaults.
+// Config configures a Sender. Zero values select the defaults.
 type Config struct {
 	// Dial opens a connection; nil dials TCP.
 	Dial DialFunc
-	// Timeout bounds a whole Call.
+	// Timeout bounds one Call, including reading the response.
 	Timeout time.Duration
-	// MaxConns bounds the connections to one address.
+	// MaxConns bounds the number of connections to one address.
 	MaxConns int
-	// MaxResponseBytes bounds the body of an answer, in bytes.
+	// MaxResponseBytes bounds the response body, in bytes.
 	MaxResponseBytes int64
 }
 
-// Sender makes calls, each request sent at most once. It is safe for concurrent use.
+// Sender makes HTTP calls and sends each request at most once. It is safe for concurrent use.
 type Sender struct {
-	transport *http.Transport
-	timeout   time.Duration
-	maxAnswer int64
+	transport        *http.Transport
+	timeout          time.Duration
+	maxResponseBytes int64
 }
 
 // NewSender returns a Sender.
@@ -47,7 +47,7 @@
 		c.MaxConns = DefaultMaxConns
 	}
 	if c.MaxResponseBytes <= 0 {
-		c.MaxResponseBytes = DefaultMaxAnswer
+		c.MaxResponseBytes = DefaultMaxResponseBytes
 	}
 	transport := NewTransport(TransportOptions{
 		Dial:           c.Dial,
@@ -56,23 +56,22 @@
 		MaxIdle:        c.MaxConns,
 	})
 	transport.MaxConnsPerHost = c.MaxConns
-	return &Sender{transport: transport, timeout: c.Timeout, maxAnswer: c.MaxResponseBytes}
+	return &Sender{transport: transport, timeout: c.Timeout, maxResponseBytes: c.MaxResponseBytes}
 }
 
 // Close closes the idle connections.
 func (s *Sender) Close() { s.transport.CloseIdleConnections() }
 
-// BufferedResponse is a whole answer.
+// BufferedResponse is a response whose body was read completely.
 type BufferedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call sends one request with header (may be nil) and body within the Sender's
-// timeout and reads the whole answer, whatever its status. It follows no
-// redirect. The error is *Error; an answer that did not come whole
-// counts as sent.
+// Call sends one request with header (may be nil) and body and reads the complete
+// response, whatever its status, within the Sender's timeout. It follows no
+// redirects. The error is *Error; its Sent is true if the response was incomplete.
 func (s *Sender) Call(ctx context.Context, method, url string, header http.Header, body []byte) (*BufferedResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -93,11 +92,11 @@
 	return &BufferedResponse{Status: resp.StatusCode, Header: resp.Header, Body: data}, nil
 }
 
-// readAll reads an answer's body up to the limit.
+// readAll reads a response body up to the limit.
 func (s *Sender) readAll(body io.Reader) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(body, s.maxAnswer+1))
-	if err == nil && int64(len(data)) > s.maxAnswer {
-		return nil, &AnswerTooLargeError{Limit: s.maxAnswer}
+	data, err := io.ReadAll(io.LimitReader(body, s.maxResponseBytes+1))
+	if err == nil && int64(len(data)) > s.maxResponseBytes {
+		return nil, &ResponseTooLargeError{Limit: s.maxResponseBytes}
 	}
 	return data, err
 }
--- a/internal/httponce/sender_test.go
+++ b/internal/httponce/sender_test.go
@@ -14,7 +14,7 @@
 	"github.com/springweir/springweir/internal/pipenet"
 )
 
-// run runs test in virtual time with a server of handler in memory.
+// run runs test in virtual time with an in-memory server that uses handler.
 func run(t *testing.T, handler http.HandlerFunc, test func(t *testing.T, dial DialFunc)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -27,9 +27,9 @@
 	})
 }
 
-// TestOneHandledForEachSent breaks a kept connection at its second request.
-// TestPlainTransportRepeats shows that a plain transport would repeat that request.
-func TestOneHandledForEachSent(t *testing.T) {
+// TestRequestsAreSentAtMostOnce closes a reused connection at its second request.
+// TestPlainTransportRetries shows that a plain transport would retry that request.
+func TestRequestsAreSentAtMostOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut} {
 		for _, body := range []string{"", "x"} {
 			var handled atomic.Int64
@@ -46,14 +46,14 @@
 					_, _ = sender.Call(t.Context(), method, "http://platform", header, []byte(body))
 				}
 				if n := handled.Load(); n != 2 {
-					t.Errorf("%s %q: handled %d for 2 sent", method, body, n)
+					t.Errorf("%s %q: %d requests handled for 2 sent", method, body, n)
 				}
 			})
 		}
 	}
 }
 
-func TestErrorsTellWhatWasSent(t *testing.T) {
+func TestErrorsReportWhetherSent(t *testing.T) {
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/large":
@@ -79,13 +79,13 @@
 		wantSent bool
 	}{
 		{name: "dial refused", dial: refuse, url: "http://platform/"},
-		{name: "context ended before", ctx: ended, url: "http://platform/"},
+		{name: "context already ended", ctx: ended, url: "http://platform/"},
 		{name: "other scheme", url: "https://platform/"},
 		{name: "bad url", url: "http://platform/%"},
-		{name: "answer lost", url: "http://platform/", wantSent: true},
-		{name: "half an answer", url: "http://platform/half", wantSent: true},
-		{name: "answer late", url: "http://platform/slow", wantSent: true},
-		{name: "answer too large", url: "http://platform/large", wantSent: true},
+		{name: "response lost", url: "http://platform/", wantSent: true},
+		{name: "incomplete response", url: "http://platform/half", wantSent: true},
+		{name: "response late", url: "http://platform/slow", wantSent: true},
+		{name: "response too large", url: "http://platform/large", wantSent: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 				_, err := sender.Call(ctx, http.MethodPost, tt.url, nil, []byte("body"))
 				var e *Error
 				if !errors.As(err, &e) || e.Sent != tt.wantSent {
-					t.Errorf("got %v, want sent %v", err, tt.wantSent)
+					t.Errorf("got %v, want Sent %v", err, tt.wantSent)
 				}
 			})
 		})
--- a/internal/httponce/transport.go
+++ b/internal/httponce/transport.go
@@ -1,15 +1,15 @@
-// Package httponce sends each HTTP request at most once: never repeated, never
-// redirected, and with a true answer to whether any byte of it may have left
-// this process.
+// Package httponce sends each HTTP request at most once, without retries and
+// redirects, and reports whether any byte of the request may have left this
+// process.
 //
-// http.Transport repeats a request by itself when a reused connection dies and
-// the request counts as replayable: no body or a GetBody function, together
-// with a method such as GET or an Idempotency-Key (or X-Idempotency-Key)
-// header. Send makes that impossible, and NewTransport can avoid reused
-// connections altogether.
+// http.Transport retries a request on its own if a reused connection fails and
+// the request is replayable: it has no body or a GetBody function, and a method
+// such as GET or an Idempotency-Key (or X-Idempotency-Key) header. Send prevents
+// that, and NewTransport can disable connection reuse.
 //
-// Send is for streams and for peers with their own limits. Sender makes bounded
-// calls whose answers are read whole; the clients of the platform use it.
+// Send is meant for streams and for peers with their own limits. Sender makes
+// calls with a time and size limit and buffers the response; the clients of the
+// platform use it.
 package httponce
 
 import (
@@ -22,25 +22,26 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// TransportOptions are the limits of a transport.
+// TransportOptions configures a transport.
 type TransportOptions struct {
 	// Dial opens connections; nil dials TCP.
 	Dial DialFunc
-	// ConnectTimeout bounds one dial, HeaderTimeout the wait for an answer's head.
+	// ConnectTimeout bounds one dial, HeaderTimeout the wait for the response head.
 	ConnectTimeout time.Duration
 	HeaderTimeout  time.Duration
-	// KeepAlive is how long an unused connection is kept. Zero opens a
-	// connection for each request. It must be less than the endpoint's own
-	// limit, or requests are lost on connections that the endpoint closes.
+	// KeepAlive is how long an idle connection is kept. Zero opens a connection
+	// for each request. It must be less than the endpoint's own limit, or
+	// requests are lost on connections that the endpoint closes.
 	KeepAlive time.Duration
-	// MaxIdle is the number of unused connections kept.
+	// MaxIdle bounds the number of idle connections to one host.
 	MaxIdle int
 }
 
-// maxHeaderBytes bounds the head of an answer.
+// maxHeaderBytes bounds the response head.
 const maxHeaderBytes = 64 << 10
 
-// NewTransport returns an HTTP/1.1 transport whose connections tell what was written.
+// NewTransport returns an HTTP/1.1 transport whose connections track whether data was
+// written, as Send requires.
 func NewTransport(o TransportOptions) *http.Transport {
 	dial := o.Dial
 	if dial == nil {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,9 @@
-// Package logs writes structured lines to standard output without ever holding
-// up the process: lines go through a bounded queue to one writer, and a line that
-// finds the queue full, or its budget spent, is counted and dropped.
+// Package logs writes structured log lines without blocking the process. Lines
+// go through a bounded queue to a single writer; a line is dropped and counted if
+// the queue is full or the rate limit is exceeded.
 //
-// Code logs through klog (klog.InfoS, klog.ErrorS); Start puts klog's output here.
+// Code logs through klog (klog.InfoS, klog.ErrorS); Start redirects klog's output
+// to this package.
 package logs
 
 import (
@@ -19,31 +20,31 @@
 )
 
 const (
-	// DefaultQueue is the number of lines that may wait for the writer: some
-	// hundred milliseconds of a busy VM's lines.
+	// DefaultQueue is the queue length in lines: a few hundred milliseconds of a busy
+	// VM's output.
 	DefaultQueue = 2048
-	// DefaultPerSecond bounds the lines written a second. A request takes two to
-	// five lines; beyond some hundred requests a second lines are dropped.
+	// DefaultPerSecond is the rate limit in lines per second. A request logs two to
+	// five lines, so lines are dropped beyond a few hundred requests per second.
 	DefaultPerSecond = 1500
-	// burstSeconds is the time whose lines may be written at once.
+	// burstSeconds is the burst size, as seconds of the rate limit.
 	burstSeconds = 2
-	// reserve is the part of the budget that only warnings and errors may use,
-	// so that a flood of requests does not hide a failure.
-	reserve = 0.2
-	// reportPeriod is how often dropped lines are told of in the log itself.
+	// urgentReserve is the fraction of the burst that is reserved for warnings and
+	// errors, so that a flood of request lines does not hide a failure.
+	urgentReserve = 0.2
+	// reportPeriod is the interval at which the log reports the number of dropped lines.
 	reportPeriod = 10 * time.Second
 )
 
-// Options are the bounds of a Sink. Zero values take the defaults.
+// Options configures a Sink. Zero values select the defaults.
 type Options struct {
-	// Queue is the number of lines that may wait, PerSecond the lines written a second.
+	// Queue is the queue length in lines, PerSecond the rate limit in lines per second.
 	Queue, PerSecond int
-	// Level is the least level that is written.
+	// Level is the minimum level that is written.
 	Level slog.Level
 }
 
-// Sink takes lines and writes them in the background. It is safe for concurrent
-// use; mu is a leaf and is held only to count.
+// Sink queues lines and writes them in the background. It is safe for concurrent
+// use; mu is a leaf lock and is never held while blocking.
 type Sink struct {
 	queue chan []byte
 	done  chan struct{}
@@ -58,7 +59,7 @@
 
 var droppedLines = metrics.NewCounter("springweir_log_lines_dropped_total")
 
-// NewSink returns a sink that writes to w.
+// NewSink returns a running sink that writes to w.
 func NewSink(w io.Writer, o Options) *Sink {
 	if o.Queue == 0 {
 		o.Queue = DefaultQueue
@@ -74,14 +75,14 @@
 	return s
 }
 
-// write is the one writer. A write that blocks holds up no one else. Lines that
-// wait together are written together.
+// write is the single writer goroutine. It joins queued lines into one write. A write
+// that blocks does not block the callers that log.
 func (s *Sink) write(w io.Writer) {
 	defer close(s.done)
 	var buf []byte
 	for line := range s.queue {
 		buf = append(buf[:0], line...)
-		for more := true; more && len(buf) < maxWrite; {
+		for more := true; more && len(buf) < maxBatchBytes; {
 			select {
 			case next, open := <-s.queue:
 				buf = append(buf, next...)
@@ -91,19 +92,19 @@
 			}
 		}
 		if _, err := w.Write(buf); err != nil {
-			droppedLines.Inc() // there is nowhere left to tell of it
+			droppedLines.Inc() // the error itself can't be logged
 		}
 	}
 }
 
-// maxWrite is the size from which waiting lines are no longer joined.
-const maxWrite = 32 << 10
+// maxBatchBytes is the size from which queued lines are no longer joined.
+const maxBatchBytes = 32 << 10
 
-// take accepts a line or drops it. It never blocks.
-func (s *Sink) take(line []byte, urgent bool) {
+// enqueue queues a line or drops it. It never blocks.
+func (s *Sink) enqueue(line []byte, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || !s.afford(urgent) {
+	if s.closed || !s.spendBudget(urgent) {
 		s.drop()
 		return
 	}
@@ -119,24 +120,25 @@
 	droppedLines.Inc()
 }
 
-// afford spends one line of the budget. The caller holds mu.
-func (s *Sink) afford(urgent bool) bool {
+// spendBudget takes one line from the rate limit's budget and reports whether it was available.
+// The caller holds mu.
+func (s *Sink) spendBudget(urgent bool) bool {
 	now := time.Now()
-	most := burstSeconds * s.rate
-	s.budget = min(most, s.budget+now.Sub(s.refilled).Seconds()*s.rate)
+	limit := burstSeconds * s.rate
+	s.budget = min(limit, s.budget+now.Sub(s.refilled).Seconds()*s.rate)
 	s.refilled = now
-	least := 1.0
+	required := 1.0
 	if !urgent {
-		least += reserve * most
+		required += urgentReserve * limit
 	}
-	if s.budget < least {
+	if s.budget < required {
 		return false
 	}
 	s.budget--
 	return true
 }
 
-// takeDropped returns the number of lines dropped since the last call.
+// takeDropped returns and resets the number of dropped lines.
 func (s *Sink) takeDropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +147,7 @@
 	return n
 }
 
-// Close writes what waits, for limit at most, and ends the sink.
+// Close stops the sink and waits at most limit for the queued lines to be written.
 func (s *Sink) Close(limit time.Duration) {
 	s.mu.Lock()
 	if !s.closed {
@@ -159,64 +161,65 @@
 	}
 }
 
-// line is the io.Writer of one handler: slog's JSON handler writes each record
-// with one call.
+// lineWriter is the io.Writer of a slog JSON handler, which writes each record with
+// one call.
 type lineWriter struct{ sink *Sink }
 
 // Write implements io.Writer. The handler reuses p, so it is copied.
 func (w lineWriter) Write(p []byte) (int, error) {
-	w.sink.take(append([]byte(nil), p...), false)
+	w.sink.enqueue(append([]byte(nil), p...), false)
 	return len(p), nil
 }
 
+// urgentWriter is a lineWriter whose lines may use the urgent reserve.
 type urgentWriter struct{ sink *Sink }
 
 // Write implements io.Writer.
 func (w urgentWriter) Write(p []byte) (int, error) {
-	w.sink.take(append([]byte(nil), p...), true)
+	w.sink.enqueue(append([]byte(nil), p...), true)
 	return len(p), nil
 }
 
-// handler sends warnings and errors past the part of the budget that other lines use.
-type handler struct{ usual, urgent slog.Handler }
+// handler routes warnings and errors to urgent, all other records to normal.
+type handler struct{ normal, urgent slog.Handler }
 
 // Enabled implements slog.Handler.
-func (h handler) Enabled(ctx context.Context, l slog.Level) bool { return h.usual.Enabled(ctx, l) }
+func (h handler) Enabled(ctx context.Context, l slog.Level) bool { return h.normal.Enabled(ctx, l) }
 
 // Handle implements slog.Handler.
 func (h handler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level >= slog.LevelWarn {
 		return h.urgent.Handle(ctx, r)
 	}
-	return h.usual.Handle(ctx, r)
+	return h.normal.Handle(ctx, r)
 }
 
 // WithAttrs implements slog.Handler.
 func (h handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return handler{h.usual.WithAttrs(attrs), h.urgent.WithAttrs(attrs)}
+	return handler{h.normal.WithAttrs(attrs), h.urgent.WithAttrs(attrs)}
 }
 
 // WithGroup implements slog.Handler.
 func (h handler) WithGroup(name string) slog.Handler {
-	return handler{h.usual.WithGroup(name), h.urgent.WithGroup(name)}
+	return handler{h.normal.WithGroup(name), h.urgent.WithGroup(name)}
 }
 
 // Handler returns a slog.Handler that writes JSON lines to the sink.
 func (s *Sink) Handler(level slog.Level) slog.Handler {
-	o := &slog.HandlerOptions{Level: level, ReplaceAttr: readable}
-	return handler{usual: slog.NewJSONHandler(lineWriter{s}, o), urgent: slog.NewJSONHandler(urgentWriter{s}, o)}
+	o := &slog.HandlerOptions{Level: level, ReplaceAttr: formatDurations}
+	return handler{normal: slog.NewJSONHandler(lineWriter{s}, o), urgent: slog.NewJSONHandler(urgentWriter{s}, o)}
 }
 
-// readable writes durations with their unit.
-func readable(_ []string, a slog.Attr) slog.Attr {
+// formatDurations writes durations as text with a unit.
+func formatDurations(_ []string, a slog.Attr) slog.Attr {
 	if d, ok := a.Value.Any().(time.Duration); ok {
 		a.Value = slog.StringValue(d.String())
 	}
 	return a
 }
 
-// Start makes klog write to w through a sink, every line with the attributes
-// given, until the returned function is called, which writes what waits.
+// Start makes klog write to w through a sink and adds attrs to every line. The returned
+// function stops the sink and writes the queued lines.
 func Start(w io.Writer, o Options, attrs ...slog.Attr) (stop func()) {
 	sink := NewSink(w, o)
 	klog.SetSlogLogger(slog.New(sink.Handler(o.Level).WithAttrs(attrs)))
@@ -228,10 +231,10 @@
 	}
 }
 
-// closeLimit is how long the end of a process may wait for its last lines.
+// closeLimit bounds the time for which stopping waits for the queued lines.
 const closeLimit = 200 * time.Millisecond
 
-// report tells of dropped lines in the log itself.
+// report logs the number of dropped lines every reportPeriod until ctx ends.
 func (s *Sink) report(ctx context.Context) {
 	loop.Every(ctx, reportPeriod, func() {
 		if n := s.takeDropped(); n > 0 {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// buffer is a writer that can be read while it is written to.
+// buffer is a writer that is safe for concurrent reads and writes.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -46,40 +46,40 @@
 	}
 }
 
-// blocked is a writer that never returns until it is released.
-type blocked struct{ release chan struct{} }
+// blockingWriter is a writer whose Write blocks until release is closed.
+type blockingWriter struct{ release chan struct{} }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockingWriter) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
 
-// A writer that blocks holds up no line, and what does not fit is counted.
-func TestBlockedWriterHoldsUpNobody(t *testing.T) {
+// A blocked writer does not block logging, and lines that don't fit the queue are counted.
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &blocked{release: make(chan struct{})}
+		out := &blockingWriter{release: make(chan struct{})}
 		sink := NewSink(out, Options{Queue: 10, PerSecond: 1 << 20})
 		log := slog.New(sink.Handler(slog.LevelInfo))
-		began := time.Now()
+		start := time.Now()
 		for range 1000 {
 			log.Info("flood")
 		}
-		if took := time.Since(began); took != 0 {
+		if took := time.Since(start); took != 0 {
 			t.Errorf("1000 lines to a blocked writer took %v", took)
 		}
 		if n := sink.takeDropped(); n < 900 || n > 995 {
-			t.Errorf("%d of 1000 lines dropped, want all but the queue and what the writer took", n)
+			t.Errorf("%d of 1000 lines dropped, want all but those in the queue and in the writer", n)
 		}
 		sink.Close(time.Second) // must return although the writer is blocked
-		if took := time.Since(began); took != time.Second {
+		if took := time.Since(start); took != time.Second {
 			t.Errorf("closing took %v", took)
 		}
 		close(out.release)
 	})
 }
 
-// A flood is cut to the rate, and leaves room for what is urgent.
-func TestFloodIsBounded(t *testing.T) {
+// The rate limit bounds a flood of lines and leaves capacity for errors.
+func TestRateLimitKeepsErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out buffer
 		sink := NewSink(&out, Options{PerSecond: 100})
@@ -93,20 +93,20 @@
 			synctest.Wait()
 		}
 		sink.Close(time.Second)
-		usual, urgent := 0, 0
+		normal, urgent := 0, 0
 		for _, line := range out.lines() {
 			if strings.Contains(line, "failure") {
 				urgent++
 			} else {
-				usual++
+				normal++
 			}
 		}
 		if urgent != 10 {
-			t.Errorf("%d of 10 failures were written", urgent)
+			t.Errorf("%d of 10 errors were written", urgent)
 		}
-		// Two seconds' lines at once, of which a fifth is kept back, then 100 a second.
-		if usual < 900 || usual > 160+1000 {
-			t.Errorf("%d lines of the flood were written", usual)
+		// A burst of two seconds' lines, of which a fifth is reserved, then 100 per second.
+		if normal < 900 || normal > 160+1000 {
+			t.Errorf("%d lines of the flood were written, want 900 to 1160", normal)
 		}
 	})
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop has the waits that background work is made of: a pause, its
-// jitter, and a function called at an interval.
+// Package loop provides helpers for background loops: an interruptible sleep, a
+// jittered delay, and a periodic call.
 package loop
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Sleep waits for d and tells whether ctx is still alive.
+// Sleep waits for d or until ctx ends. It reports whether ctx is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -20,14 +20,14 @@
 	}
 }
 
-// Jitter draws a pause evenly from half of mean to one and a half of it, so that
-// processes started together do not stay in step.
+// Jitter returns a uniformly random duration from 0.5 to 1.5 times mean, so that
+// processes started together don't stay synchronised.
 func Jitter(mean time.Duration) time.Duration {
 	return mean/2 + rand.N(mean+1)
 }
 
-// Every calls f at each interval until ctx ends, the first time after one
-// interval. An interval that passes while f runs is skipped.
+// Every calls f once per interval until ctx ends, the first time after one interval.
+// Ticks that are missed while f runs are dropped.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -15,11 +15,11 @@
 		cancelled    bool
 		limit, sleep time.Duration
 		waits        time.Duration
-		alive        bool
+		active       bool
 	}{
-		{name: "whole", limit: time.Minute, sleep: time.Second, waits: time.Second, alive: true},
-		{name: "cut short", limit: time.Second, sleep: time.Minute, waits: time.Second},
-		{name: "ended before", cancelled: true, limit: time.Minute, sleep: 0},
+		{name: "completed", limit: time.Minute, sleep: time.Second, waits: time.Second, active: true},
+		{name: "interrupted", limit: time.Second, sleep: time.Minute, waits: time.Second},
+		{name: "context already ended", cancelled: true, limit: time.Minute, sleep: 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -28,25 +28,25 @@
 				if tc.cancelled {
 					cancel()
 				}
-				began := time.Now()
-				alive := Sleep(ctx, tc.sleep)
-				if waited := time.Since(began); alive != tc.alive || waited != tc.waits {
-					t.Errorf("alive %v after %v, want %v after %v", alive, waited, tc.alive, tc.waits)
+				start := time.Now()
+				active := Sleep(ctx, tc.sleep)
+				if waited := time.Since(start); active != tc.active || waited != tc.waits {
+					t.Errorf("alive %v after %v, want %v after %v", active, waited, tc.active, tc.waits)
 				}
 			})
 		})
 	}
 }
 
-// TestEvery has a second call that takes longer than the interval.
+// The second call takes longer than the interval.
 func TestEvery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 5500*time.Millisecond)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		var calls []time.Duration
 		Every(ctx, time.Second, func() {
-			calls = append(calls, time.Since(began))
+			calls = append(calls, time.Since(start))
 			if len(calls) == 2 {
 				time.Sleep(2500 * time.Millisecond)
 			}
@@ -66,7 +66,7 @@
 		low, high = min(low, d), max(high, d)
 	}
 	if low < mean/2 || low > mean*6/10 || high > mean*3/2 || high < mean*14/10 {
-		t.Errorf("drawn from %v to %v, want about %v to %v", low, high, mean/2, mean*3/2)
+		t.Errorf("got a range of %v to %v, want about %v to %v", low, high, mean/2, mean*3/2)
 	}
 	if d := Jitter(0); d != 0 {
 		t.Errorf("mean zero: %v", d)
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,5 +1,5 @@
-// Package network says how a process is reached and reaches others, so that
-// whole processes run in memory and in virtual time in tests.
+// Package network abstracts listening and dialling, so that tests can run whole
+// processes in memory and in virtual time.
 package network
 
 import (
@@ -8,20 +8,20 @@
 	"net/http"
 )
 
-// Network is how a process listens and dials.
+// Network provides the functions with which a process listens and dials.
 type Network struct {
-	// Listen opens a socket at an address (host:port).
+	// Listen opens a listener at an address (host:port).
 	Listen func(address string) (net.Listener, error)
 	// Dial opens connections; nil dials TCP.
 	Dial func(ctx context.Context, kind, address string) (net.Conn, error)
 }
 
-// TCP is the network of the operating system.
+// TCP returns the TCP network of the operating system.
 func TCP() Network {
 	return Network{Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) }}
 }
 
-// ApplyTo makes a transport use the network.
+// ApplyTo makes t dial over the network and returns t.
 func (n Network) ApplyTo(t *http.Transport) *http.Transport {
 	if n.Dial != nil {
 		t.DialContext = n.Dial
@@ -29,7 +29,7 @@
 	return t
 }
 
-// Connect opens a connection to an address. The error is of package net.
+// Connect opens a connection to an address (host:port). Over TCP, the error is of package net.
 func (n Network) Connect(ctx context.Context, address string) (net.Conn, error) {
 	if n.Dial != nil {
 		return n.Dial(ctx, "tcp", address)
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,5 +1,5 @@
-// Package pipenet joins HTTP clients and servers in memory, so that tests of
-// whole exchanges run in virtual time.
+// Package pipenet connects HTTP clients and servers in memory, so that their tests can
+// run in virtual time.
 package pipenet
 
 import (
@@ -22,7 +22,8 @@
 	return &Listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Dial connects to the listener whatever the address. It fails with net.ErrClosed.
+// Dial connects to the listener whatever the address. It fails with net.ErrClosed
+// after Close, or with the error of ctx.
 func (l *Listener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
@@ -36,7 +37,7 @@
 	}
 }
 
-// Dials is the number of connections made.
+// Dials returns the number of connections made.
 func (l *Listener) Dials() int { return int(l.dials.Load()) }
 
 // Accept implements net.Listener.
@@ -49,7 +50,7 @@
 	}
 }
 
-// Close implements net.Listener. Connections made stay open.
+// Close implements net.Listener. Existing connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,8 +1,8 @@
-// Package splitmix spreads the bits of words.
+// Package splitmix provides the finaliser of the splitmix64 hash.
 package splitmix
 
-// Mix spreads x over all bits (the finaliser of splitmix64, a bijection), so that
-// words that differ little give results that differ much.
+// Mix returns the splitmix64 finaliser of x. It is a bijection in which a change of any
+// bit of x affects all bits of the result.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/transcript/http.go
+++ b/internal/transcript/http.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Handler records what callers send to h and, in the pieces in which it is
-// flushed, what h answers.
+// Handler records the requests that callers send to h and its responses, one entry
+// for each flush.
 func (l *Log) Handler(h http.Handler) http.Handler { return l.HandlerBetween(Caller, Entry, h) }
 
-// HandlerBetween is Handler for two other parties.
+// HandlerBetween is Handler for requests that from sends to to.
 func (l *Log) HandlerBetween(from, to Party, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -25,11 +25,11 @@
 		l.Add(from, to, "%s %s\n%s%s", r.Method, r.URL.RequestURI(), headerLines(r.Header), body)
 		rec := &responseRecorder{ResponseWriter: w, log: l, from: to, to: from}
 		h.ServeHTTP(rec, r)
-		rec.note()
+		rec.record()
 	})
 }
 
-// headerLines writes headers in order, one a line.
+// headerLines formats headers in sorted order, one per line.
 func headerLines(h http.Header) string {
 	var lines []string
 	for name, values := range h {
@@ -39,11 +39,11 @@
 	return strings.Join(lines, "")
 }
 
-// responseRecorder notes each piece of an answer when it is flushed.
+// responseRecorder records each part of a response when it is flushed.
 type responseRecorder struct {
 	http.ResponseWriter
 	log *Log
-	// from and to are the sides of the answer.
+	// from is the sender of the response, to its receiver.
 	from, to Party
 	pending  bytes.Buffer
 }
@@ -60,16 +60,16 @@
 	return r.ResponseWriter.Write(b)
 }
 
-// FlushError is found by http.ResponseController.
+// FlushError is called by http.ResponseController.
 func (r *responseRecorder) FlushError() error {
-	r.note()
+	r.record()
 	return http.NewResponseController(r.ResponseWriter).Flush()
 }
 
-// Unwrap is found by http.ResponseController.
+// Unwrap is called by http.ResponseController.
 func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-func (r *responseRecorder) note() {
+func (r *responseRecorder) record() {
 	if r.pending.Len() > 0 {
 		r.log.Add(r.from, r.to, "%s", r.pending.String())
 		r.pending.Reset()
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -1,6 +1,6 @@
-// Package transcript records what caller, entry, endpoint and platform exchange,
-// in order, as readable lines, and compares them with golden files. It serves
-// tests of any package.
+// Package transcript records the messages between caller, entry, controller, endpoint
+// and platform in order, as readable lines, and compares them with golden files. It
+// is a test helper.
 package transcript
 
 import (
@@ -18,7 +18,7 @@
 // updateVariable, set to 1, makes Golden write its files instead of comparing.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Party is a side of an exchange.
+// Party is a sender or receiver of messages.
 type Party string
 
 // The parties of a session.
@@ -30,34 +30,34 @@
 	Platform   Party = "platform"
 )
 
-// Log collects lines. It is safe for concurrent use; the order of lines is the
-// order of the calls.
+// Log collects messages in the order of the calls to Add. It is safe for concurrent
+// use.
 type Log struct {
 	mu    sync.Mutex
 	lines []string
 	masks []mask
 }
 
-// mask replaces what differs from run to run.
+// mask replaces text that differs between runs.
 type mask struct {
-	pattern *regexp.Regexp
-	by      string
+	pattern     *regexp.Regexp
+	replacement string
 }
 
-// Mask replaces every match of pattern in later lines.
-func (l *Log) Mask(pattern, by string) {
+// Mask replaces every match of pattern in messages that are added later.
+func (l *Log) Mask(pattern, replacement string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.masks = append(l.masks, mask{regexp.MustCompile(pattern), by})
+	l.masks = append(l.masks, mask{regexp.MustCompile(pattern), replacement})
 }
 
-// Add notes one message.
+// Add records one message.
 func (l *Log) Add(from, to Party, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.masks {
-		text = m.pattern.ReplaceAllString(text, m.by)
+		text = m.pattern.ReplaceAllString(text, m.replacement)
 	}
 	text = strings.ReplaceAll(strings.TrimRight(text, "\n"), "\n", "\n    ")
 	l.lines = append(l.lines, fmt.Sprintf("%-8s -> %-8s  %s", from, to, text))
--- a/internal/transcript/wrap.go
+++ b/internal/transcript/wrap.go
@@ -12,19 +12,19 @@
 	"github.com/springweir/springweir/table"
 )
 
-// Engine records what goes to and comes from an engine.
+// Engine records the messages to and from an engine.
 type Engine struct {
 	engine.Engine
 	Log  *Log
 	Name string
-	// CancelDelay is how long a cancel message is on its way. Cancels are sent
-	// beside everything else, so a session in a fixed order needs one.
+	// CancelDelay delays cancel messages. They are sent concurrently with other
+	// messages, so a deterministic order requires a delay.
 	CancelDelay time.Duration
 }
 
 // Generate implements engine.Engine.
 func (e *Engine) Generate(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
-	e.Log.Add(Entry, Endpoint, "%s: generate %s", e.Name, text(req))
+	e.Log.Add(Entry, Endpoint, "%s: generate %s", e.Name, jsonText(req))
 	s, err := e.Engine.Generate(ctx, req)
 	if err != nil {
 		e.Log.Add(Endpoint, Entry, "%s: %v", e.Name, err)
@@ -52,11 +52,11 @@
 		s.engine.Log.Add(Endpoint, Entry, "%s: %v", s.engine.Name, err)
 		return f, err
 	}
-	s.engine.Log.Add(Endpoint, Entry, "%s: frame %s", s.engine.Name, text(f))
+	s.engine.Log.Add(Endpoint, Entry, "%s: frame %s", s.engine.Name, jsonText(f))
 	return f, nil
 }
 
-// Service records what goes to and comes from a service endpoint.
+// Service records the messages to and from a service endpoint.
 type Service struct {
 	service.Endpoint
 	Log  *Log
@@ -66,16 +66,16 @@
 // Do implements service.Endpoint.
 func (s *Service) Do(ctx context.Context, call service.Call) (*service.Answer, error) {
 	s.Log.Add(Entry, Endpoint, "%s: %s %s attempt=%s\n%s", s.Name, call.Method, call.Path, call.Attempt, call.Body)
-	answer, err := s.Endpoint.Do(ctx, call)
+	resp, err := s.Endpoint.Do(ctx, call)
 	if err != nil {
 		s.Log.Add(Endpoint, Entry, "%s: %v", s.Name, err)
 		return nil, err
 	}
-	s.Log.Add(Endpoint, Entry, "%s: status %d attempt=%s", s.Name, answer.Status, answer.Attempt)
-	return answer, nil
+	s.Log.Add(Endpoint, Entry, "%s: status %d attempt=%s", s.Name, resp.Status, resp.Attempt)
+	return resp, nil
 }
 
-// Table records what goes to and comes from the table service.
+// Table records the messages to and from the table service.
 type Table struct {
 	table.Service
 	Log *Log
@@ -122,7 +122,7 @@
 	return strings.Join(parts, "\n")
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -1,4 +1,4 @@
-// Package watchdog ends a context whose owner has seen no sign of life for too long.
+// Package watchdog cancels a context after a period without activity.
 package watchdog
 
 import (
@@ -8,27 +8,27 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// StalledError is the cause with which a Watchdog ends its context.
+// StalledError is the cause with which a Watchdog cancels its context.
 type StalledError struct {
-	// Limit is how long there was no sign of life.
+	// Limit is the period without activity.
 	Limit time.Duration
 }
 
 // Error implements error.
-func (e *StalledError) Error() string { return "nothing came for " + e.Limit.String() }
+func (e *StalledError) Error() string { return "no data received for " + e.Limit.String() }
 
 // Reason implements failure.Coded.
 func (e *StalledError) Reason() failure.Reason { return failure.EndpointStalled }
 
-// Watchdog ends the context of an attempt whose target stays silent, so that a
-// frozen endpoint that still accepts connections does not hold the caller.
+// Watchdog cancels the context of an attempt whose target is unresponsive, so that a
+// frozen endpoint that still accepts connections does not block the caller.
 type Watchdog struct {
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-// New returns a context that ends with ctx or after limit without a Reset. A
-// limit of zero never ends it.
+// New returns a context that ends with ctx or after limit without a Reset. A limit
+// of zero disables the watchdog.
 func New(ctx context.Context, limit time.Duration) (context.Context, *Watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	d := &Watchdog{cancel: cancel}
@@ -38,15 +38,15 @@
 	return ctx, d
 }
 
-// Reset notes a sign of life: the next must come within limit. It has no effect
-// on a watchdog without a limit.
+// Reset records activity and restarts the timer with limit. It has no effect on a
+// watchdog without a limit.
 func (d *Watchdog) Reset(limit time.Duration) {
 	if d.timer != nil {
 		d.timer.Reset(limit)
 	}
 }
 
-// Pause lets any silence pass until the next Reset.
+// Pause stops the timer until the next Reset.
 func (d *Watchdog) Pause() {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -59,7 +59,8 @@
 	d.cancel(nil)
 }
 
-// Explain replaces a failure that only mirrors the watchdog's own cancel.
+// Explain replaces a failure by one with code EndpointStalled if the watchdog has cancelled
+// ctx. Its outcome is NotRun if failed was NotRun, otherwise Unknown.
 func Explain(ctx context.Context, failed *failure.Request) *failure.Request {
 	stalled, ok := context.Cause(ctx).(*StalledError)
 	if !ok || failed == nil {
