--- a/internal/httponce/errors.go
+++ b/internal/httponce/errors.go
@@ -45,7 +45,7 @@
 
 // Error implements error.
 func (e *ResponseTooLargeError) Error() string {
-	return fmt.Sprintf("response exceeds %d bytes", e.Limit)
+	return fmt.Sprintf("answer is over %d bytes", e.Limit)
 }
 
 // Reason implements failure.Coded.
