--- a/failure/reasons.go
+++ b/failure/reasons.go
@@ -104,7 +104,7 @@
 	// TableEpochOver is a response or condition from before the store was restored from a backup.
 	TableEpochOver Reason = "table-epoch-over"
 
-	// FeedNotReader is a query for a table sent to a VM that does not read that table itself.
+	// FeedNotReader is a query for a table sent to a VM that is not currently reading it from the store.
 	FeedNotReader Reason = "feed-not-reader"
 	// FeedBehind is a response from a VM whose copy of a table is older than the requester's.
 	FeedBehind Reason = "feed-behind"
--- a/internal/fakeprocess/fakeprocess.go
+++ b/internal/fakeprocess/fakeprocess.go
@@ -13,8 +13,8 @@
 	"github.com/springweir/springweir/table"
 )
 
-// resumeDelay is the deadline, from the time of sending, of an order whose own deadline passed
-// while the process was paused.
+// resumeDelay is the minimum time from sending an order to its deadline. It allows an order
+// to be sent although its own deadline passed while the process was paused.
 const resumeDelay = time.Second
 
 // KilledError is a call by a process that was killed.
