--- a/standin/engine/admin.go
+++ b/standin/engine/admin.go
@@ -12,26 +12,28 @@
 
 const adminPath = "/admin/"
 
-// AttemptRecord tells what came of an attempt.
+// AttemptRecord is the outcome of an attempt.
 type AttemptRecord struct {
 	ID      string `json:"id"`
 	Attempt string `json:"attempt"`
-	// Ran is set once any of it was computed; Whole once all was.
+	// Ran is set once the model has computed any part of the attempt, Whole once it has
+	// computed all of it.
 	Ran   bool `json:"ran"`
 	Whole bool `json:"whole"`
-	// From and To bound the tokens computed.
+	// From and To delimit the range of computed tokens, as positions in the response.
 	From int `json:"from"`
 	To   int `json:"to"`
 }
 
-// OrderRecord is an order as it arrived. Refused is empty for accepted ones.
+// OrderRecord is a received order. Refused is empty for accepted orders.
 type OrderRecord struct {
 	Order   engine.Order   `json:"order"`
 	At      time.Duration  `json:"at_ns"`
 	Refused failure.Reason `json:"refused,omitempty"`
 }
 
-// History is all that has reached the engine since its start.
+// History lists the attempts submitted to the model and the orders received since the engine
+// started.
 type History struct {
 	Incarnation string          `json:"incarnation"`
 	Attempts    []AttemptRecord `json:"attempts"`
@@ -50,7 +52,7 @@
 	})
 }
 
-// Freeze makes the engine accept connections and answer nothing.
+// Freeze stops the model time. The engine still accepts connections, but responds only to /admin/.
 func (s *Server) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,24 +62,24 @@
 	}
 }
 
-// Thaw ends Freeze. What waited is answered late.
+// Thaw ends Freeze. Requests that waited meanwhile are then served.
 func (s *Server) Thaw() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.frozen != nil {
 		close(s.frozen)
 		s.frozen = nil
-		s.stood = time.Since(s.start) - s.real(s.frozenAt)
+		s.frozenTotal = time.Since(s.start) - s.realDuration(s.frozenAt)
 	}
 }
 
-// History returns what has reached the engine.
+// History returns the attempts, sorted by attempt ID, and the orders in order of arrival.
 func (s *Server) History() History {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := History{Incarnation: s.opts.Incarnation, Orders: slices.Clone(s.orders)}
 	for _, a := range s.attempts {
-		h.Attempts = append(h.Attempts, a.effect)
+		h.Attempts = append(h.Attempts, a.record)
 	}
 	slices.SortFunc(h.Attempts, func(a, b AttemptRecord) int { return strings.Compare(a.Attempt, b.Attempt) })
 	return h
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -13,14 +13,14 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// maxBody bounds a request in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes limits the size of a request body.
+const maxBodyBytes = 64 << 20
 
-// spareEvents is the room in an attempt's channel beyond one event a token.
-const spareEvents = 4
+// extraEvents is the capacity of an attempt's channel beyond one event per token.
+const extraEvents = 4
 
-// attempt is one generation. Its channel has room for all events, so the loop
-// never waits for a reader.
+// attempt is one generation. Its channel has capacity for all events, so that the model loop
+// never blocks on a slow reader.
 type attempt struct {
 	req    engine.GenerateRequest
 	job    enginemodel.JobID
@@ -28,70 +28,70 @@
 	tokens int
 	stop   bool
 	events chan enginemodel.Event
-	// gone is closed when the attempt is cancelled or the engine crashes.
-	gone   chan struct{}
-	closed bool
-	ended  bool
-	// effect tells how far it came, for the history.
-	effect AttemptRecord
+	// cancelled is closed when the attempt is cancelled or the engine crashes.
+	cancelled chan struct{}
+	closed    bool
+	ended     bool
+	// record is the progress of the attempt, for the history.
+	record AttemptRecord
 }
 
-func (a *attempt) abandon() {
+func (a *attempt) abort() {
 	if !a.closed {
 		a.closed = true
-		close(a.gone)
+		close(a.cancelled)
 	}
 }
 
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	var req engine.GenerateRequest
-	err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&req)
+	err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&req)
 	if err != nil || req.Attempt == "" || req.PromptTokens <= 0 || req.ResumeFrom < 0 {
-		refuse(w, http.StatusBadRequest, notRun(req, failure.BadRequest, "request cannot be understood"))
+		writeRefusal(w, http.StatusBadRequest, notRunRefusal(req, failure.BadRequest, "request cannot be understood"))
 		return
 	}
 	a := newAttempt(req)
 	if req.KV != nil {
 		seed, err := s.fetchKV(r.Context(), *req.KV)
 		if err != nil {
-			refuse(w, http.StatusServiceUnavailable, notRun(req, failure.EndpointRefused, err.Error()))
+			writeRefusal(w, http.StatusServiceUnavailable, notRunRefusal(req, failure.EndpointRefused, err.Error()))
 			return
 		}
 		a.seed = seed
 	}
-	if refusal, ok := s.begin(a); !ok {
-		refuse(w, http.StatusServiceUnavailable, refusal)
+	if refusal, ok := s.submit(a); !ok {
+		writeRefusal(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
 	defer s.finish(a)
-	s.poke()
+	s.wakeLoop()
 	s.stream(w, r, a)
 }
 
 func newAttempt(req engine.GenerateRequest) *attempt {
-	a := &attempt{req: req, seed: enginemodel.Seed(req.Prompt), gone: make(chan struct{})}
+	a := &attempt{req: req, seed: enginemodel.Seed(req.Prompt), cancelled: make(chan struct{})}
 	a.tokens, a.stop = enginemodel.AnswerTokens(req.Prompt, req.MaxTokens)
-	a.events = make(chan enginemodel.Event, a.tokens+spareEvents)
-	a.effect = AttemptRecord{ID: req.ID, Attempt: req.Attempt, From: req.ResumeFrom, To: req.ResumeFrom}
+	a.events = make(chan enginemodel.Event, a.tokens+extraEvents)
+	a.record = AttemptRecord{ID: req.ID, Attempt: req.Attempt, From: req.ResumeFrom, To: req.ResumeFrom}
 	return a
 }
 
-// begin hands the attempt to the model, or tells why it was not run.
-func (s *Server) begin(a *attempt) (engine.Refusal, bool) {
+// submit passes the attempt to the model, or returns the refusal and false.
+func (s *Server) submit(a *attempt) (engine.Refusal, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, twice := s.attempts[a.req.Attempt]; twice {
-		r := notRun(a.req, failure.EndpointRefused, "attempt was used before")
+	if _, reused := s.attempts[a.req.Attempt]; reused {
+		r := notRunRefusal(a.req, failure.EndpointRefused, "attempt was used before")
 		r.NotRun = false
 		return r, false
 	}
-	if message := s.unfit(a); message != "" {
-		return notRun(a.req, failure.EndpointRefused, message), false
+	if message := s.rejectionMessage(a); message != "" {
+		return notRunRefusal(a.req, failure.EndpointRefused, message), false
 	}
 	s.nextID++
 	a.job = s.nextID
 	if err := s.model.Submit(s.now(), a.modelJob()); err != nil {
-		return notRun(a.req, failure.EndpointRefused, err.Error()), false
+		return notRunRefusal(a.req, failure.EndpointRefused, err.Error()), false
 	}
 	s.attempts[a.req.Attempt] = a
 	s.byJob[a.job] = a
@@ -99,13 +99,14 @@
 	return engine.Refusal{}, true
 }
 
-// unfit tells why the engine does not take the attempt, or is empty.
-func (s *Server) unfit(a *attempt) string {
+// rejectionMessage returns why the engine rejects the attempt, or an empty string if it
+// accepts it. The caller holds mu.
+func (s *Server) rejectionMessage(a *attempt) string {
 	req := a.req
 	switch {
 	case s.leaving:
 		return "engine is leaving"
-	case !s.has(req):
+	case !s.isLoaded(req):
 		return "model, adapter or version is not loaded"
 	case req.ResumeFrom >= a.tokens && !req.PrefillOnly:
 		return "answer has no more tokens"
@@ -115,7 +116,7 @@
 	return ""
 }
 
-func (s *Server) has(req engine.GenerateRequest) bool {
+func (s *Server) isLoaded(req engine.GenerateRequest) bool {
 	return slices.ContainsFunc(s.loaded, func(l weightstore.Artifact) bool {
 		same := l.Model == req.Model && l.Adapter == req.Adapter
 		return same && (req.Version == "" || l.Version == req.Version)
@@ -136,7 +137,7 @@
 	}
 }
 
-// dispatch hands an event of the model to its attempt. The caller holds mu.
+// dispatch sends an event of the model to its attempt. The caller holds mu.
 func (s *Server) dispatch(ev enginemodel.Event) {
 	if ev.Kind == enginemodel.OrderDone {
 		s.orderDone()
@@ -146,16 +147,17 @@
 	if !ok {
 		return
 	}
-	a.effect.Ran = true
-	a.effect.To = max(a.effect.To, ev.Tokens)
+	a.record.Ran = true
+	a.record.To = max(a.record.To, ev.Tokens)
 	if ev.Kind == enginemodel.Finished || ev.Kind == enginemodel.Prefilled || ev.Kind == enginemodel.Cut {
 		a.ended = true
-		a.effect.Whole = ev.Kind != enginemodel.Cut
+		a.record.Whole = ev.Kind != enginemodel.Cut
 	}
 	a.events <- ev
 }
 
-// finish forgets an attempt whose handler ends, and cancels what is left of it.
+// finish releases an attempt whose handler returns, and cancels it in the model if it is still
+// running.
 func (s *Server) finish(a *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,10 +166,10 @@
 	if !a.ended {
 		s.model.Cancel(s.now(), a.job)
 	}
-	// Only the effect is kept, for the history.
+	// Only the record and the IDs are kept, for the history.
 	a.req = engine.GenerateRequest{ID: a.req.ID, Attempt: a.req.Attempt}
 	a.events = nil
-	s.poke()
+	s.wakeLoop()
 }
 
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, a *attempt) {
@@ -177,21 +179,21 @@
 	if out.Flush() != nil {
 		return
 	}
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	ticker := time.NewTicker(heartbeat)
+	defer ticker.Stop()
 	for {
 		var line []byte
 		last := false
 		select {
 		case ev := <-a.events:
 			line, last = s.frameLine(a, ev)
-		case <-beat.C:
-		case <-a.gone:
-			line, last = endLine(a, engine.Cancelled, ""), true
+		case <-ticker.C:
+		case <-a.cancelled:
+			line, last = finishLine(a, engine.Cancelled, ""), true
 		case <-r.Context().Done():
 			return
 		}
-		if s.gate(r.Context()) != nil {
+		if s.waitWhileFrozen(r.Context()) != nil {
 			return
 		}
 		if _, err := w.Write(append(line, '\n')); err != nil || out.Flush() != nil || last {
@@ -200,13 +202,13 @@
 	}
 }
 
-func endLine(a *attempt, why engine.FinishReason, message string) []byte {
+func finishLine(a *attempt, why engine.FinishReason, message string) []byte {
 	return encode(engine.Frame{Attempt: a.req.Attempt, Finish: why, Error: message})
 }
 
-// frameLine is the frame that tells of an event, and whether it is the last.
-// FirstToken and Token events each bring one token. Finished comes right after
-// the event of the last token and brings none.
+// frameLine returns the encoded frame for an event and reports whether it is the last frame.
+// FirstToken and Token events each carry one token. Finished follows the event of the last
+// token and carries none.
 func (s *Server) frameLine(a *attempt, ev enginemodel.Event) ([]byte, bool) {
 	f := engine.Frame{Attempt: a.req.Attempt, Position: ev.Tokens}
 	switch ev.Kind {
@@ -233,28 +235,29 @@
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
 	var req engine.CancelRequest
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&req); err != nil {
-		refuse(w, http.StatusBadRequest, engine.Refusal{Reason: failure.BadRequest, Message: err.Error(), NotRun: true})
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&req); err != nil {
+		writeRefusal(w, http.StatusBadRequest, engine.Refusal{Reason: failure.BadRequest, Message: err.Error(), NotRun: true})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a, ok := s.attempts[req.Attempt]; ok {
-		a.abandon()
+		a.abort()
 	}
 }
 
-func notRun(req engine.GenerateRequest, reason failure.Reason, message string) engine.Refusal {
+func notRunRefusal(req engine.GenerateRequest, reason failure.Reason, message string) engine.Refusal {
 	return engine.Refusal{Attempt: req.Attempt, Reason: reason, Message: message, NotRun: true}
 }
 
-func refuse(w http.ResponseWriter, status int, r engine.Refusal) {
+func writeRefusal(w http.ResponseWriter, status int, r engine.Refusal) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	w.Write(encode(r))
 }
 
-// encode cannot fail: the interface's types hold nothing that JSON lacks.
+// encode returns v as JSON. It panics on an error, which cannot occur because all types of the
+// HTTP interface can be represented in JSON.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -15,25 +15,26 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// kvPath gives an exported cache to another stand-in, below it the handle.
+// kvPath is the path prefix, followed by the handle, from which other stand-ins fetch an
+// exported KV cache.
 const kvPath = "/standin/kv/"
 
 const (
 	kvHeaderBytes = 4
-	// kvBytesPerToken stands for the some hundred kilobytes of a real cache,
-	// whose time to move the model counts.
+	// kvBytesPerToken replaces the several hundred kilobytes per token of a real cache; the
+	// timing model accounts for their transfer time.
 	kvBytesPerToken = 8
 	maxKVBytes      = 64 << 20
 	fetchTimeout    = 2 * time.Second
 )
 
-// export is a cache held for an importer.
+// export is a KV cache kept for an importer until the model time until.
 type export struct {
 	payload []byte
 	until   time.Duration
 }
 
-// ImportError is a cache that could not be taken over whole.
+// ImportError reports a KV cache that could not be fetched or failed verification.
 type ImportError struct{ Detail string }
 
 // Error implements error.
@@ -42,7 +43,8 @@
 // Reason implements failure.Coded.
 func (e *ImportError) Reason() failure.Reason { return failure.EndpointRefused }
 
-// exportKV keeps the attempt's cache for KVHold and names it.
+// exportKV stores the attempt's KV cache for Params.KVHold and returns a reference to it. It
+// also removes expired exports.
 func (s *Server) exportKV(a *attempt) *engine.KVRef {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,9 +66,9 @@
 	}
 }
 
-// kvPayload is a cache: the prompt's seed, and some bytes for each token. What
-// the importer generates depends on the seed in it, so a wrong cache gives a
-// wrong answer, as it would on a real engine.
+// kvPayload returns the bytes of a KV cache: the seed of the prompt, then kvBytesPerToken bytes
+// per token. The importer generates from this seed, so a wrong cache yields a wrong response,
+// as on a real engine.
 func kvPayload(seed uint32, tokens int) []byte {
 	payload := make([]byte, kvHeaderBytes+tokens*kvBytesPerToken)
 	binary.BigEndian.PutUint32(payload, seed)
@@ -97,7 +99,8 @@
 	w.Write(e.payload)
 }
 
-// fetchKV takes a cache over and returns its seed. A cache that is not whole is refused.
+// fetchKV fetches a KV cache from the exporting engine and returns its seed. It fails with an
+// ImportError if the cache is unavailable, incomplete or altered.
 func (s *Server) fetchKV(ctx context.Context, ref engine.KVRef) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -118,10 +121,10 @@
 	if err != nil {
 		return 0, &ImportError{Detail: err.Error()}
 	}
-	return checkKV(payload, ref)
+	return verifyKV(payload, ref)
 }
 
-func checkKV(payload []byte, ref engine.KVRef) (uint32, error) {
+func verifyKV(payload []byte, ref engine.KVRef) (uint32, error) {
 	if len(payload) != kvHeaderBytes+ref.Tokens*kvBytesPerToken {
 		return 0, &ImportError{Detail: fmt.Sprintf("%d bytes for %d tokens", len(payload), ref.Tokens)}
 	}
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -17,9 +17,9 @@
 
 func (s *Server) postOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
-	err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&o)
-	if err != nil || !valid(o) {
-		refuse(w, http.StatusBadRequest, engine.Refusal{
+	err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&o)
+	if err != nil || !validOrder(o) {
+		writeRefusal(w, http.StatusBadRequest, engine.Refusal{
 			Reason:  failure.BadRequest,
 			Message: "order cannot be understood",
 			NotRun:  true,
@@ -27,19 +27,19 @@
 		return
 	}
 	state, err := s.accept(o)
-	if s.gate(r.Context()) != nil {
+	if s.waitWhileFrozen(r.Context()) != nil {
 		return
 	}
 	if err != nil {
-		refuse(w, http.StatusConflict, engine.RefusalOf(err))
+		writeRefusal(w, http.StatusConflict, engine.RefusalOf(err))
 		return
 	}
-	s.poke()
+	s.wakeLoop()
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(encode(state))
 }
 
-func valid(o engine.Order) bool {
+func validOrder(o engine.Order) bool {
 	switch o.Kind {
 	case engine.ChangeRole:
 		return o.ID != "" && slices.Contains([]engine.Role{engine.Prefill, engine.Decode, engine.Mixed}, o.Role)
@@ -49,7 +49,7 @@
 	return false
 }
 
-// accept notes the order and begins it, or repeats what is known of it.
+// accept records the order and starts it. For a repeated order it returns the current state.
 func (s *Server) accept(o engine.Order) (engine.OrderState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,17 +57,17 @@
 	if s.crashed {
 		return engine.OrderState{}, nil
 	}
-	begin, err := s.book.Accept(o)
-	s.orders = append(s.orders, OrderRecord{Order: o, At: s.now(), Refused: failureName(err)})
+	begin, err := s.orderBook.Accept(o)
+	s.orders = append(s.orders, OrderRecord{Order: o, At: s.now(), Refused: reasonOrNone(err)})
 	if err != nil {
 		klog.Infof("engine: refuse order %s: %v", o.ID, err)
 		return engine.OrderState{}, err
 	}
 	if !begin {
-		return *s.book.State(), nil
+		return *s.orderBook.State(), nil
 	}
 	change := s.modelOrder(o)
-	// The book lets one order run at a time, so the model can't refuse.
+	// The order book runs one order at a time, so the model can't refuse.
 	if err := s.model.BeginOrder(s.now(), change); err != nil {
 		return engine.OrderState{}, err
 	}
@@ -75,20 +75,20 @@
 		clear(s.exports)
 	}
 	klog.Infof("engine: begin order %s: %s", o.ID, o.Kind)
-	s.crashMidway(change.Duration)
+	s.scheduleMidwayCrash(change.Duration)
 	s.crashAt(enginemodel.CrashAfterAccept)
-	return *s.book.State(), nil
+	return *s.orderBook.State(), nil
 }
 
-func failureName(err error) failure.Reason {
+func reasonOrNone(err error) failure.Reason {
 	if err == nil {
 		return ""
 	}
 	return failure.ReasonOf(err)
 }
 
-// modelOrder says what the order costs: a role or a base model takes all
-// answers with it, an adapter only holds them up.
+// modelOrder returns the duration and effect of the order: changing the role or a base model
+// interrupts all responses, an adapter only delays them.
 func (s *Server) modelOrder(o engine.Order) enginemodel.Order {
 	p := s.opts.Params
 	switch {
@@ -101,41 +101,42 @@
 	}
 }
 
-// orderDone makes the change visible. The caller holds mu.
+// orderDone applies the completed order to the reported state. The caller holds mu.
 func (s *Server) orderDone() {
-	o := s.book.Current()
+	o := s.orderBook.Current()
 	if o.Kind == engine.LoadOrder && s.opts.BadVersion != "" && o.Artifact.Version == s.opts.BadVersion {
-		s.book.Fail("weights cannot be loaded")
+		s.orderBook.Fail("weights cannot be loaded")
 		klog.Infof("engine: order %s failed", o.ID)
 		return
 	}
 	switch o.Kind {
 	case engine.LoadOrder:
-		s.loaded = append(s.without(*o.Artifact), *o.Artifact)
+		s.loaded = append(s.loadedWithout(*o.Artifact), *o.Artifact)
 	case engine.Unload:
-		s.loaded = s.without(*o.Artifact)
+		s.loaded = s.loadedWithout(*o.Artifact)
 	}
 	s.crashAt(enginemodel.CrashAtEnd)
-	s.book.Finish()
+	s.orderBook.Finish()
 	klog.Infof("engine: order %s done", o.ID)
 }
 
-func (s *Server) without(a weightstore.Artifact) []weightstore.Artifact {
+func (s *Server) loadedWithout(a weightstore.Artifact) []weightstore.Artifact {
 	return slices.DeleteFunc(slices.Clone(s.loaded), func(l weightstore.Artifact) bool { return l == a })
 }
 
-// crashAt crashes at a point of the first order. The caller holds mu.
+// crashAt crashes the engine if p is the configured crash point and it has not crashed yet.
+// The caller holds mu.
 func (s *Server) crashAt(p enginemodel.CrashPoint) {
 	if s.opts.CrashInOrder == p && !s.crashed {
 		s.crash(p)
 	}
 }
 
-func (s *Server) crashMidway(order time.Duration) {
+func (s *Server) scheduleMidwayCrash(order time.Duration) {
 	if s.opts.CrashInOrder != enginemodel.CrashMidway {
 		return
 	}
-	time.AfterFunc(s.real(order/2), func() {
+	time.AfterFunc(s.realDuration(order/2), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.crashAt(enginemodel.CrashMidway)
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -1,10 +1,9 @@
-// Package engine is a small stand-in for a model engine: the timing model of
-// package enginemodel run in real time behind the HTTP interface of package
-// engine, with the faults that tests need.
+// Package engine is a simulated model engine for tests. It runs the timing model of package
+// enginemodel in real time behind the HTTP interface of package engine, with fault injection.
 //
-// The text of an answer is a function of prompt and position alone, so a test
-// can tell whether an answer is whole, its own and unspliced. It computes
-// nothing else.
+// The text of a response depends only on prompt and position, so a test can check that a
+// response is complete, belongs to its request and has no gap or foreign part. Nothing else is
+// computed.
 package engine
 
 import (
@@ -20,43 +19,43 @@
 	"github.com/springweir/springweir/weightstore"
 )
 
-// Options describe one stand-in engine.
+// Options configures a simulated engine.
 type Options struct {
-	// Address is what a KVRef tells importers; Incarnation must be new at each start.
+	// Address is the address that a KVRef gives to importers.
+	// Incarnation must be new at each start.
 	Address     string
 	Incarnation string
 	Role        engine.Role
 	Loaded      []weightstore.Artifact
 	Params      enginemodel.Params
-	// Speed is model seconds a second; zero counts as one.
+	// Speed is the number of model seconds per real second; zero means 1.
 	Speed float64
-	// CheckFence refuses orders with an old fencing number.
+	// CheckFence refuses orders with a stale fencing token.
 	CheckFence bool
-	// ReportLag is the age of the load figures, EventLag of the cache events.
+	// ReportLag is the minimum age of the reported load, EventLag that of the cache events.
 	ReportLag time.Duration
 	EventLag  time.Duration
-	// EventGap drops each n-th cache event; zero drops none.
+	// EventGap drops every n-th cache event; zero drops none.
 	EventGap uint64
 	// BadVersion is a version of weights that fails to load; empty means none.
 	BadVersion string
-	// CrashInOrder calls Crash at a point of the first order.
+	// CrashInOrder is the point of the first order at which Crash is called.
 	CrashInOrder enginemodel.CrashPoint
-	// Fetch gets caches from other stand-ins; nil takes http.DefaultClient.
+	// Fetch fetches KV caches from other stand-ins; nil means http.DefaultClient.
 	Fetch *http.Client
-	// Crash ends the process. It must not return in a real process; in a test
-	// it may, and the server then answers nothing any more.
+	// Crash ends the process. It must not return in a real process; in a test it may, and the
+	// server then aborts all requests except /admin/.
 	Crash func()
 }
 
-// heartbeat is the time between empty lines while a stream waits.
+// heartbeat is the interval of the empty lines sent on a stream.
 const heartbeat = time.Second
 
-// Server is a stand-in engine. Lock order: mu is the only lock; nothing blocks
-// while it is held.
+// Server is a simulated engine. mu is the only lock; nothing blocks while it is held.
 type Server struct {
 	opts  Options
 	start time.Time
-	// wake tells the loop that the model has something new.
+	// wake makes Run advance the model after new input.
 	wake chan struct{}
 	mux  *http.ServeMux
 
@@ -68,20 +67,20 @@
 	exports  map[string]export
 	streams  int
 	leaving  bool
-	// frozen is open (not nil and not closed) while the engine is frozen.
+	// frozen is non-nil while the engine is frozen; Thaw closes it.
 	frozen chan struct{}
-	// frozenAt is the model's time while frozen; stood is the real time lost so far.
-	frozenAt time.Duration
-	stood    time.Duration
-	crashed  bool
-	loaded   []weightstore.Artifact
-	book     enginemodel.OrderBook
-	orders   []OrderRecord
-	reports  reportLog
-	events   eventLog
+	// frozenAt is the model time while frozen; frozenTotal is the real time spent frozen so far.
+	frozenAt    time.Duration
+	frozenTotal time.Duration
+	crashed     bool
+	loaded      []weightstore.Artifact
+	orderBook   enginemodel.OrderBook
+	orders      []OrderRecord
+	reports     reportLog
+	events      eventLog
 }
 
-// New returns a stand-in. Run must be called for anything to happen.
+// New returns a simulated engine. The model advances only while Run is running.
 func New(o Options) *Server {
 	if o.Speed == 0 {
 		o.Speed = 1
@@ -94,15 +93,15 @@
 	}
 	o.Params.RecordCache = true
 	s := &Server{
-		opts:     o,
-		start:    time.Now(),
-		wake:     make(chan struct{}, 1),
-		model:    enginemodel.New(o.Params, o.Role),
-		attempts: make(map[string]*attempt),
-		byJob:    make(map[enginemodel.JobID]*attempt),
-		exports:  make(map[string]export),
-		loaded:   o.Loaded,
-		book:     enginemodel.OrderBook{Incarnation: o.Incarnation, CheckFence: o.CheckFence},
+		opts:      o,
+		start:     time.Now(),
+		wake:      make(chan struct{}, 1),
+		model:     enginemodel.New(o.Params, o.Role),
+		attempts:  make(map[string]*attempt),
+		byJob:     make(map[enginemodel.JobID]*attempt),
+		exports:   make(map[string]export),
+		loaded:    o.Loaded,
+		orderBook: enginemodel.OrderBook{Incarnation: o.Incarnation, CheckFence: o.CheckFence},
 	}
 	s.mux = s.routes()
 	return s
@@ -120,17 +119,18 @@
 	return m
 }
 
-// ServeHTTP implements http.Handler. A frozen engine accepts connections and
-// answers nothing but /admin/.
+// ServeHTTP implements http.Handler. A frozen engine accepts connections but responds only to
+// /admin/.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !isAdmin(r) && s.gate(r.Context()) != nil {
+	if !isAdmin(r) && s.waitWhileFrozen(r.Context()) != nil {
 		return
 	}
 	s.mux.ServeHTTP(w, r)
 }
 
-// gate waits while the engine is frozen, and fails when it has crashed.
-func (s *Server) gate(ctx context.Context) error {
+// waitWhileFrozen blocks while the engine is frozen. It returns the error of ctx, and panics
+// with http.ErrAbortHandler if the engine has crashed.
+func (s *Server) waitWhileFrozen(ctx context.Context) error {
 	for {
 		s.mu.Lock()
 		frozen, crashed := s.frozen, s.crashed
@@ -149,16 +149,16 @@
 	}
 }
 
-// now is the model's time, which stands still while frozen. The caller holds mu.
+// now returns the model time, which does not advance while frozen. The caller holds mu.
 func (s *Server) now() time.Duration {
 	if s.frozen != nil {
 		return s.frozenAt
 	}
-	return time.Duration(float64(time.Since(s.start)-s.stood) * s.opts.Speed)
+	return time.Duration(float64(time.Since(s.start)-s.frozenTotal) * s.opts.Speed)
 }
 
-// real turns model time into a time to wait.
-func (s *Server) real(d time.Duration) time.Duration {
+// realDuration converts model time to real time.
+func (s *Server) realDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / s.opts.Speed)
 }
 
@@ -177,7 +177,7 @@
 	}
 }
 
-// step carries the model to now and returns how long it then rests.
+// step advances the model to the current time and returns the real time until the next step.
 func (s *Server) step() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,39 +195,39 @@
 	}
 	rest := reportInterval
 	if at, ok := s.model.NextEvent(); ok {
-		rest = min(rest, s.real(at-now)+time.Microsecond)
+		rest = min(rest, s.realDuration(at-now)+time.Microsecond)
 	}
 	return max(rest, 0)
 }
 
-func (s *Server) poke() {
+func (s *Server) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// crash ends the process, or in a test all that the server does. The caller
-// holds mu; it is released meanwhile, since Crash may look at the server.
+// crash ends the process, or stops the server if Crash returns, as in tests. The caller holds
+// mu; it is released during the call of Crash, which may use the server.
 func (s *Server) crash(at enginemodel.CrashPoint) {
 	klog.Infof("engine: crash at %s", at)
 	s.crashed = true
 	for _, a := range s.attempts {
-		a.abandon()
+		a.abort()
 	}
 	s.mu.Unlock()
 	s.opts.Crash()
 	s.mu.Lock()
 }
 
-// Leave tells the engine that its VM is about to stop.
+// Leave marks the engine as leaving because its VM is about to stop: it refuses new attempts.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Streams is the number of open streams.
+// Streams returns the number of open streams.
 func (s *Server) Streams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -25,14 +25,14 @@
 
 var base = weightstore.Artifact{Model: "m", Version: "1"}
 
-// bench is one stand-in with a client, in the bubble.
-type bench struct {
+// testEngine is a simulated engine with a client, running in a synctest bubble.
+type testEngine struct {
 	*Server
 	client *engine.Client
 	net    *pipenet.Listener
 }
 
-func start(t *testing.T, change func(*Options)) *bench {
+func start(t *testing.T, change func(*Options)) *testEngine {
 	t.Helper()
 	o := Options{
 		Address:     "engine-1",
@@ -44,7 +44,7 @@
 	if change != nil {
 		change(&o)
 	}
-	b := &bench{Server: New(o), net: pipenet.Listen()}
+	b := &testEngine{Server: New(o), net: pipenet.Listen()}
 	ctx, cancel := context.WithCancel(t.Context())
 	srv := &http.Server{Handler: b.Server}
 	go srv.Serve(b.net)
@@ -70,8 +70,8 @@
 	}
 }
 
-// generate reads an answer up to its end, or up to a number of tokens.
-func (b *bench) generate(ctx context.Context, req engine.GenerateRequest, upTo int) (string, engine.Frame, error) {
+// generate reads a response up to its end or up to upTo tokens; -1 means no limit.
+func (b *testEngine) generate(ctx context.Context, req engine.GenerateRequest, upTo int) (string, engine.Frame, error) {
 	s, err := b.client.Generate(ctx, req)
 	if err != nil {
 		return "", engine.Frame{}, err
@@ -91,12 +91,12 @@
 	}
 }
 
-func (b *bench) order(t *testing.T, o engine.Order) (engine.OrderState, error) {
+func (b *testEngine) order(t *testing.T, o engine.Order) (engine.OrderState, error) {
 	t.Helper()
 	return b.client.Order(t.Context(), o, time.Now().Add(time.Second))
 }
 
-func toRole(id string, fence uint64, r engine.Role) engine.Order {
+func roleOrder(id string, fence uint64, r engine.Role) engine.Order {
 	return engine.Order{ID: id, Fence: fence, Incarnation: "one", Kind: engine.ChangeRole, Role: r}
 }
 
@@ -108,17 +108,17 @@
 	}
 }
 
-// whole is the stand-in's whole answer.
-func whole() string {
+// completeText is the text of the complete response to prompt.
+func completeText() string {
 	n, _ := enginemodel.AnswerTokens(prompt, 0)
 	return enginemodel.AnswerText(prompt, 0, n)
 }
 
-func TestAnswerWholeResumedAndMoved(t *testing.T) {
+func TestCompleteResumedAndImportedResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := start(t, nil)
 		text, last, err := a.generate(t.Context(), request("a1"), -1)
-		if err != nil || text != whole() || last.Finish != engine.Stop {
+		if err != nil || text != completeText() || last.Finish != engine.Stop {
 			t.Fatalf("whole: %q, %+v, %v", text, last, err)
 		}
 		_, again, err := a.generate(t.Context(), request("a2"), -1)
@@ -129,7 +129,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Another engine goes on, and takes the prompt's cache from a third.
+		// A second engine resumes the response and imports the prompt's KV cache from a third.
 		p := start(t, func(o *Options) { o.Role = engine.Prefill })
 		req := request("p1")
 		req.PrefillOnly = true
@@ -144,12 +144,12 @@
 		req = request("b1")
 		req.KV, req.ResumeFrom, req.Emitted = prefilled.KV, 5, part
 		rest, _, err := b.generate(t.Context(), req, -1)
-		if err != nil || part+rest != whole() {
+		if err != nil || part+rest != completeText() {
 			t.Errorf("resumed: %q + %q, %v", part, rest, err)
 		}
-		// A cache that is not whole, not the one meant or gone is refused.
-		// The expired one comes last, since it spoils the others too.
-		for _, spoil := range []struct {
+		// A KV cache that is corrupt, of another incarnation or expired is refused.
+		// The expiry comes last because it invalidates the cache for the other cases too.
+		for _, corruption := range []struct {
 			name string
 			do   func(*engine.KVRef)
 		}{
@@ -159,22 +159,22 @@
 			{"expired", func(*engine.KVRef) { time.Sleep(time.Minute) }},
 		} {
 			ref := *prefilled.KV
-			spoil.do(&ref)
-			req.KV, req.Attempt = &ref, spoil.name
+			corruption.do(&ref)
+			req.KV, req.Attempt = &ref, corruption.name
 			_, _, err := b.generate(t.Context(), req, -1)
 			wantFailure(t, err, failure.EndpointRefused, failure.NotRun)
 		}
 	})
 }
 
-func TestRefusalsBeforeTheStart(t *testing.T) {
-	for name, change := range map[string]func(*bench, *engine.GenerateRequest){
-		"model":   func(_ *bench, r *engine.GenerateRequest) { r.Model = "other" },
-		"adapter": func(_ *bench, r *engine.GenerateRequest) { r.Adapter = "other" },
-		"version": func(_ *bench, r *engine.GenerateRequest) { r.Version = "2" },
-		"emitted": func(_ *bench, r *engine.GenerateRequest) { r.ResumeFrom, r.Emitted = 1, "not mine " },
-		"leaving": func(b *bench, _ *engine.GenerateRequest) { b.Leave() },
-		"order":   func(b *bench, _ *engine.GenerateRequest) { b.accept(toRole("o", 1, engine.Decode)) },
+func TestRefusedBeforeRunning(t *testing.T) {
+	for name, change := range map[string]func(*testEngine, *engine.GenerateRequest){
+		"model":   func(_ *testEngine, r *engine.GenerateRequest) { r.Model = "other" },
+		"adapter": func(_ *testEngine, r *engine.GenerateRequest) { r.Adapter = "other" },
+		"version": func(_ *testEngine, r *engine.GenerateRequest) { r.Version = "2" },
+		"emitted": func(_ *testEngine, r *engine.GenerateRequest) { r.ResumeFrom, r.Emitted = 1, "not mine " },
+		"leaving": func(b *testEngine, _ *engine.GenerateRequest) { b.Leave() },
+		"order":   func(b *testEngine, _ *engine.GenerateRequest) { b.accept(roleOrder("o", 1, engine.Decode)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -191,7 +191,7 @@
 	}
 }
 
-// An attempt is used once: its repeat is refused, but not as not run.
+// An attempt ID can be used once: a repeat is refused, but not reported as not run.
 func TestAttemptIsUsedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, nil)
@@ -203,21 +203,21 @@
 	})
 }
 
-// What a stream's reader sees when something happens after three tokens.
-func TestStreamMeets(t *testing.T) {
+// TestEventsDuringStream checks what the reader of a stream receives when an event occurs after three tokens.
+func TestEventsDuringStream(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		event  func(*bench)
+		event  func(*testEngine)
 		finish engine.FinishReason
 		reason failure.Reason
 		whole  bool
 	}{
-		{"leaving", (*bench).leave, engine.Stop, "", true},
-		{"cancel", (*bench).cancelA, engine.Cancelled, "", false},
-		{"role change", (*bench).changeRole, engine.Failed, "", false},
-		{"adapter load", (*bench).loadAdapter, engine.Stop, "", true},
-		{"freeze", (*bench).Freeze, "", failure.EndpointBroke, false},
-		{"crash", (*bench).crashNow, "", failure.AnswerTruncated, false},
+		{"leaving", (*testEngine).leave, engine.Stop, "", true},
+		{"cancel", (*testEngine).cancelA, engine.Cancelled, "", false},
+		{"role change", (*testEngine).changeRole, engine.Failed, "", false},
+		{"adapter load", (*testEngine).loadAdapter, engine.Stop, "", true},
+		{"freeze", (*testEngine).Freeze, "", failure.EndpointBroke, false},
+		{"crash", (*testEngine).crashNow, "", failure.AnswerTruncated, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -241,7 +241,7 @@
 				b.Thaw()
 				time.Sleep(time.Minute)
 				got := b.History().Attempts[0]
-				// A crashed engine's model stands still with its job in it.
+				// The model of a crashed engine stops advancing and keeps its job.
 				idle := b.State().Load.Running == 0 || tc.name == "crash"
 				if !got.Ran || got.Whole != tc.whole || b.Streams() != 0 || !idle {
 					t.Errorf("afterwards: %+v, %d streams, %+v", got, b.Streams(), b.State().Load)
@@ -251,15 +251,15 @@
 	}
 }
 
-func (b *bench) leave()      { b.Leave() }
-func (b *bench) cancelA()    { b.client.Cancel(context.Background(), "a") }
-func (b *bench) changeRole() { b.accept(toRole("o", 1, engine.Decode)) }
-func (b *bench) loadAdapter() {
+func (b *testEngine) leave()      { b.Leave() }
+func (b *testEngine) cancelA()    { b.client.Cancel(context.Background(), "a") }
+func (b *testEngine) changeRole() { b.accept(roleOrder("o", 1, engine.Decode)) }
+func (b *testEngine) loadAdapter() {
 	a := weightstore.Artifact{Model: "m", Adapter: "x", Version: "1"}
 	b.accept(engine.Order{ID: "o", Incarnation: "one", Kind: engine.LoadOrder, Artifact: &a})
 }
 
-func (b *bench) crashNow() {
+func (b *testEngine) crashNow() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.crash(enginemodel.CrashMidway)
@@ -268,13 +268,13 @@
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, func(o *Options) { o.CheckFence, o.BadVersion = true, "bad" })
-		state, err := b.order(t, toRole("o1", 5, engine.Decode))
+		state, err := b.order(t, roleOrder("o1", 5, engine.Decode))
 		if err != nil || state.Phase != engine.OrderRunning {
 			t.Fatalf("got %+v, %v", state, err)
 		}
-		_, busy := b.order(t, toRole("o2", 5, engine.Mixed))
-		_, stale := b.order(t, toRole("o3", 4, engine.Mixed))
-		_, err = b.order(t, toRole("o1", 6, engine.Decode))
+		_, busy := b.order(t, roleOrder("o2", 5, engine.Mixed))
+		_, stale := b.order(t, roleOrder("o3", 4, engine.Mixed))
+		_, err = b.order(t, roleOrder("o1", 6, engine.Decode))
 		if err != nil || failure.ReasonOf(busy) != failure.EngineBusy || failure.ReasonOf(stale) != failure.StaleFence {
 			t.Errorf("repeat: %v; other: %v; old fence: %v", err, busy, stale)
 		}
@@ -332,14 +332,14 @@
 					o.CrashInOrder = tc.point
 					o.Crash = func() { crashed = time.Since(begin).Truncate(time.Millisecond) }
 				})
-				_, err := b.order(t, toRole("o", 1, engine.Decode))
+				_, err := b.order(t, roleOrder("o", 1, engine.Decode))
 				var u *engine.UnreachableError
 				if (err == nil) != tc.answered || (err != nil && (!errors.As(err, &u) || !u.Sent)) {
 					t.Errorf("sender got %v", err)
 				}
 				time.Sleep(time.Minute)
 				if _, err := b.client.State(t.Context()); err == nil {
-					t.Error("engine answers after its crash")
+					t.Error("engine responds after its crash")
 				}
 				if n := len(b.History().Orders); n != tc.arrived || crashed != tc.after {
 					t.Errorf("%d orders, crash after %v; want %d, %v", n, crashed, tc.arrived, tc.after)
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// reportInterval is the time between two load reports, in real time.
+	// reportInterval is the real time between two load reports.
 	reportInterval = 100 * time.Millisecond
-	// keepReports is the number of reports kept to serve old ones from.
-	keepReports = 256
-	// keepEvents is the number of cache events kept; older ones need a snapshot.
-	keepEvents = 8192
+	// maxReports is the number of reports retained for Options.ReportLag.
+	maxReports = 256
+	// maxEvents is the number of cache events retained; a query for older ones gets a snapshot.
+	maxEvents = 8192
 )
 
 type report struct {
@@ -24,13 +24,13 @@
 	load engine.Load
 }
 
-// reportLog keeps the latest load reports, oldest first.
+// reportLog holds the latest load reports, oldest first.
 type reportLog struct {
 	reports  []report
 	sequence uint64
 }
 
-// due tells whether it is time for another report.
+// due reports whether reportInterval has passed since the last report.
 func (l *reportLog) due(now time.Duration) bool {
 	n := len(l.reports)
 	return n == 0 || now-l.reports[n-1].at >= reportInterval
@@ -41,7 +41,7 @@
 	load.Sequence = l.sequence
 	load.Recent = recent
 	l.reports = append(l.reports, report{at: now, load: load})
-	if len(l.reports) > keepReports {
+	if len(l.reports) > maxReports {
 		l.reports = slices.Delete(l.reports, 0, 1)
 	}
 }
@@ -60,7 +60,8 @@
 	return load
 }
 
-// recentAttempts names the attempts that the model's figures include. The caller holds mu.
+// recentAttempts returns the IDs of the recent attempts that the model's load includes.
+// The caller holds mu.
 func (s *Server) recentAttempts() []string {
 	var out []string
 	for _, id := range s.model.Recent() {
@@ -76,7 +77,7 @@
 	w.Write(encode(s.State()))
 }
 
-// State returns what the engine says of itself.
+// State returns the state that the engine reports.
 func (s *Server) State() engine.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,8 +87,8 @@
 		Loaded:       slices.Clone(s.loaded),
 		Streams:      s.streams,
 		Leaving:      s.leaving,
-		Order:        s.book.State(),
-		HighestFence: s.book.Highest(),
+		Order:        s.orderBook.State(),
+		HighestFence: s.orderBook.Highest(),
 		Load:         s.reports.lagged(time.Since(s.start), s.opts.ReportLag),
 	}
 }
@@ -97,13 +98,13 @@
 	engine.CacheEvent
 }
 
-// eventLog keeps the latest cache events. Dropped events use up their sequence.
+// eventLog holds the latest cache events. Dropped events consume a sequence number.
 type eventLog struct {
 	events []loggedEvent
-	// next is the sequence of the next event; the first is 1.
+	// next is the sequence number of the next event; the first is 1.
 	next uint64
-	// forgotten is the newest sequence no longer in the log.
-	forgotten uint64
+	// evicted is the highest sequence number evicted from the log.
+	evicted uint64
 }
 
 func (l *eventLog) add(now time.Duration, changes []enginemodel.CacheChange, gap uint64) {
@@ -115,16 +116,17 @@
 		}
 		l.next++
 	}
-	if over := len(l.events) - keepEvents; over > 0 {
-		l.forgotten = l.events[over-1].Sequence
+	if over := len(l.events) - maxEvents; over > 0 {
+		l.evicted = l.events[over-1].Sequence
 		l.events = slices.Delete(l.events, 0, over)
 	}
 }
 
-// since returns the events from a sequence on that happened by a time, and
-// whether the sequence is too old to answer from the log.
+// since returns the events from the given sequence number on that occurred no later than by,
+// and the sequence number to continue from. It reports true if the log no longer reaches back
+// to the given number.
 func (l *eventLog) since(sequence uint64, by time.Duration) ([]engine.CacheEvent, uint64, bool) {
-	if sequence <= l.forgotten {
+	if sequence <= l.evicted {
 		return nil, max(l.next, 1), true
 	}
 	next := sequence
