--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -20,52 +20,52 @@
 	"github.com/springweir/springweir/standin/enginemodel"
 )
 
-// outcome is what a caller got.
+// outcome classifies the result of a request as its caller sees it.
 type outcome string
 
 const (
-	// whole is the whole answer to the caller's own request.
-	whole outcome = "whole"
-	// refused is a typed failure that says the request was not run.
+	// complete is a complete, correct response.
+	complete outcome = "complete"
+	// refused is a typed failure which states that the request was not run.
 	refused outcome = "refused"
-	// unknown is a typed failure that says nothing certain.
+	// unknown is a typed failure that leaves open whether the request ran.
 	unknown outcome = "unknown"
-	// broken is a stream that ended with a typed error event.
-	broken outcome = "broken"
-	// cut is a connection that ended without an answer or an error event.
-	cut outcome = "cut"
-	// unsent is a request for which no connection could be opened.
+	// interrupted is a stream that ended with a typed error event.
+	interrupted outcome = "interrupted"
+	// disconnected is a connection that closed without a response or an error event.
+	disconnected outcome = "disconnected"
+	// unsent is a request whose connection could not be opened.
 	unsent outcome = "unsent"
-	// wrong is an answer that claims to be whole and is not the right one.
-	wrong outcome = "wrong"
+	// incorrect is a response that ended normally with the wrong content.
+	incorrect outcome = "incorrect"
 )
 
-// request is one request of a caller.
+// request is a streaming completion or, if key is set, a call to the service.
 type request struct {
-	// model and prompt are for a stream, key for a call that may not be repeated.
+	// model and prompt are set for a stream; key is the idempotency key of a call.
 	model, prompt, key string
 }
 
-// result is a request and what came of it.
+// result is a request and its outcome.
 type result struct {
 	request
-	vm      string
-	kind    outcome
-	status  int
-	reason  failure.Reason
-	id      string
-	text    string
-	retry   string
-	began   time.Time
-	elapsed time.Duration
+	vm        string
+	kind      outcome
+	status    int
+	reason    failure.Reason
+	id        string
+	text      string
+	retry     string
+	startedAt time.Time
+	elapsed   time.Duration
 }
 
 var serial atomic.Int64
 
-// stream is a new request for an answer of at least 40 tokens.
-func (s *site) stream() request { return request{model: "chat", prompt: promptOf(40)} }
+// newStream returns a streaming request whose response has at least 40 tokens.
+func (s *site) newStream() request { return request{model: "chat", prompt: promptOf(40)} }
 
-// promptOf returns a new prompt whose answer has at least so many tokens.
+// promptOf returns a unique prompt whose response has at least the given number of tokens.
 func promptOf(tokens int) string {
 	for {
 		p := fmt.Sprintf("May container %d stand here?", serial.Add(1))
@@ -75,22 +75,22 @@
 	}
 }
 
-// call is a new call that may not be repeated.
-func (s *site) call() request { return request{key: fmt.Sprintf("slot-%d", serial.Add(1))} }
+// newCall returns a non-repeatable service call with a unique idempotency key.
+func (s *site) newCall() request { return request{key: fmt.Sprintf("slot-%d", serial.Add(1))} }
 
-// callerClient opens a connection for each request, so that a connection that
-// ends is always that of the request.
+// callerClient opens a connection for each request, so that a closed connection always belongs to
+// the request that used it.
 var callerClient = &http.Client{Transport: &http.Transport{
 	DisableKeepAlives: true,
 	DialContext:       (&net.Dialer{Timeout: 5 * time.Second}).DialContext,
 }}
 
-// ask sends a request to a VM and waits for all of its answer.
-func (s *site) ask(v *vm, q request) (r result) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+// send sends a request to a VM and reads the response to its end.
+func (s *site) send(v *vm, q request) (r result) {
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
-	r = result{request: q, vm: v.name, began: time.Now()}
-	defer func() { r.elapsed = time.Since(r.began) }()
+	r = result{request: q, vm: v.name, startedAt: time.Now()}
+	defer func() { r.elapsed = time.Since(r.startedAt) }()
 	path, body := wire.PathServices+slotService+"/confirm", []byte(`{"slot":1}`)
 	if q.key == "" {
 		path = wire.PathCompletions
@@ -104,7 +104,7 @@
 	req.Header.Set("Authorization", "Bearer "+apiKey)
 	if q.key != "" {
 		req.Header.Set(wire.HeaderIdempotencyKey, q.key)
-		req.GetBody = nil // Go would repeat the call by itself
+		req.GetBody = nil // otherwise net/http may retry the call
 	}
 	resp, err := callerClient.Do(req)
 	var dial *net.OpError
@@ -113,7 +113,7 @@
 		r.kind = unsent
 		return r
 	case err != nil:
-		r.kind = cut
+		r.kind = disconnected
 		return r
 	}
 	defer resp.Body.Close()
@@ -121,20 +121,20 @@
 	r.retry = resp.Header.Get("Retry-After")
 	switch {
 	case resp.Header.Get(wire.HeaderReason) != "":
-		r.failed(resp.Body)
+		r.readFailure(resp.Body)
 	case q.key != "":
-		r.called(resp.Body)
+		r.readCall(resp.Body)
 	default:
-		r.streamed(resp.Body)
+		r.readStream(resp.Body)
 	}
 	return r
 }
 
-// failed reads the body of a typed failure.
-func (r *result) failed(body io.Reader) {
+// readFailure decodes the body of a typed failure.
+func (r *result) readFailure(body io.Reader) {
 	var e wire.ErrorBody
 	if json.NewDecoder(body).Decode(&e) != nil {
-		r.kind = cut
+		r.kind = disconnected
 		return
 	}
 	r.reason = e.Error.Reason
@@ -144,25 +144,25 @@
 	}
 }
 
-// called reads the answer of the service.
-func (r *result) called(body io.Reader) {
+// readCall reads the response of the service.
+func (r *result) readCall(body io.Reader) {
 	var reply struct{ Call string }
 	data, err := io.ReadAll(body)
 	r.text = string(data)
 	switch {
 	case err != nil:
-		r.kind = cut
+		r.kind = disconnected
 	case json.Unmarshal(data, &reply) != nil || reply.Call != r.key:
-		r.kind = wrong
+		r.kind = incorrect
 	default:
-		r.kind = whole
+		r.kind = complete
 	}
 }
 
-// streamed reads a stream to its end.
-func (r *result) streamed(body io.Reader) {
+// readStream reads a stream to its end.
+func (r *result) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
-	r.kind = cut
+	r.kind = disconnected
 	var text strings.Builder
 	event := ""
 	for lines.Scan() {
@@ -172,10 +172,10 @@
 			event = strings.TrimPrefix(lines.Text(), "event: ")
 		case !isData:
 		case event == "error":
-			r.failed(strings.NewReader(data))
-			r.kind = broken
+			r.readFailure(strings.NewReader(data))
+			r.kind = interrupted
 		case data == wire.DoneEvent:
-			r.kind = r.judge(text.String())
+			r.kind = r.classifyText(text.String())
 		default:
 			var piece wire.Response
 			if json.Unmarshal([]byte(data), &piece) == nil && len(piece.Choices) == 1 && piece.Choices[0].Text != nil {
@@ -186,22 +186,22 @@
 	r.text = text.String()
 }
 
-// judge tells whether a text is the whole answer to the prompt.
-func (r *result) judge(text string) outcome {
+// classifyText compares a text with the expected response to the prompt.
+func (r *result) classifyText(text string) outcome {
 	n, _ := enginemodel.AnswerTokens(r.prompt, 0)
 	if text != enginemodel.AnswerText(r.prompt, 0, n) {
-		return wrong
+		return incorrect
 	}
-	return whole
+	return complete
 }
 
-// String names what matters for a failing test.
+// String summarises the result for test failure messages.
 func (r result) String() string {
 	return fmt.Sprintf("%s to %s: %s %d %s after %v (%d bytes)", r.id+r.key, r.vm, r.kind, r.status, r.reason, r.elapsed, len(r.text))
 }
 
-// load is callers that ask all the time, each one thing after another, through
-// a balancer that leaves out VMs that say they are not ready.
+// load is a set of callers that send requests continuously, each one at a time, through a load
+// balancer that excludes VMs whose readiness check fails.
 type load struct {
 	s       *site
 	stopped chan struct{}
@@ -211,16 +211,17 @@
 	mu      sync.Mutex
 	ready   []*vm
 	results []result
-	// streamed is when the newest stream was begun at each VM.
-	streamed map[*vm]time.Time
+	// lastStream is the start time of the latest stream at each VM.
+	lastStream map[*vm]time.Time
 }
 
-// pause is between two requests of one caller.
-const pause = 100 * time.Millisecond
+// requestInterval is the delay between two requests of one caller.
+const requestInterval = 100 * time.Millisecond
 
-// startLoad starts callers of the VMs; each asks what one of makers makes.
+// startLoad starts callers that send requests to the VMs. The request makers are assigned to the
+// callers round robin.
 func (s *site) startLoad(callers int, vms []*vm, makers ...func() request) *load {
-	l := &load{s: s, stopped: make(chan struct{}), ready: vms, streamed: map[*vm]time.Time{}}
+	l := &load{s: s, stopped: make(chan struct{}), ready: vms, lastStream: map[*vm]time.Time{}}
 	l.wg.Go(func() { l.balance(vms) })
 	for i := range callers {
 		l.wg.Go(func() { l.run(makers[i%len(makers)]) })
@@ -237,8 +238,8 @@
 	}
 }
 
-// balance follows the health checks. With no VM ready it goes on with the last
-// that were, as balancers do.
+// balance polls the readiness checks. If no VM is ready it keeps the last set that was, as load
+// balancers do.
 func (l *load) balance(vms []*vm) {
 	for l.running() {
 		var ok []*vm
@@ -252,7 +253,7 @@
 			l.ready = ok
 			l.mu.Unlock()
 		}
-		time.Sleep(pause)
+		time.Sleep(requestInterval)
 	}
 }
 
@@ -262,49 +263,49 @@
 		v := l.ready[int(l.next.Add(1))%len(l.ready)]
 		q := newRequest()
 		if q.key == "" {
-			l.streamed[v] = time.Now()
+			l.lastStream[v] = time.Now()
 		}
 		l.mu.Unlock()
-		r := l.s.ask(v, q)
+		r := l.s.send(v, q)
 		l.mu.Lock()
 		l.results = append(l.results, r)
 		l.mu.Unlock()
-		time.Sleep(pause)
+		time.Sleep(requestInterval)
 	}
 }
 
-// count is how many results of a kind there are so far.
+// count returns the number of results of a kind so far.
 func (l *load) count(kind outcome) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return tally(l.results)[kind]
+	return countOutcomes(l.results)[kind]
 }
 
-// awaitMore waits until so many more answers are whole.
+// awaitMore waits for n more complete responses.
 func (l *load) awaitMore(n int) {
 	l.s.t.Helper()
-	before := l.count(whole)
-	await(l.s.t, fmt.Sprintf("%d more whole answers", n), func() bool { return l.count(whole) >= before+n })
+	before := l.count(complete)
+	await(l.s.t, fmt.Sprintf("%d more complete responses", n), func() bool { return l.count(complete) >= before+n })
 }
 
-// awaitStream waits for a stream that has begun at a VM within the last second.
+// awaitStream waits until a stream was started at a VM within the last second.
 func (l *load) awaitStream(v *vm) {
 	l.s.t.Helper()
 	await(l.s.t, "a new stream at "+v.name, func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return time.Since(l.streamed[v]) < time.Second
+		return time.Since(l.lastStream[v]) < time.Second
 	})
 }
 
-// stop lets what is open finish and returns all results.
+// stop waits for the requests in flight and returns all results.
 func (l *load) stop() []result {
 	close(l.stopped)
 	l.wg.Wait()
 	return l.results
 }
 
-func tally(results []result) map[outcome]int {
+func countOutcomes(results []result) map[outcome]int {
 	counts := map[outcome]int{}
 	for _, r := range results {
 		counts[r.kind]++
@@ -312,23 +313,23 @@
 	return counts
 }
 
-// check fails the test for each result that is not of the allowed kinds, and
-// holds what callers were told against what the stand-ins say ran. Stand-ins
-// that were killed have lost their record and are left out.
+// check fails the test for each result whose kind is not allowed, and compares the results with
+// the executions that the stand-ins recorded. Killed stand-ins have lost their records and are
+// skipped.
 func (s *site) check(results []result, allowed ...outcome) {
 	s.t.Helper()
-	s.t.Logf("%d requests: %v", len(results), tally(results))
+	s.t.Logf("%d requests: %v", len(results), countOutcomes(results))
 	ok := map[outcome]bool{}
 	for _, kind := range allowed {
 		ok[kind] = true
 	}
-	ran, calls := s.ran()
+	ran, calls := s.executions()
 	for _, r := range results {
 		if !ok[r.kind] {
-			s.t.Errorf("not allowed here: %v", r)
+			s.t.Errorf("outcome not allowed: %v", r)
 		}
 		if r.kind == refused && (ran[r.id] || calls[r.key] > 0) {
-			s.t.Errorf("said not to have run, but ran: %v", r)
+			s.t.Errorf("reported as not run, but ran: %v", r)
 		}
 		if r.key == "" {
 			continue
@@ -336,14 +337,14 @@
 		if calls[r.key] > 1 {
 			s.t.Errorf("ran %d times: %v", calls[r.key], r)
 		}
-		if r.kind == whole && calls[r.key] != 1 {
-			s.t.Errorf("answered but ran %d times: %v", calls[r.key], r)
+		if r.kind == complete && calls[r.key] != 1 {
+			s.t.Errorf("complete response, but ran %d times: %v", calls[r.key], r)
 		}
 	}
 }
 
-// ran collects from the stand-ins which requests ran, and how often each call did.
-func (s *site) ran() (requests map[string]bool, calls map[string]int) {
+// executions collects from the stand-ins which requests ran and how often each call ran.
+func (s *site) executions() (requests map[string]bool, calls map[string]int) {
 	s.t.Helper()
 	requests, calls = map[string]bool{}, map[string]int{}
 	for _, e := range s.endpoints {
@@ -353,7 +354,7 @@
 		default:
 		}
 		if e.pool == "" {
-			for key, n := range s.runs(e) {
+			for key, n := range s.serviceRuns(e) {
 				calls[key] += n
 			}
 			continue
--- a/e2e/ask_test.go
+++ b/e2e/ctl_test.go
@@ -33,7 +33,7 @@
 func (s *site) ctlAt(v *vm, args ...string) (string, int) { return s.run(v.operators(), args) }
 
 func (s *site) run(servers string, args []string) (string, int) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, filepath.Join(bin, "springweirctl"), append([]string{"--server", servers}, args...)...)
 	out, err := cmd.CombinedOutput()
@@ -48,12 +48,13 @@
 	s.t.Helper()
 	out, code := s.ctl(args...)
 	if code != 0 {
-		s.t.Fatalf("springweirctl %v ended with code %d: %s", args, code, out)
+		s.t.Fatalf("springweirctl %v exited with code %d: %s", args, code, out)
 	}
 	return out
 }
 
-// status is what a VM's controller says of the fleet.
+// status returns the fleet status that a VM's controller reports, or an empty one if the
+// controller doesn't respond.
 func (s *site) status(v *vm) *pb.FleetStatus {
 	out, code := s.ctlAt(v, "status", "--output", "json")
 	status := &pb.FleetStatus{}
@@ -63,8 +64,9 @@
 	return status
 }
 
-// holder is the VM that holds a lease, or empty.
-func (s *site) holder(v *vm, pool string) string {
+// leaseHolder returns the VM that holds the lease of a pool in the zone of v according to v's
+// controller, or "" if there is none.
+func (s *site) leaseHolder(v *vm, pool string) string {
 	for _, l := range s.status(v).Leases {
 		if l.Pool == pool && l.Zone == v.zone {
 			return l.Holder
@@ -87,13 +89,13 @@
 	return r
 }
 
-// faults puts faults of the platform in force; the zero value ends them.
-func (s *site) faults(f platform.Faults) {
+// setFaults injects faults into the platform; the zero value clears them.
+func (s *site) setFaults(f platform.Faults) {
 	s.t.Helper()
 	s.post(s.platformAddress(), platform.FaultsPath, f)
 }
 
-// history is what has reached an engine.
+// history returns the attempts and orders that an engine stand-in has recorded.
 func (s *site) history(e *endpoint) standinengine.History {
 	s.t.Helper()
 	var h standinengine.History
@@ -103,8 +105,8 @@
 	return h
 }
 
-// runs tells how often each call ran at a service endpoint.
-func (s *site) runs(e *endpoint) map[string]int {
+// serviceRuns returns how often each call ran at a service endpoint, by idempotency key.
+func (s *site) serviceRuns(e *endpoint) map[string]int {
 	s.t.Helper()
 	var runs map[string]int
 	if err := get(e.address, "/admin/runs", &runs); err != nil {
@@ -115,7 +117,8 @@
 
 func ready(v *vm) bool { return get(v.metrics(), "/readyz", nil) == nil }
 
-// get reads JSON into value, unless value is nil.
+// get sends a GET request, requires status 200, and decodes the JSON body into value unless value
+// is nil.
 func get(address, path string, value any) error {
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,9 +1,8 @@
-// Package e2e holds tests that run the four programs as real processes on
-// loopback addresses of their own, and kill, stop and cut them.
+// Package e2e contains end-to-end tests that run the four programs as processes on separate
+// loopback addresses, and kill, pause, stop and partition them.
 //
-// Every request is counted as whole, refused, failed, cut or unsent, and the
-// counts are checked against what the stand-ins say ran. The tests wait on
-// conditions with generous limits and judge by counts and by order, so that no
-// verdict depends on the machine's speed. The one rule in seconds, no new work
-// for an endpoint that leaves, is judged by the stand-in's own record.
+// Each request is classified by its outcome, and the outcomes are checked against the executions
+// that the stand-ins recorded. The tests wait for conditions with generous timeouts and assert
+// counts and order, so that no result depends on the speed of the machine. The only bound in
+// seconds, no new work for a leaving endpoint, is checked against the stand-in's record.
 package e2e
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -7,30 +7,29 @@
 	"time"
 )
 
-// leaveWithin is the promised 3 s, and as much again as margin for a machine
-// that is busy.
-const leaveWithin = 6 * time.Second
+// drainTimeout is twice the guaranteed 3 s, as a margin for a busy machine.
+const drainTimeout = 6 * time.Second
 
-// leaves has an endpoint leave, and judges by its record and the entries'
-// counters that no new work is sent to it after that time.
-func (s *site) leaves(e *endpoint, l *load, leave func()) {
+// checkDrain makes an endpoint leave, and checks its record and the entries' metrics for new work
+// sent to it later than drainTimeout afterwards.
+func (s *site) checkDrain(e *endpoint, l *load, leave func()) {
 	s.t.Helper()
 	await(s.t, "work at "+e.name, func() bool { return len(s.history(e).Attempts) > 5 })
 	leave()
-	time.Sleep(leaveWithin)
-	before, turned := len(s.history(e).Attempts), s.turnedAway()
+	time.Sleep(drainTimeout)
+	before, refusals := len(s.history(e).Attempts), s.endpointRefusals()
 	l.awaitMore(10)
 	if after := len(s.history(e).Attempts); after != before {
-		s.t.Errorf("%d attempts began at %s, which leaves", after-before, e.name)
+		s.t.Errorf("%d attempts started at leaving endpoint %s", after-before, e.name)
 	}
-	// An engine that says it leaves refuses what is still sent to it.
-	if after := s.turnedAway(); after != turned {
-		s.t.Errorf("%d requests were sent to an engine that leaves and turned away", after-turned)
+	// An engine that announces its shutdown refuses requests.
+	if after := s.endpointRefusals(); after != refusals {
+		s.t.Errorf("%d requests were sent to a leaving engine and refused", after-refusals)
 	}
 }
 
-// turnedAway counts the attempts that endpoints refused, by the entries' metrics.
-func (s *site) turnedAway() int {
+// endpointRefusals returns the number of attempts refused by endpoints, from the entries' metrics.
+func (s *site) endpointRefusals() int {
 	s.t.Helper()
 	sum := 0
 	for _, v := range s.vms {
@@ -39,7 +38,7 @@
 	return sum
 }
 
-// metric reads a counter of an entry; one that was never counted is zero.
+// metric reads a counter of an entry; a missing counter is zero.
 func (s *site) metric(v *vm, name string) int {
 	s.t.Helper()
 	resp, err := client.Get("http://" + v.metrics() + "/metrics")
--- a/e2e/engine_test.go
+++ b/e2e/engine_test.go
@@ -7,10 +7,9 @@
 	standinengine "github.com/springweir/springweir/standin/engine"
 )
 
-// TestEngineKilledAndFrozen kills an engine in the middle of streams, and later
-// freezes it. Each stream is resumed at the other engine and comes out whole and
-// exact, or ends with a typed error; requests then go to the engine that works,
-// and to the first one again once it is back.
+// TestEngineKilledAndFrozen kills an engine during streams and later freezes it. Each stream must
+// be resumed at the other engine and complete with the exact text, or end with a typed error.
+// New requests must go to the working engine, and to the failed one again after it recovers.
 func TestEngineKilledAndFrozen(t *testing.T) {
 	s := newSite(t)
 	s.pools = "[pool \"language\"]\nmodels = chat\nrole-planning = no\nfirst-token-timeout = 3s\nbetween-tokens-timeout = 3s\n"
@@ -18,11 +17,11 @@
 	s.addVM("vm2", "a")
 	failing := s.addEngine("engine-1", "a", "language", "mixed", "checked")
 	other := s.addEngine("engine-2", "a", "language", "mixed", "ignored")
-	s.up()
-	l := s.startLoad(8, s.vms, s.stream)
-	midway := func() bool { return begun(s.history(failing)) >= 3 }
+	s.startAll()
+	l := s.startLoad(8, s.vms, s.newStream)
+	streaming := func() bool { return streamsInFlight(s.history(failing)) >= 3 }
 
-	await(t, "streams at the engine to be killed", midway)
+	await(t, "streams at the engine to be killed", streaming)
 	failing.proc.end()
 	l.awaitMore(10)
 	resumed := 0
@@ -32,28 +31,28 @@
 		}
 	}
 	if resumed == 0 {
-		t.Error("no stream was resumed from where it stood")
+		t.Error("no stream was resumed from its last token")
 	}
 	s.startEndpoint(failing)
-	await(t, "streams at the restarted engine", midway)
+	await(t, "streams at the restarted engine", streaming)
 
 	failing.proc.signal(t, syscall.SIGSTOP)
 	await(t, "the frozen engine is ejected", func() bool { return s.ejected(failing) })
 	l.awaitMore(10)
 	failing.proc.signal(t, syscall.SIGCONT)
 	before := len(s.history(failing).Attempts)
-	await(t, "new work at the engine that woke", func() bool { return len(s.history(failing).Attempts) > before })
+	await(t, "new work at the resumed engine", func() bool { return len(s.history(failing).Attempts) > before })
 
 	results := l.stop()
-	s.check(results, whole, broken)
-	counts := tally(results)
+	s.check(results, complete, interrupted)
+	counts := countOutcomes(results)
 	t.Logf("%d streams resumed after the kill", resumed)
-	if counts[broken]*4 > counts[whole] {
+	if counts[interrupted]*4 > counts[complete] {
 		t.Errorf("more than a fifth of the streams were lost: %v", counts)
 	}
 }
 
-// ejected tells whether an entry has given an engine up.
+// ejected reports whether the fleet status of the first VM shows an engine as ejected.
 func (s *site) ejected(e *endpoint) bool {
 	for _, seen := range s.status(s.vms[0]).Endpoints {
 		if seen.Name == e.name {
@@ -63,8 +62,8 @@
 	return false
 }
 
-// begun counts the attempts that are under way with some tokens computed.
-func begun(h standinengine.History) int {
+// streamsInFlight counts the unfinished attempts that have computed more than five tokens.
+func streamsInFlight(h standinengine.History) int {
 	n := 0
 	for _, a := range h.Attempts {
 		if a.Ran && !a.Whole && a.To > a.From+5 {
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -11,19 +11,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestOperators drains an engine by springweirctl under load, which cuts nothing.
-// Then it has two operators edit at the same moment, through different
-// controllers: over one key one wins and the other is told of the conflict;
-// edits of different keys are merged.
+// TestOperators drains an engine with springweirctl under load; no request may be interrupted.
+// Then two operators edit concurrently through different controllers: of two edits of the same key
+// one must fail with a conflict, and edits of different keys must be merged.
 func TestOperators(t *testing.T) {
 	s, a, b := newPair(t)
-	l := s.startLoad(8, s.vms, s.stream)
+	l := s.startLoad(8, s.vms, s.newStream)
 	drained := s.endpoints[0]
-	s.leaves(drained, l, func() { s.mustCtl("drain", drained.name, "--wait", patience.String()) })
-	s.check(l.stop(), whole)
+	s.checkDrain(drained, l, func() { s.mustCtl("drain", drained.name, "--wait", waitTimeout.String()) })
+	s.check(l.stop(), complete)
 	for range 2 {
 		base, text := s.config()
-		codes := s.both(
+		codes := s.runConcurrently(
 			func() (string, int) { return s.put(a, "one.ini", base, text, "max-away = 3") },
 			func() (string, int) { return s.put(b, "two.ini", base, text, "max-away = 4") },
 		)
@@ -31,7 +30,7 @@
 			t.Errorf("exit codes of two edits of one key: %s", diff)
 		}
 	}
-	codes := s.both(
+	codes := s.runConcurrently(
 		func() (string, int) {
 			return s.ctlAt(a, "config", "set", "pool language", "max-away", "7", "--author", "one", "--wait", "30s")
 		},
@@ -44,34 +43,34 @@
 	}
 	_, text := s.config()
 	for _, line := range []string{"max-away = 7", "floor = 0"} {
-		if !strings.Contains(squeeze(text), line) {
+		if !strings.Contains(collapseBlanks(text), line) {
 			t.Errorf("%q was lost: %s", line, text)
 		}
 	}
 	for _, v := range s.vms {
 		for _, seen := range s.status(v).Vms {
 			if want := s.status(v).Config.Version; seen.Config != want {
-				t.Errorf("%s has version %d in force, accepted is %d", seen.Name, seen.Config, want)
+				t.Errorf("%s has active version %d, accepted is %d", seen.Name, seen.Config, want)
 			}
 		}
 	}
 }
 
-// config is the newest version and its text.
+// config returns the latest version and its text.
 func (s *site) config() (version, text string) {
 	text = s.mustCtl("config", "get")
 	lines := strings.Split(strings.TrimSpace(s.mustCtl("config", "history", "--limit", "1")), "\n")
 	return strings.Fields(lines[len(lines)-1])[0], text
 }
 
-// put commits the text with one line more in the pool's section.
+// put commits the text with its max-away lines removed and line added to the pool's section.
 func (s *site) put(v *vm, name, base, text, line string) (string, int) {
 	var kept []string
 	for _, l := range strings.Split(text, "\n") {
-		if !strings.HasPrefix(squeeze(l), "max-away =") {
+		if !strings.HasPrefix(collapseBlanks(l), "max-away =") {
 			kept = append(kept, l)
 		}
-		if squeeze(l) == `[pool "language"]` {
+		if collapseBlanks(l) == `[pool "language"]` {
 			kept = append(kept, line)
 		}
 	}
@@ -82,8 +81,8 @@
 	return s.ctlAt(v, "config", "put", file, "--base", base, "--author", name, "--wait", "30s")
 }
 
-// both runs two commands at once and returns their exit codes in order of size.
-func (s *site) both(one, two func() (string, int)) []int {
+// runConcurrently runs two commands concurrently and returns their exit codes in ascending order.
+func (s *site) runConcurrently(one, two func() (string, int)) []int {
 	s.t.Helper()
 	var codes [2]int
 	var outs [2]string
@@ -98,8 +97,8 @@
 	return codes[:]
 }
 
-// squeeze makes runs of blanks one blank.
-func squeeze(text string) string {
+// collapseBlanks trims each line and replaces each run of blanks by a single one.
+func collapseBlanks(text string) string {
 	var lines []string
 	for _, l := range strings.Split(text, "\n") {
 		lines = append(lines, strings.Join(strings.Fields(l), " "))
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -11,11 +11,10 @@
 	"time"
 )
 
-// patience is how long a test waits for something that must happen. It is far
-// above the time that it takes.
-const patience = 40 * time.Second
+// waitTimeout limits the wait for a condition; it is far above the expected time.
+const waitTimeout = 40 * time.Second
 
-// bin holds the four programs.
+// bin is the directory of the four compiled programs.
 var bin string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
@@ -44,11 +43,11 @@
 	args []string
 	log  string
 	cmd  *exec.Cmd
-	// ended is closed once it has ended.
+	// ended is closed when the process has exited.
 	ended chan struct{}
 }
 
-// started lists every process, so that none outlives the tests.
+// started lists all processes, so that none outlives the tests.
 var started struct {
 	sync.Mutex
 	all []*process
@@ -86,7 +85,7 @@
 	return p
 }
 
-// signal sends a signal to this very process.
+// signal sends a signal to the process.
 func (p *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -94,7 +93,7 @@
 	}
 }
 
-// end kills the process if it still runs. SIGKILL ends a stopped one too.
+// end kills the process if it is still running. SIGKILL also ends a stopped process.
 func (p *process) end() {
 	select {
 	case <-p.ended:
@@ -105,25 +104,25 @@
 	<-p.ended
 }
 
-// awaitExit waits until the process has ended and checks that its code is zero.
+// awaitExit waits until the process exits and checks that its exit code is zero.
 func (p *process) awaitExit(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
-		t.Fatalf("%s has not stopped", p.name)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s has not exited", p.name)
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("%s stopped with code %d", p.name, code)
+		t.Errorf("%s exited with code %d", p.name, code)
 	}
 }
 
 // await waits until a condition holds.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("gave up waiting for: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/e2e/roles_test.go
+++ b/e2e/roles_test.go
@@ -12,19 +12,18 @@
 	"github.com/springweir/springweir/order"
 )
 
-// The pools of the role tests: the engines of one check fencing numbers, those
-// of the other ignore them.
+// The pools of the role tests. The engines of checkedPool check fencing tokens, those of
+// ignoredPool ignore them.
 const (
 	checkedPool = "checked"
 	ignoredPool = "ignored"
 )
 
-// TestControllerKilledAndPaused has springweirctl replace an engine of each
-// pool, for which the replacement must change its role. It kills the controller
-// that holds the leases in the middle of that, and at a second replacement
-// pauses the next one past its lease. The successors finish what was begun, no
-// engine sees conflicting orders, the woken controller has no effect, and no
-// stream is cut.
+// TestControllerKilledAndPaused replaces an engine of each pool with springweirctl, for which the
+// replacement must change its role. During the change it kills the controller that holds the
+// leases, and during a second replacement it pauses the next holder beyond its lease. The
+// successors must finish the orders, no engine may receive conflicting orders, the resumed
+// controller must have no effect, and no stream may be interrupted.
 func TestControllerKilledAndPaused(t *testing.T) {
 	s := newSite(t)
 	const pool = "[pool %q]\nmodels = %s\nrole-planning = no\n"
@@ -34,44 +33,44 @@
 		s.addEngine(fmt.Sprint(checkedPool, i), "a", checkedPool, role, "checked", "--role-change", roleChange)
 		s.addEngine(fmt.Sprint(ignoredPool, i), "a", ignoredPool, role, "ignored", "--role-change", roleChange, "--load", "second@1")
 	}
-	s.up()
+	s.startAll()
 	second := func() request { return request{model: "second", prompt: promptOf(40)} }
-	l := s.startLoad(8, s.vms, s.stream, second)
+	l := s.startLoad(8, s.vms, s.newStream, second)
 	s.handOver(b, a)
 
-	begun := s.replace(0, 1)
+	orders := s.replace(0, 1)
 	a.controller.end()
-	s.awaitHolder(b)
-	s.awaitClosed(begun[checkedPool])
-	s.staysOpen(begun[ignoredPool])
-	s.startController(a) // only now is the killed process provably dead
-	s.awaitClosed(begun[ignoredPool])
+	s.awaitLeaseHolder(b)
+	s.awaitOrderClosed(orders[checkedPool])
+	s.checkOrderStaysOpen(orders[ignoredPool])
+	s.startController(a) // the new incarnation proves that the killed process has exited
+	s.awaitOrderClosed(orders[ignoredPool])
 	s.awaitReplaced(b, 0)
 
-	begun = s.replace(1, 2)
+	orders = s.replace(1, 2)
 	b.controller.signal(t, syscall.SIGSTOP)
-	s.awaitHolder(a)
-	s.awaitClosed(begun[checkedPool])
-	s.staysOpen(begun[ignoredPool])
+	s.awaitLeaseHolder(a)
+	s.awaitOrderClosed(orders[checkedPool])
+	s.checkOrderStaysOpen(orders[ignoredPool])
 	b.controller.signal(t, syscall.SIGCONT)
-	s.awaitClosed(begun[ignoredPool])
+	s.awaitOrderClosed(orders[ignoredPool])
 	s.awaitReplaced(a, 1)
 
-	s.check(l.stop(), whole)
+	s.check(l.stop(), complete)
 	for _, e := range s.endpoints {
 		s.checkOrders(e)
 	}
 }
 
-// roleChange is longer than a lease, so that a successor finds it under way.
+// roleChange is longer than a lease, so that a successor finds the change in progress.
 const roleChange = "15s"
 
-// replace has engine number by of each pool take the place of number old, and
-// waits until both are changing their roles.
-func (s *site) replace(old, by int) map[string]open {
+// replace replaces engine number old of each pool by engine number by, and waits until both
+// replacements are changing their roles.
+func (s *site) replace(old, by int) map[string]openOrder {
 	s.t.Helper()
 	for _, pool := range []string{checkedPool, ignoredPool} {
-		s.mustCtl("replace", fmt.Sprint(pool, old), fmt.Sprint(pool, by), "--author", "e2e", "--wait", patience.String())
+		s.mustCtl("replace", fmt.Sprint(pool, old), fmt.Sprint(pool, by), "--author", "e2e", "--wait", waitTimeout.String())
 	}
 	return s.awaitOrders()
 }
@@ -90,39 +89,39 @@
 	})
 }
 
-// handOver restarts a controller, so that the other one holds all leases.
+// handOver restarts the controller of from, so that the controller of to holds all leases.
 func (s *site) handOver(from, to *vm) {
 	s.t.Helper()
 	from.controller.signal(s.t, syscall.SIGTERM)
 	from.controller.awaitExit(s.t)
-	s.awaitHolder(to)
+	s.awaitLeaseHolder(to)
 	s.startController(from)
 }
 
 // awaitHolder waits until a VM's controller holds the leases of both pools.
-func (s *site) awaitHolder(v *vm) {
+func (s *site) awaitLeaseHolder(v *vm) {
 	s.t.Helper()
 	await(s.t, v.name+" holds the leases", func() bool {
-		return s.holder(v, checkedPool) == v.name && s.holder(v, ignoredPool) == v.name
+		return s.leaseHolder(v, checkedPool) == v.name && s.leaseHolder(v, ignoredPool) == v.name
 	})
 }
 
-// open is an order that is under way at an engine.
-type open struct {
+// openOrder is an order in progress at an engine.
+type openOrder struct {
 	e  *endpoint
 	id string
 }
 
 // awaitOrders waits until an engine of each pool is changing its role.
-func (s *site) awaitOrders() map[string]open {
+func (s *site) awaitOrders() map[string]openOrder {
 	s.t.Helper()
-	found := map[string]open{}
+	found := map[string]openOrder{}
 	await(s.t, "a change of role in both pools", func() bool {
 		clear(found)
 		for _, e := range s.endpoints {
 			var st engine.State
 			if get(e.address, engine.StatePath, &st) == nil && st.Order != nil && st.Order.Phase == engine.OrderRunning {
-				found[e.pool] = open{e, st.Order.ID}
+				found[e.pool] = openOrder{e, st.Order.ID}
 			}
 		}
 		return len(found) == 2
@@ -130,7 +129,7 @@
 	return found
 }
 
-func (s *site) journaled(o open) order.Entry {
+func (s *site) journaled(o openOrder) order.Entry {
 	s.t.Helper()
 	entry, err := order.NewJournal(s.table).Read(context.Background(), o.e.name)
 	if err != nil {
@@ -139,8 +138,9 @@
 	return entry
 }
 
-// awaitClosed waits until an order's end is in the journal.
-func (s *site) awaitClosed(o open) {
+// awaitOrderClosed waits until the journal records the end of an order, and checks that the
+// engine received the order.
+func (s *site) awaitOrderClosed(o openOrder) {
 	s.t.Helper()
 	await(s.t, "the end of an order for "+o.e.name, func() bool {
 		entry := s.journaled(o)
@@ -151,15 +151,15 @@
 			return
 		}
 	}
-	s.t.Errorf("%s has not heard of order %s", o.e.name, o.id)
+	s.t.Errorf("%s has not received order %s", o.e.name, o.id)
 }
 
-// staysOpen checks that a successor gives an engine that ignores fences nothing
-// else, while a copy from its silent predecessor could still arrive. The
-// engine's own change is long over when it looks.
-func (s *site) staysOpen(o open) {
+// checkOrderStaysOpen checks that a successor doesn't close an order or issue another one to an
+// engine that ignores fencing tokens while a copy of the order from the unresponsive predecessor
+// could still arrive. It checks 3 s after the engine has completed the order.
+func (s *site) checkOrderStaysOpen(o openOrder) {
 	s.t.Helper()
-	await(s.t, "the engine has carried the order out", func() bool {
+	await(s.t, "the engine has completed the order", func() bool {
 		var st engine.State
 		return get(o.e.address, engine.StatePath, &st) == nil && st.Order.Phase == engine.OrderDone
 	})
@@ -169,32 +169,32 @@
 	}
 }
 
-// checkOrders judges the orders that reached an engine by its own record: no
-// order came while another was running, none came back after a later one, and
-// none of an earlier tenure took effect after one of a later.
+// checkOrders checks the orders that an engine recorded: no order arrived while another was
+// running, none arrived again after a later one, and none of an earlier lease term took effect
+// after one of a later term.
 func (s *site) checkOrders(e *endpoint) {
 	s.t.Helper()
-	last := map[string]bool{}
+	seen := map[string]bool{}
 	var current engine.Order
-	var highest uint64
+	var maxFence uint64
 	for i, r := range s.history(e).Orders {
 		s.t.Logf("%s: order %s fence %d role %s refused %q", e.name, r.Order.ID, r.Order.Fence, r.Order.Role, r.Refused)
 		if r.Refused == failure.EngineBusy {
-			s.t.Errorf("%s: order %d came while another was running", e.name, i)
+			s.t.Errorf("%s: order %d arrived while another was running", e.name, i)
 		}
 		if r.Refused != "" {
 			continue
 		}
 		if r.Order.ID != current.ID {
-			if last[r.Order.ID] {
-				s.t.Errorf("%s: order %d came back after another", e.name, i)
+			if seen[r.Order.ID] {
+				s.t.Errorf("%s: order %d arrived again after another", e.name, i)
 			}
-			if r.Order.Fence < highest {
-				s.t.Errorf("%s: order %d of an earlier tenure took effect", e.name, i)
+			if r.Order.Fence < maxFence {
+				s.t.Errorf("%s: order %d of an earlier lease term took effect", e.name, i)
 			}
 		}
-		last[r.Order.ID] = true
+		seen[r.Order.ID] = true
 		current = r.Order
-		highest = max(highest, r.Order.Fence)
+		maxFence = max(maxFence, r.Order.Fence)
 	}
 }
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -22,15 +22,16 @@
 	apiKey       = "trial-key"
 	organisation = "trial"
 	slotService  = "slots"
-	// balancerDelay is the time from the failing health check to the refusals.
+	// balancerDelay is the time between the failing readiness check and the first refusals.
 	balancerDelay = 3 * time.Second
 )
 
 // vm is an entry VM: an entry and a controller.
 type vm struct {
 	name, zone, host string
-	// listed is the peer address on the platform's list, if not the entry's own.
-	listed string
+	// listedAddress is the peer address in the platform's membership list, if it differs from
+	// peers().
+	listedAddress string
 	// platform is the platform's address for this VM.
 	platform          string
 	entry, controller *process
@@ -50,7 +51,7 @@
 	proc                *process
 }
 
-// site is a whole installation on a loopback network of its own.
+// site is a complete installation on a separate loopback network.
 type site struct {
 	t         *testing.T
 	dir, net  string
@@ -58,11 +59,11 @@
 	table     *table.Client
 	vms       []*vm
 	endpoints []*endpoint
-	// pools is the text of the pools' sections.
+	// pools is the text of the pool sections of the settings tree.
 	pools string
 }
 
-// client speaks to the stand-ins and to health checks.
+// client is used for the stand-ins, the metrics and the readiness checks.
 var client = &http.Client{
 	Timeout:   5 * time.Second,
 	Transport: &http.Transport{DisableKeepAlives: true},
@@ -79,7 +80,7 @@
 	return s
 }
 
-// freeNetwork picks a network 127.x.y in which nobody listens.
+// freeNetwork picks a random network 127.x.y whose platform address is free.
 func freeNetwork(t *testing.T) string {
 	t.Helper()
 	for {
@@ -95,7 +96,7 @@
 
 func (s *site) platformAddress() string { return s.net + ".1:7000" }
 
-// close ends the site, and shows its logs if the test failed.
+// close ends all processes, and logs the end of their logs if the test failed.
 func (s *site) close() {
 	all := []*process{s.platform}
 	for _, v := range s.vms {
@@ -115,14 +116,14 @@
 	}
 }
 
-// tail is the end of a log.
+// tail returns the last 4 KiB of a log.
 func tail(file string) []byte {
 	const most = 4 << 10
 	text, _ := os.ReadFile(file) // a missing log shows as empty
 	return text[max(0, len(text)-most):]
 }
 
-// addVM adds an entry VM to the site; start starts it.
+// addVM adds an entry VM to the site; startAll starts it.
 func (s *site) addVM(name, zone string) *vm {
 	v := &vm{name: name, zone: zone, host: fmt.Sprintf("%s.%d", s.net, 11+len(s.vms)), platform: s.platformAddress()}
 	s.vms = append(s.vms, v)
@@ -136,7 +137,7 @@
 	return s.add(e)
 }
 
-// addService adds an endpoint of the service whose calls may not be repeated.
+// addService adds an endpoint of the service with non-repeatable calls.
 func (s *site) addService(name, zone string) *endpoint {
 	return s.add(&endpoint{name: name, zone: zone, args: []string{"service"}})
 }
@@ -148,14 +149,14 @@
 	return e
 }
 
-// up starts all that was added, commits the tree and waits until every VM serves.
-func (s *site) up() {
+// startAll starts all endpoints and VMs, commits the settings tree and waits until every VM serves.
+func (s *site) startAll() {
 	s.t.Helper()
 	for _, e := range s.endpoints {
 		s.startEndpoint(e)
 	}
 	for _, v := range s.vms {
-		s.list(v, false)
+		s.register(v, false)
 		s.startEntry(v)
 		s.startController(v)
 	}
@@ -166,9 +167,9 @@
 	for _, v := range s.vms {
 		await(s.t, v.name+" is ready", func() bool { return ready(v) })
 	}
-	await(s.t, "a whole answer by each VM", func() bool {
+	await(s.t, "a complete response by each VM", func() bool {
 		for _, v := range s.vms {
-			if s.ask(v, s.stream()).kind != whole {
+			if s.send(v, s.newStream()).kind != complete {
 				return false
 			}
 		}
@@ -189,10 +190,10 @@
 	})
 }
 
-// list puts a VM on the platform's list.
-func (s *site) list(v *vm, leaving bool) {
+// register adds a VM to the platform's membership list.
+func (s *site) register(v *vm, leaving bool) {
 	s.t.Helper()
-	address := v.listed
+	address := v.listedAddress
 	if address == "" {
 		address = v.peers()
 	}
@@ -211,7 +212,7 @@
 	v.controller = start(s.t, s.dir, "controller-"+v.name, "springweir-controller", "--config", s.settings(v))
 }
 
-// settings writes the settings file of a VM.
+// settings writes the settings file of a VM and returns its path.
 func (s *site) settings(v *vm) string {
 	s.t.Helper()
 	var seeds []string
@@ -234,7 +235,7 @@
 	return file
 }
 
-// tree is the text of the settings tree.
+// tree returns the text of the settings tree.
 func (s *site) tree() string {
 	var b strings.Builder
 	zones := map[string]bool{}
@@ -268,5 +269,5 @@
 	if err := os.WriteFile(file, []byte(s.tree()), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	s.mustCtl("config", "put", file, "--base", "0", "--author", "e2e", "--wait", patience.String())
+	s.mustCtl("config", "put", file, "--base", "0", "--author", "e2e", "--wait", waitTimeout.String())
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -14,22 +14,22 @@
 	s.addEngine("engine-1", "a", "language", "mixed", "checked")
 	s.addEngine("engine-2", "a", "language", "mixed", "ignored")
 	s.addService("slots-1", "a")
-	s.up()
+	s.startAll()
 	return s, a, b
 }
 
-// TestPlannedStopsCutNothing stops a controller, an entry, and both of a VM,
-// each under load and the entries with streams open that last far longer than
-// the balancer is given. Every request is answered whole.
+// TestPlannedStopsCutNothing stops a controller, an entry, and both programs of a VM under load.
+// The entries have open streams that last much longer than balancerDelay. Every request must get
+// a complete response.
 func TestPlannedStopsCutNothing(t *testing.T) {
 	s := newSite(t)
 	a, b := s.addVM("vm1", "a"), s.addVM("vm2", "a")
 	s.addEngine("engine-1", "a", "language", "mixed", "checked", "--speed", "0.33")
 	s.addEngine("engine-2", "a", "language", "mixed", "ignored", "--speed", "0.33")
 	s.addService("slots-1", "a")
-	s.up()
+	s.startAll()
 	long := func() request { return request{model: "chat", prompt: promptOf(90)} }
-	l := s.startLoad(8, s.vms, long, long, long, s.call)
+	l := s.startLoad(8, s.vms, long, long, long, s.newCall)
 	l.awaitMore(10)
 
 	a.controller.signal(t, syscall.SIGTERM)
@@ -56,14 +56,14 @@
 	for v, at := range stopped {
 		n := 0
 		for _, r := range results {
-			if r.vm == v.name && r.began.Before(at) && r.began.Add(r.elapsed).After(at.Add(balancerDelay)) {
+			if r.vm == v.name && r.startedAt.Before(at) && r.startedAt.Add(r.elapsed).After(at.Add(balancerDelay)) {
 				n++
 			}
 		}
-		t.Logf("%d streams of %s went on after it refused new requests", n, v.name)
+		t.Logf("%d streams of %s continued after it refused new requests", n, v.name)
 		if n == 0 {
-			t.Errorf("no stream of %s was open that long: nothing was tried", v.name)
+			t.Errorf("no stream of %s was open that long: the case was not exercised", v.name)
 		}
 	}
-	s.check(results, whole)
+	s.check(results, complete)
 }
