--- a/Makefile
+++ b/Makefile
@@ -14,10 +14,10 @@
 test: ## run the tests
 	./scripts/test.sh
 
-run: build ## start a whole small site on loopback, until Ctrl-C
+run: build ## run a complete small site on loopback until Ctrl-C
 	./scripts/run.sh
 
-smoke: build ## start a site, send a chat, a stream and a call through it, check, stop
+smoke: build ## start a site, check a chat, a stream and a call through it, and stop it
 	./scripts/smoke.sh
 
 lint: ## gofmt, vet, staticcheck with doc-comment checks
@@ -28,5 +28,5 @@
 generate: ## regenerate the committed protobuf and twirp code (needs protoc)
 	$(GO) generate ./...
 
-# Targets of single parts: policy, model, model-mutants, bench.
+# Targets of individual parts: policy, model, model-mutants, bench.
 -include *.mk spec/*.mk
--- a/bench.mk
+++ b/bench.mk
@@ -1,4 +1,4 @@
 .PHONY: bench
 
-bench: ## measure what an entry adds to a request, and its upkeep by zone size
+bench: ## measure the overhead of an entry per request, and by zone size
 	$(GO) test ./entry -run '^$$' -bench . -benchtime 2000x
--- a/days.mk
+++ b/days.mk
@@ -1,18 +1,18 @@
-# Days of the users' bench; included by the root Makefile. BENCH is its program.
+# Targets for the days of the users' bench; included by the root Makefile. BENCH is the bench program.
 .PHONY: day score hunt own-days
 DAY ?= quiet-1
 DAYS ?= 40
 WHY ?= no reason given
 OWN := $(or $(TMPDIR),/tmp)/springweir-days
 
-day: ## play one day of SITE
+day: ## run one day of SITE
 	$(BENCH) run $(SITE) $(DAY) --why "$(WHY)"
 
-score: ## play the standard days of SITE
+score: ## run and score the standard days of SITE
 	$(BENCH) score $(SITE) --why "$(WHY)"
 
-hunt: ## play DAYS days of SITE with other luck
+hunt: ## run DAYS days of SITE with other random seeds
 	$(BENCH) hunt $(SITE) --days $(DAYS) --why "$(WHY)"
 
-own-days: ## play a day for each kind of trouble that SITE knows, and pairs of them
+own-days: ## run a day for each kind of disturbance that SITE supports, and for pairs of them
 	./scripts/own-days.sh "$(BENCH)" "$(SITE)" "$(OWN)" "$(WHY)"
--- a/scripts/own-days.sh
+++ b/scripts/own-days.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# own-days.sh BENCH SITE DIR WHY [JOBS]: writes days of our own for a site, plays them
-# JOBS at a time, and lists those that broke a rule or were not played. Exits 1 if any did.
+# own-days.sh BENCH SITE DIR WHY [JOBS]: generates days for a site, runs JOBS of them in parallel,
+# and lists those that broke a rule or did not complete. Exits 1 if there is any.
 set -euo pipefail
 bench=$1 site=$2 dir=$3 why=$4 jobs=${5:-6}
 rm -rf "$dir"
--- a/scripts/run.sh
+++ b/scripts/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs a whole small site on loopback until Ctrl-C.
+# Runs a complete small site on loopback until Ctrl-C.
 set -euo pipefail
 # shellcheck source=scripts/site.sh
 . "$(dirname "$0")/site.sh"
--- a/scripts/site.sh
+++ b/scripts/site.sh
@@ -1,8 +1,8 @@
-# Starts and stops a whole small site on loopback: the platform, two engines of
+# Starts and stops a complete small site on loopback: the platform, two engines of
 # different roles, a service, and two entry VMs (entry and controller each).
-# Sourced by run.sh and smoke.sh. Every process is ended by its own pid.
+# Sourced by run.sh and smoke.sh. Each process is ended by its pid.
 #
-# NET (1 to 254) picks the loopback network 127.NET.0.0, so that several sites
+# NET (1 to 254) selects the loopback network 127.NET.0.0, so that several sites
 # can run side by side without sharing a port.
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -22,7 +22,7 @@
   echo $! >"$dir/$name.pid"
 }
 
-# await SECONDS COMMAND... tries a command until it succeeds.
+# await SECONDS COMMAND... retries a command until it succeeds; it fails after SECONDS.
 await() {
   local end=$((SECONDS + $1))
   shift
@@ -35,7 +35,7 @@
   done
 }
 
-# list_vm NAME KIND ZONE ADDRESS puts a VM on the platform's list.
+# list_vm NAME KIND ZONE ADDRESS adds a VM to the platform's membership list.
 list_vm() {
   curl -sf -X POST "http://$platform/admin/vms" \
     -d "{\"name\":\"$1\",\"kind\":\"$2\",\"zone\":\"$3\",\"address\":\"$4\"}" >/dev/null
--- a/scripts/smoke.sh
+++ b/scripts/smoke.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts a whole small site, sends a chat, a stream and a non-repeatable call
-# through it, checks the answers, stops everything. Exits 0 if all was right.
+# Starts a complete small site, sends a chat, a stream and a non-repeatable call
+# through it, checks the responses and stops the site. Exits 0 if all checks passed.
 set -euo pipefail
-# A network of this run's own, so that nothing else is in the way.
+# A random network by default, to avoid port conflicts with other sites.
 export NET=${NET:-$((RANDOM % 200 + 20))}
 # shellcheck source=scripts/site.sh
 . "$(dirname "$0")/site.sh"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the tests. Tests listed in KNOWN-RED.txt (one a line: test or test/subtest, command and seed, what was
-# seen, cause, issue; three at most) are printed and passed over; every other test must pass.
+# Runs the tests. Tests listed in KNOWN-RED.txt (one per line: test or test/subtest, command and seed, what was
+# seen, cause, issue; three at most) are printed and skipped; every other test must pass.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 args=()
@@ -17,10 +17,10 @@
     for name in $names; do
       grep -rqE "^func ${name%%/*}\(" --include='*_test.go' . || { echo "KNOWN-RED.txt names $name, which does not exist" >&2; exit 1; }
     done
-    # Test or Test/subtest, each matched whole.
+    # Test or Test/subtest, each matched by its full name.
     args=(-skip "$(echo "$names" | sed -E 's|/|$/^|; s|^|^|; s|$|$|' | paste -sd'|')")
   fi
 fi
 go mod download
-# Never from the cache: e2e builds the programs itself, which the cache does not see.
+# No cached results: the test cache doesn't track the programs that e2e builds.
 exec go test -count=1 "${args[@]}" "$@" ./...
