--- a/standin/enginemodel/defaults_test.go
+++ b/standin/enginemodel/defaults_test.go
@@ -9,15 +9,15 @@
 	"github.com/springweir/springweir/costs"
 )
 
-// TestDefaultsAreTheAssumedCosts: the model keeps its own figures, but what the
-// deciding packages assume by default is true of it. The rate of moving KV
-// cache, which the model works out from bytes, is rounded.
-func TestDefaultsAreTheAssumedCosts(t *testing.T) {
+// TestDefaultParamsMatchCostDefaults checks that the model's defaults, which are defined
+// separately, match the defaults of package costs, on which scheduling decisions are
+// based. The model derives the KV transfer rate from bytes; the rate in costs is rounded.
+func TestDefaultParamsMatchCostDefaults(t *testing.T) {
 	p := DefaultParams()
 	rate := p.KVBytesPerSecond / float64(p.KVBytesPerToken)
 	assumed := costs.Defaults()
-	if off := math.Abs(rate/assumed.MoveRate - 1); off > 0.02 {
-		t.Errorf("KV cache moves at %.0f tokens a second, assumed are %.0f", rate, assumed.MoveRate)
+	if deviation := math.Abs(rate/assumed.MoveRate - 1); deviation > 0.02 {
+		t.Errorf("KV transfer rate is %.0f tokens per second, costs.Defaults has %.0f", rate, assumed.MoveRate)
 	}
 	want := costs.Engine{
 		PrefillRate:     p.PrefillRate,
--- a/standin/enginemodel/job.go
+++ b/standin/enginemodel/job.go
@@ -6,56 +6,56 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// JobID names a job in one Engine. The caller chooses it and never reuses it.
+// JobID identifies a job within one Engine. The caller assigns it and must not reuse it.
 type JobID uint64
 
-// Job is one request as the model sees it.
+// Job describes one request to the model.
 type Job struct {
 	ID       JobID
 	Priority engine.Priority
-	// PromptTokens is the length of the prompt; Hashes are its leading blocks.
+	// PromptTokens is the length of the prompt; Hashes are the hashes of its leading blocks.
 	PromptTokens int
 	Hashes       []uint64
-	// OutputTokens is the length of the whole answer, resumed part included.
+	// OutputTokens is the length of the complete response, including the resumed part.
 	OutputTokens int
-	// ResumeFrom is the number of answer tokens that the caller already holds.
-	// They are prefilled together with the prompt unless imported.
+	// ResumeFrom is the number of response tokens that the caller already has. They are
+	// prefilled after the prompt, also when the prompt's cache is imported.
 	ResumeFrom int
-	// Import brings the prompt's cache from another engine instead of prefilling it.
+	// Import transfers the prompt's cache from another engine instead of prefilling it.
 	Import bool
-	// PrefillOnly ends the job after the prompt and holds its cache for KVHold.
+	// PrefillOnly ends the job after the prefill and retains its cache for Params.KVHold.
 	PrefillOnly bool
-	// EveryToken asks for a Token event for each token.
+	// EveryToken enables a Token event for each token after the first.
 	EveryToken bool
 }
 
-// EventKind tells what happened.
+// EventKind is the type of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// Event kinds.
 const (
-	// FirstToken is the first token of an answer (or of its resumed part).
+	// FirstToken is the first token that the engine generates for a job.
 	FirstToken EventKind = iota + 1
-	// Token is a later token, only of jobs with EveryToken.
+	// Token is a later token; emitted only for jobs with EveryToken.
 	Token
-	// Finished ends a job whose answer is whole.
+	// Finished ends a job whose response is complete.
 	Finished
 	// Prefilled ends a job with PrefillOnly.
 	Prefilled
-	// Cut ends a job that an order broke off.
+	// Cut ends a job that was interrupted by an order.
 	Cut
 	// OrderDone ends an order; its Job is zero.
 	OrderDone
 )
 
-// Event is something that happened to a job.
+// Event is a state change of a job, or the end of an order.
 type Event struct {
 	At   time.Duration
 	Kind EventKind
 	Job  JobID
-	// Tokens is the length of the answer so far, resumed part included.
+	// Tokens is the length of the response so far, including the resumed part.
 	Tokens int
-	// Cached is the number of prompt tokens taken from the prefix cache.
+	// Cached is the number of prompt tokens found in the prefix cache.
 	Cached int
 	// Submitted and First are the times of submission and of the first token.
 	Submitted time.Duration
@@ -64,34 +64,34 @@
 	MaxGap time.Duration
 }
 
-// job is a Job inside the engine.
+// job is the engine's state of a Job.
 type job struct {
 	Job
 	seq       uint64
 	submitted time.Duration
-	// ready is when an imported cache has arrived.
-	ready time.Duration
-	// toPrefill is the number of prompt tokens still to be computed.
-	toPrefill int
-	cached    int
-	produced  int
-	first     time.Duration
-	last      time.Duration
-	maxGap    time.Duration
-	cancelled bool
+	// importedAt is when the transfer of an imported cache completes.
+	importedAt time.Duration
+	// toPrefill is the number of tokens still to be prefilled.
+	toPrefill  int
+	cached     int
+	produced   int
+	firstToken time.Duration
+	lastToken  time.Duration
+	maxGap     time.Duration
+	cancelled  bool
 }
 
-// reserve is the cache memory that the job holds while it runs. The model
-// knows the answer's length, so it reserves all of it at admission and never
-// has to preempt a running job.
-func (j *job) reserve() int {
+// reservedTokens returns the cache memory that the job occupies while it runs. The length
+// of the response is known in advance, so all of it is reserved at admission and a running
+// job never has to be preempted.
+func (j *job) reservedTokens() int {
 	if j.PrefillOnly {
 		return j.PromptTokens + j.ResumeFrom
 	}
 	return j.PromptTokens + j.OutputTokens
 }
 
-func (j *job) context() int {
+func (j *job) contextTokens() int {
 	return j.PromptTokens + j.produced
 }
 
@@ -103,27 +103,27 @@
 		Tokens:    j.produced,
 		Cached:    j.cached,
 		Submitted: j.submitted,
-		First:     j.first,
+		First:     j.firstToken,
 		MaxGap:    j.maxGap,
 	}
 }
 
-// emit notes tokens of which the first ends at time from and the last, which
-// took longest, ends at time at after the step lastStep.
-func (j *job) emit(tokens int, from, at, lastStep time.Duration) {
+// recordTokens records generated tokens. The first ends at time from; the last ends at
+// time at after a step of duration lastStep, which is the longest step.
+func (j *job) recordTokens(tokens int, from, at, lastStep time.Duration) {
 	switch {
-	case j.first == 0:
-		j.first = at
+	case j.firstToken == 0:
+		j.firstToken = at
 	case tokens == 1:
-		j.maxGap = max(j.maxGap, at-j.last)
+		j.maxGap = max(j.maxGap, at-j.lastToken)
 	default:
-		j.maxGap = max(j.maxGap, from-j.last, lastStep)
+		j.maxGap = max(j.maxGap, from-j.lastToken, lastStep)
 	}
-	j.last = at
+	j.lastToken = at
 	j.produced += tokens
 }
 
-// queue is a heap of waiting jobs, the most urgent and then the oldest first.
+// queue is a heap of waiting jobs, ordered by priority and then by submission.
 type queue []*job
 
 func (q queue) Len() int { return len(q) }
--- a/standin/enginemodel/kv.go
+++ b/standin/enginemodel/kv.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// heldKV is the cache of a prefilled job that waits for its importer.
+// heldKV is the cache of a prefilled job, retained until it is imported elsewhere.
 type heldKV struct {
-	id     JobID
-	tokens int
-	until  time.Duration
+	id      JobID
+	tokens  int
+	expires time.Duration
 }
 
-// hold keeps a prefilled job's cache for its importer.
+// hold retains the cache of a prefilled job for KVHold and ends the job.
 func (e *Engine) hold(j *job) {
-	e.held = append(e.held, heldKV{id: j.ID, tokens: j.reserve(), until: e.clock + e.params.KVHold})
+	e.held = append(e.held, heldKV{id: j.ID, tokens: j.reservedTokens(), expires: e.clock + e.params.KVHold})
 	delete(e.jobs, j.ID)
 	e.recycle(j)
 }
 
-// ReleaseKV frees the held cache of a prefilled job, and tells whether it was
-// still held. Caches that nobody releases are freed after KVHold.
+// ReleaseKV frees the retained cache of a prefilled job and reports whether it was still
+// retained. A cache that is not released is freed after KVHold.
 func (e *Engine) ReleaseKV(now time.Duration, id JobID) bool {
 	e.advance(now)
 	at := slices.IndexFunc(e.held, func(h heldKV) bool { return h.id == id })
@@ -35,17 +35,17 @@
 
 func (e *Engine) releaseExpired() {
 	n := 0
-	for n < len(e.held) && e.held[n].until <= e.clock {
+	for n < len(e.held) && e.held[n].expires <= e.clock {
 		e.kvUsed -= e.held[n].tokens
 		n++
 	}
 	e.held = slices.Delete(e.held, 0, n)
 }
 
-// addImport keeps importing ordered by the time at which the caches arrive.
+// addImport inserts the job into importing, which is ordered by importedAt.
 func (e *Engine) addImport(j *job) {
-	at, _ := slices.BinarySearchFunc(e.importing, j.ready, func(o *job, t time.Duration) int {
-		if o.ready <= t {
+	at, _ := slices.BinarySearchFunc(e.importing, j.importedAt, func(o *job, t time.Duration) int {
+		if o.importedAt <= t {
 			return -1
 		}
 		return 1
@@ -53,31 +53,31 @@
 	e.importing = slices.Insert(e.importing, at, j)
 }
 
-func (e *Engine) importsReady() {
+func (e *Engine) queueArrivedImports() {
 	n := 0
-	for n < len(e.importing) && e.importing[n].ready <= e.clock {
+	for n < len(e.importing) && e.importing[n].importedAt <= e.clock {
 		e.push(e.importing[n])
 		n++
 	}
 	e.importing = slices.Delete(e.importing, 0, n)
 }
 
-// cacheRoom is the number of prefix blocks that fit beside the running jobs.
-// Blocks of a running prompt count twice, in the job and in the cache: the
-// model errs towards less memory.
-func (e *Engine) cacheRoom() int {
+// cacheCapacity returns the number of prefix blocks that fit beside the running jobs.
+// Blocks of a running prompt count twice, in the job and in the cache, so the model
+// underestimates the available memory.
+func (e *Engine) cacheCapacity() int {
 	return (e.params.KVTokens - e.kvUsed) / e.params.BlockTokens
 }
 
-// TakeCacheChanges returns the blocks stored and evicted since the last call.
-// It needs Params.RecordCache.
+// TakeCacheChanges returns the blocks stored and evicted since the last call. It returns
+// nothing unless Params.RecordCache is set.
 func (e *Engine) TakeCacheChanges() []CacheChange {
 	out := e.cache.changes
 	e.cache.changes = nil
 	return out
 }
 
-// CachedBlocks returns all cached hashes in no order.
+// CachedBlocks returns all cached hashes in unspecified order.
 func (e *Engine) CachedBlocks() []uint64 {
 	out := make([]uint64, 0, len(e.cache.index))
 	for h := range e.cache.index {
@@ -86,8 +86,8 @@
 	return out
 }
 
-// CachedTokens is the number of prompt tokens that would be taken from the
-// cache now. It does not renew them.
+// CachedTokens returns the number of tokens in the leading hashes that are cached. It does
+// not mark them as used.
 func (e *Engine) CachedTokens(hashes []uint64) int {
 	n := 0
 	for n < len(hashes) {
--- a/standin/enginemodel/load.go
+++ b/standin/enginemodel/load.go
@@ -9,15 +9,15 @@
 
 func (e *Engine) push(j *job) { heap.Push(&e.waiting, j) }
 
-// Load carries the model to now and returns its load. Age, Sequence and Recent
-// are left to whoever sends the report. KVUsed leaves out prefix blocks, which
-// can be evicted at once.
+// Load advances the model to now and returns its load. Age, Sequence and Recent are not
+// set; the sender of the report fills them in. KVUsed excludes prefix blocks, which can be
+// evicted immediately.
 func (e *Engine) Load(now time.Duration) engine.Load {
 	e.advance(now)
 	load := engine.Load{
 		Running:       len(e.prefilling) + len(e.decoding),
 		WaitingTokens: e.prefillLeft(),
-		DecodeTokens:  e.context,
+		DecodeTokens:  e.contextTokens,
 		KVUsed:        e.kvUsed,
 		KVTotal:       e.params.KVTokens,
 	}
@@ -32,13 +32,13 @@
 			}
 		}
 	}
-	if done := e.plan.done(now); done > 0 {
+	if done := e.plan.stepsDone(now); done > 0 {
 		load.DecodeTokens += done * e.plan.decoders
-		load.WaitingTokens -= done * e.plan.prefill
+		load.WaitingTokens -= done * e.plan.prefillTokens
 	}
 	return load
 }
 
-// Recent returns the newest submitted jobs, oldest first, at most 64. The
-// slice is valid until the next call of Submit.
+// Recent returns up to 64 most recently submitted jobs, oldest first. The slice is valid
+// until the next call of Submit.
 func (e *Engine) Recent() []JobID { return e.recent }
--- a/standin/enginemodel/model.go
+++ b/standin/enginemodel/model.go
@@ -7,37 +7,37 @@
 	"github.com/springweir/springweir/engine"
 )
 
-// recentJobs is the number of submitted jobs that Recent remembers.
+// recentJobs is the maximum number of jobs that Recent returns.
 const recentJobs = 64
 
-// Engine is one engine. Its invariants at each step boundary: a live job is in
+// Engine models one engine. Its invariants at each step boundary: a live job is in
 // exactly one of importing, waiting, prefilling, decoding and held; kvUsed is
-// the sum of the reserves of all but the first two; context is the sum of the
-// contexts of decoding; and kvUsed plus the cached blocks fit in KVTokens.
+// the sum of the reserved tokens of all but the first two; contextTokens is the sum of
+// the contexts of decoding; and kvUsed plus the cached blocks fit in KVTokens.
 type Engine struct {
 	params Params
 	role   engine.Role
-	// clock is the boundary that the model has been carried to.
+	// clock is the step boundary that the model has advanced to.
 	clock time.Duration
 	plan  plan
 	jobs  map[JobID]*job
 	seq   uint64
 
-	importing  []*job // by ready time
+	importing  []*job // by importedAt
 	waiting    queue
 	prefilling []*job // in order of admission
 	decoding   []*job
 	held       []heldKV // by expiry
 
-	kvUsed  int
-	context int
-	cache   *cache
+	kvUsed        int
+	contextTokens int
+	cache         *cache
 
-	order  orderRun
-	events []Event
-	spare  []Event
-	recent []JobID
-	spent  []*job // free list
+	order       orderRun
+	events      []Event
+	eventBuffer []Event
+	recent      []JobID
+	freeJobs    []*job // free list
 }
 
 // New returns an idle engine at time zero.
@@ -50,24 +50,24 @@
 	}
 }
 
-// Role returns the role in force.
+// Role returns the current role.
 func (e *Engine) Role() engine.Role { return e.role }
 
 // Params returns the engine's costs.
 func (e *Engine) Params() Params { return e.params }
 
-// Submit hands the engine a job. It fails with *AwayError, *RoleError or
-// *TooLongError; the job has then not run.
+// Submit submits a job. It fails with *UnavailableError, *RoleError or *TooLongError; the
+// job has then not run.
 func (e *Engine) Submit(now time.Duration, in Job) error {
 	e.advance(now)
-	if err := e.refusal(in); err != nil {
+	if err := e.checkSubmission(in); err != nil {
 		return err
 	}
 	j := e.newJob(in, now)
 	e.jobs[j.ID] = j
-	e.remember(j.ID)
+	e.recordRecent(j.ID)
 	if in.Import {
-		j.ready = now + e.params.TransferTime(in.PromptTokens)
+		j.importedAt = now + e.params.TransferTime(in.PromptTokens)
 		e.addImport(j)
 	} else {
 		e.push(j)
@@ -76,9 +76,9 @@
 	return nil
 }
 
-func (e *Engine) refusal(in Job) error {
+func (e *Engine) checkSubmission(in Job) error {
 	if e.order.active && e.order.Cut {
-		return &AwayError{Until: e.order.end}
+		return &UnavailableError{Until: e.order.end}
 	}
 	if e.role == engine.Prefill && !in.PrefillOnly {
 		return &RoleError{Role: e.role}
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// Cancel ends a job without an event, and tells whether it was known. A step
-// under way is finished first, as in a real engine.
+// Cancel ends a job without an event and reports whether the job was live. A step in
+// progress is finished first, as in a real engine.
 func (e *Engine) Cancel(now time.Duration, id JobID) bool {
 	e.advance(now)
 	j, ok := e.jobs[id]
@@ -103,17 +103,17 @@
 	return true
 }
 
-// Advance carries the model to now and returns what happened since the last
-// call, in order of time. The slice is reused by the second next call.
+// Advance advances the model to now and returns the events since the last call, in order
+// of time. The slice is valid until the next call of Advance returns.
 func (e *Engine) Advance(now time.Duration) []Event {
 	e.advance(now)
 	out := e.events
-	e.events, e.spare = e.spare[:0], out
+	e.events, e.eventBuffer = e.eventBuffer[:0], out
 	return out
 }
 
-// NextEvent returns the time at which Advance has something to do, which may
-// but need not give an event. It is false when the engine is idle.
+// NextEvent returns the time at which Advance next has work to do, which does not always
+// produce an event. It returns false when the engine is idle.
 func (e *Engine) NextEvent() (time.Duration, bool) {
 	if len(e.events) > 0 {
 		return e.events[0].At, true
@@ -122,23 +122,25 @@
 		return e.order.end, true
 	}
 	if e.plan.steps > 0 {
-		return e.plan.after(e.plan.steps), true
+		return e.plan.endOfStep(e.plan.steps), true
 	}
-	return e.wake()
+	return e.nextWakeup()
 }
 
-// wake is when an engine with nothing to compute has something again.
-func (e *Engine) wake() (time.Duration, bool) {
+// nextWakeup returns when an engine without runnable jobs may have one: at the next
+// completed import, or when retained cache memory expires.
+func (e *Engine) nextWakeup() (time.Duration, bool) {
 	if len(e.importing) > 0 {
-		return e.importing[0].ready, true
+		return e.importing[0].importedAt, true
 	}
 	if len(e.waiting) > 0 && len(e.held) > 0 {
-		return e.held[0].until, true
+		return e.held[0].expires, true
 	}
 	return 0, false
 }
 
-// interrupt lets a change take effect at the end of the step under way, or now.
+// interrupt makes a change take effect at the end of the step in progress, or immediately
+// if there is none.
 func (e *Engine) interrupt(now time.Duration) {
 	if e.plan.steps > 0 {
 		e.plan.truncate(now)
@@ -147,7 +149,7 @@
 	e.advance(now)
 }
 
-// advance goes from one boundary to the next until now is reached.
+// advance processes the step boundaries up to now.
 func (e *Engine) advance(now time.Duration) {
 	for {
 		end, ok := e.boundary()
@@ -170,20 +172,20 @@
 	}
 }
 
-// boundary is the end of the order or plan under way.
+// boundary returns the end of the current order or plan.
 func (e *Engine) boundary() (time.Duration, bool) {
 	if e.order.active {
 		return e.order.end, true
 	}
 	if e.plan.steps > 0 {
-		return e.plan.after(e.plan.steps), true
+		return e.plan.endOfStep(e.plan.steps), true
 	}
 	return 0, false
 }
 
 // idleUntil moves an idle engine's clock to its next wake-up, or to now.
 func (e *Engine) idleUntil(now time.Duration) {
-	at, ok := e.wake()
+	at, ok := e.nextWakeup()
 	if !ok || at > now {
 		at = now
 	}
@@ -191,14 +193,14 @@
 }
 
 func (e *Engine) wakesBy(now time.Duration) bool {
-	at, ok := e.wake()
+	at, ok := e.nextWakeup()
 	return ok && at <= now && at > e.clock
 }
 
-// admit starts waiting jobs while the batch and the memory have room.
+// admit starts waiting jobs while the batch and the memory have capacity.
 func (e *Engine) admit() {
 	e.releaseExpired()
-	e.importsReady()
+	e.queueArrivedImports()
 	for len(e.waiting) > 0 && len(e.prefilling)+len(e.decoding) < e.params.MaxBatch {
 		j := e.waiting[0]
 		if j.cancelled {
@@ -206,7 +208,7 @@
 			e.recycle(j)
 			continue
 		}
-		if e.kvUsed+j.reserve() > e.params.KVTokens {
+		if e.kvUsed+j.reservedTokens() > e.params.KVTokens {
 			return
 		}
 		heap.Pop(&e.waiting)
@@ -224,28 +226,28 @@
 		j.cached = max(0, min(matched, j.PromptTokens-1))
 	}
 	j.toPrefill = total - j.cached
-	e.kvUsed += j.reserve()
-	e.cache.shrink(e.cacheRoom())
+	e.kvUsed += j.reservedTokens()
+	e.cache.shrink(e.cacheCapacity())
 	if j.toPrefill > 0 {
 		e.prefilling = append(e.prefilling, j)
 		return
 	}
 	e.decoding = append(e.decoding, j)
-	e.context += j.context()
+	e.contextTokens += j.contextTokens()
 }
 
-// drop forgets a running job and frees its memory.
+// drop removes a running job and frees its memory.
 func (e *Engine) drop(j *job) {
-	e.kvUsed -= j.reserve()
+	e.kvUsed -= j.reservedTokens()
 	delete(e.jobs, j.ID)
 	e.recycle(j)
 }
 
 func (e *Engine) newJob(in Job, now time.Duration) *job {
 	e.seq++
-	if n := len(e.spent); n > 0 {
-		j := e.spent[n-1]
-		e.spent = e.spent[:n-1]
+	if n := len(e.freeJobs); n > 0 {
+		j := e.freeJobs[n-1]
+		e.freeJobs = e.freeJobs[:n-1]
 		*j = job{Job: in, seq: e.seq, submitted: now}
 		return j
 	}
@@ -254,12 +256,12 @@
 
 func (e *Engine) recycle(j *job) {
 	j.Hashes = nil
-	e.spent = append(e.spent, j)
+	e.freeJobs = append(e.freeJobs, j)
 }
 
-func (e *Engine) tell(ev Event) { e.events = append(e.events, ev) }
+func (e *Engine) emitEvent(ev Event) { e.events = append(e.events, ev) }
 
-func (e *Engine) remember(id JobID) {
+func (e *Engine) recordRecent(id JobID) {
 	if len(e.recent) == recentJobs {
 		copy(e.recent, e.recent[1:])
 		e.recent = e.recent[:recentJobs-1]
--- a/standin/enginemodel/model_test.go
+++ b/standin/enginemodel/model_test.go
@@ -52,13 +52,14 @@
 	return out
 }
 
-// play submits the jobs, with Advance called at each event or only at submissions.
+// play submits the jobs and returns the final event of each. With each set, the jobs emit
+// an event for every token, so that every plan has a single step.
 func play(t *testing.T, p Params, jobs []submission, each bool) map[JobID]Event {
 	t.Helper()
 	e := New(p, engine.Mixed)
 	ends := map[JobID]Event{}
 	var last time.Duration
-	note := func(events []Event) {
+	check := func(events []Event) {
 		for _, ev := range events {
 			if ev.At < last {
 				t.Fatalf("event %+v before %v", ev, last)
@@ -72,22 +73,22 @@
 			}
 			ends[ev.Job] = ev
 		}
-		if blocks := len(e.cache.index); blocks > e.cacheRoom() || e.kvUsed > p.KVTokens {
+		if blocks := len(e.cache.index); blocks > e.cacheCapacity() || e.kvUsed > p.KVTokens {
 			t.Fatalf("memory overrun: %d blocks, %d of %d tokens", blocks, e.kvUsed, p.KVTokens)
 		}
 	}
 	for _, s := range jobs {
 		for at, ok := e.NextEvent(); ok && at < s.at; at, ok = e.NextEvent() {
-			note(e.Advance(at))
+			check(e.Advance(at))
 		}
 		s.job.EveryToken = each
 		if err := e.Submit(s.at, s.job); err != nil {
 			t.Fatal(err)
 		}
 	}
-	note(drain(e))
-	if e.kvUsed-heldTokens(e) != 0 || e.context != 0 || len(e.jobs) != 0 {
-		t.Fatalf("left over: kv %d, context %d, jobs %d", e.kvUsed, e.context, len(e.jobs))
+	check(drain(e))
+	if e.kvUsed-heldTokens(e) != 0 || e.contextTokens != 0 || len(e.jobs) != 0 {
+		t.Fatalf("not released: kv %d, context %d, jobs %d", e.kvUsed, e.contextTokens, len(e.jobs))
 	}
 	return ends
 }
@@ -100,9 +101,10 @@
 	return n
 }
 
-// Runs of equal steps must give the times of single steps, and every job must
-// end once, within memory, whatever comes.
-func TestRunsOfStepsEqualSingleSteps(t *testing.T) {
+// TestStepRunsMatchSingleSteps checks with random jobs that plans of several equal steps
+// give the same times as single steps, that every job ends once, and that the memory limit
+// is kept.
+func TestStepRunsMatchSingleSteps(t *testing.T) {
 	p := DefaultParams()
 	p.KVTokens = 20_000
 	p.MaxBatch = 8
--- a/standin/enginemodel/order.go
+++ b/standin/enginemodel/order.go
@@ -8,15 +8,15 @@
 	"github.com/springweir/springweir/failure"
 )
 
-// Order is a change that takes the engine away for a while.
+// Order is a reconfiguration during which the engine is unavailable.
 type Order struct {
-	// Duration is how long nothing runs.
+	// Duration is how long the engine is unavailable.
 	Duration time.Duration
-	// Role is the role afterwards; empty leaves it.
+	// Role is the role afterwards; empty keeps the current role.
 	Role engine.Role
-	// Cut ends all jobs and empties the cache, as a change of role or of the
-	// model does. Without it the jobs stand still and go on afterwards, as with
-	// an adapter.
+	// Cut ends all jobs and empties the cache, as a change of the role or the model
+	// does. Without it the jobs are paused and continue afterwards, as when an
+	// adapter is loaded.
 	Cut bool
 }
 
@@ -26,38 +26,38 @@
 	end    time.Duration
 }
 
-// BeginOrder starts an order. It fails with *AwayError while another runs.
-// With Cut each live job ends with a Cut event, and Submit is refused until
-// the OrderDone event.
+// BeginOrder starts an order. It fails with *UnavailableError while another is running.
+// With Order.Cut, each live job ends with a Cut event, and Submit fails until the
+// OrderDone event.
 func (e *Engine) BeginOrder(now time.Duration, o Order) error {
 	e.advance(now)
 	if e.order.active {
-		return &AwayError{Until: e.order.end}
+		return &UnavailableError{Until: e.order.end}
 	}
-	// The step under way is lost; the steps before it count.
+	// The step in progress is discarded; the completed steps are applied.
 	if e.plan.steps > 0 {
-		e.plan.steps = e.plan.done(now)
+		e.plan.steps = e.plan.stepsDone(now)
 		e.apply()
 	}
 	e.clock = now
 	if o.Cut {
-		e.cutAll()
+		e.interruptAll()
 	}
 	e.order = orderRun{Order: o, active: true, end: now + o.Duration}
 	return nil
 }
 
-func (e *Engine) cutAll() {
+func (e *Engine) interruptAll() {
 	groups := [][]*job{e.importing, e.waiting, e.prefilling, e.decoding}
 	for _, group := range groups {
 		for _, j := range group {
 			if !j.cancelled {
-				e.tell(j.event(Cut, e.clock))
+				e.emitEvent(j.event(Cut, e.clock))
 			}
 		}
 	}
 	e.importing, e.waiting, e.prefilling, e.decoding, e.held = nil, nil, nil, nil, nil
-	e.kvUsed, e.context = 0, 0
+	e.kvUsed, e.contextTokens = 0, 0
 	clear(e.jobs)
 	e.cache.shrink(0)
 }
@@ -68,19 +68,20 @@
 		e.role = e.order.Role
 	}
 	e.order = orderRun{}
-	e.tell(Event{At: e.clock, Kind: OrderDone})
+	e.emitEvent(Event{At: e.clock, Kind: OrderDone})
 }
 
-// AwayError is a job or order refused because an order is running.
-type AwayError struct{ Until time.Duration }
+// UnavailableError reports a job or order refused because an order is running. Until is
+// the time at which that order ends.
+type UnavailableError struct{ Until time.Duration }
 
 // Error implements error.
-func (e *AwayError) Error() string { return fmt.Sprintf("engine is away until %v", e.Until) }
+func (e *UnavailableError) Error() string { return fmt.Sprintf("engine is away until %v", e.Until) }
 
 // Reason implements failure.Coded.
-func (e *AwayError) Reason() failure.Reason { return failure.EngineBusy }
+func (e *UnavailableError) Reason() failure.Reason { return failure.EngineBusy }
 
-// RoleError is a job that the engine's role does not take.
+// RoleError reports a job that an engine of this role does not accept.
 type RoleError struct{ Role engine.Role }
 
 // Error implements error.
@@ -89,7 +90,7 @@
 // Reason implements failure.Coded.
 func (e *RoleError) Reason() failure.Reason { return failure.EndpointRefused }
 
-// TooLongError is a job that does not fit into the engine's whole memory.
+// TooLongError reports a job that exceeds the engine's total cache memory, in tokens.
 type TooLongError struct{ Tokens, Limit int }
 
 // Error implements error.
--- a/standin/enginemodel/orderbook.go
+++ b/standin/enginemodel/orderbook.go
@@ -2,23 +2,23 @@
 
 import "github.com/springweir/springweir/engine"
 
-// CrashPoint is a place in the middle of an order.
+// CrashPoint is a point during the processing of an order at which the engine crashes.
 type CrashPoint string
 
-// The crash points.
+// Crash points.
 const (
 	NoCrash CrashPoint = ""
-	// CrashBeforeAccept is before the engine has noted the order.
+	// CrashBeforeAccept is before the engine has recorded the order.
 	CrashBeforeAccept CrashPoint = "before-accept"
-	// CrashAfterAccept is before the order's sender has its answer.
+	// CrashAfterAccept is after the order was recorded and before the response is sent.
 	CrashAfterAccept CrashPoint = "after-accept"
-	// CrashMidway is while the order takes effect.
+	// CrashMidway is while the order is being applied.
 	CrashMidway CrashPoint = "midway"
-	// CrashAtEnd is after the change and before anyone can see it.
+	// CrashAtEnd is after the order was applied and before its result is visible.
 	CrashAtEnd CrashPoint = "at-end"
 )
 
-// Valid tells whether the crash point is known.
+// Valid reports whether p is a defined crash point.
 func (p CrashPoint) Valid() bool {
 	switch p {
 	case NoCrash, CrashBeforeAccept, CrashAfterAccept, CrashMidway, CrashAtEnd:
@@ -27,35 +27,34 @@
 	return false
 }
 
-// OrderBook is how one incarnation of an engine decides about orders. It
-// remembers only the last order: a copy of an earlier one that arrives after
-// another order is taken for new, as the poorest of real engines would. It is
-// not safe for concurrent use.
+// OrderBook accepts or refuses orders for one incarnation of an engine. It stores only the
+// last order: a duplicate of an earlier order that arrives after another order is treated
+// as new, as by the least capable real engines. It is not safe for concurrent use.
 type OrderBook struct {
-	// Incarnation is the engine's own.
+	// Incarnation is the incarnation of this engine.
 	Incarnation string
-	// CheckFence refuses orders with an old fencing number.
+	// CheckFence enables the refusal of orders with a stale fencing token.
 	CheckFence bool
 
-	highest uint64
-	current *engine.Order
-	state   engine.OrderState
+	highestFence uint64
+	current      *engine.Order
+	state        engine.OrderState
 }
 
-// Accept decides about an order and tells whether it is new and has to begin.
-// It fails with *engine.IncarnationError, *engine.StaleFenceError or
-// *engine.BusyError. The incarnation is checked first, since nothing else in an
-// order for another one means anything here. A repeat of the last order is
-// never busy.
+// Accept accepts or refuses an order and reports whether it is new and must be started.
+// It fails with *engine.IncarnationError, *engine.StaleFenceError or *engine.BusyError.
+// The incarnation is checked first, since the other fields of an order for another
+// incarnation are meaningless here. A duplicate of the last order never fails with
+// *engine.BusyError.
 func (b *OrderBook) Accept(o engine.Order) (bool, error) {
 	if o.Incarnation != b.Incarnation {
 		return false, &engine.IncarnationError{Want: o.Incarnation, Have: b.Incarnation}
 	}
-	if b.CheckFence && o.Fence < b.highest {
-		return false, &engine.StaleFenceError{Sent: o.Fence, Highest: b.highest}
+	if b.CheckFence && o.Fence < b.highestFence {
+		return false, &engine.StaleFenceError{Sent: o.Fence, Highest: b.highestFence}
 	}
-	// Even an order refused as busy tells of a newer holder.
-	b.highest = max(b.highest, o.Fence)
+	// Even an order refused as busy proves that its fencing token was issued.
+	b.highestFence = max(b.highestFence, o.Fence)
 	if b.current != nil && b.current.ID == o.ID {
 		return false, nil
 	}
@@ -70,7 +69,7 @@
 // Finish marks the last order as done.
 func (b *OrderBook) Finish() { b.state.Phase = engine.OrderDone }
 
-// Fail marks the last order as failed: the engine is as it was.
+// Fail marks the last order as failed, with the engine unchanged.
 func (b *OrderBook) Fail(message string) {
 	b.state.Phase = engine.OrderFailed
 	b.state.Error = message
@@ -79,7 +78,7 @@
 // Current returns the last order accepted, or nil.
 func (b *OrderBook) Current() *engine.Order { return b.current }
 
-// State returns how far the last order has come, or nil without one.
+// State returns the state of the last order accepted, or nil.
 func (b *OrderBook) State() *engine.OrderState {
 	if b.current == nil {
 		return nil
@@ -88,10 +87,10 @@
 	return &state
 }
 
-// Highest returns the highest fencing number seen, or zero when it is not kept.
+// Highest returns the highest fencing token received, or zero without CheckFence.
 func (b *OrderBook) Highest() uint64 {
 	if !b.CheckFence {
 		return 0
 	}
-	return b.highest
+	return b.highestFence
 }
--- a/standin/enginemodel/params.go
+++ b/standin/enginemodel/params.go
@@ -1,13 +1,13 @@
 // Package enginemodel is a deterministic timing model of one model engine:
 // continuous batching with a prefill and a decode cost, a prefix cache in
-// limited memory, priorities, KV transfer, and orders that take the engine
-// away for a while.
+// limited memory, priorities, KV transfer, and orders during which
+// the engine is unavailable.
 //
-// The model has no goroutines and no clock. The caller passes the time to each
-// call, as a duration since any fixed start, and may never go back in time. The
-// same calls always give the same events. An Engine is not safe for concurrent
-// use. Package standin/engine runs it in real time behind HTTP; the policy
-// measurements run many of them in virtual time.
+// The model has no goroutines and no clock. The caller passes the time to each call, as a
+// duration since an arbitrary fixed start, and it must never decrease. The same calls
+// always produce the same events. An Engine is not safe for concurrent use. Package
+// standin/engine runs one in real time behind HTTP; the policy simulations run many of
+// them in virtual time.
 package enginemodel
 
 import (
@@ -18,37 +18,37 @@
 
 // Params are the costs of one engine.
 type Params struct {
-	// PrefillRate is prompt tokens a second.
+	// PrefillRate is the prefill throughput, in tokens per second.
 	PrefillRate float64
-	// StepBase is the cost of one step of a batch with a sequence that decodes.
+	// StepBase is the base duration of a step in which at least one sequence decodes.
 	StepBase time.Duration
 	// StepPerSequence is added to a step for each decoding sequence.
 	StepPerSequence time.Duration
 	// StepPerContext is added to a step for each token of decoding context, in nanoseconds.
 	StepPerContext float64
-	// MaxBatch bounds the sequences that run together.
+	// MaxBatch is the maximum number of sequences that run concurrently.
 	MaxBatch int
 	// KVTokens is the cache memory, in tokens.
 	KVTokens int
 	// BlockTokens is the number of prompt tokens that one prefix hash covers.
 	BlockTokens int
-	// PrefillChunk bounds the prompt tokens of a step while nothing decodes.
+	// PrefillChunk is the maximum number of prompt tokens per step while no sequence decodes.
 	PrefillChunk int
-	// MixedChunk and DecodeChunk bound them in a mixed or decode engine while
-	// sequences decode.
+	// MixedChunk and DecodeChunk are the maximum while sequences decode: DecodeChunk in
+	// a decode engine, MixedChunk in any other.
 	MixedChunk  int
 	DecodeChunk int
-	// KVBytesPerToken, KVBytesPerSecond and KVLatency give the time to move a cache.
+	// KVBytesPerToken, KVBytesPerSecond and KVLatency determine the time to transfer a cache.
 	KVBytesPerToken  int
 	KVBytesPerSecond float64
 	KVLatency        time.Duration
-	// KVHold is how long an exported cache is kept for its importer.
+	// KVHold is how long an exported cache is retained for its import.
 	KVHold time.Duration
-	// RoleChange, LoadModel and LoadAdapter are the usual times of orders.
+	// RoleChange, LoadModel and LoadAdapter are the typical durations of orders.
 	RoleChange  time.Duration
 	LoadModel   time.Duration
 	LoadAdapter time.Duration
-	// RecordCache turns on TakeCacheChanges.
+	// RecordCache enables TakeCacheChanges.
 	RecordCache bool
 }
 
@@ -76,14 +76,14 @@
 	}
 }
 
-// TransferTime is the time to move the cache of so many tokens between engines.
+// TransferTime returns the time to transfer the cache of a number of tokens between engines.
 func (p *Params) TransferTime(tokens int) time.Duration {
 	bytes := float64(tokens) * float64(p.KVBytesPerToken)
 	return p.KVLatency + seconds(bytes/p.KVBytesPerSecond)
 }
 
-// chunk is the most prompt tokens that one step takes.
-func (p *Params) chunk(role engine.Role, decoding int) int {
+// maxPrefillTokens returns the maximum number of prompt tokens per step.
+func (p *Params) maxPrefillTokens(role engine.Role, decoding int) int {
 	switch {
 	case decoding == 0:
 		return p.PrefillChunk
--- a/standin/enginemodel/step.go
+++ b/standin/enginemodel/step.go
@@ -5,78 +5,80 @@
 	"time"
 )
 
-// plan is a run of equal steps: the same sequences decode in each, and the same
-// number of prompt tokens is computed in each. Only the last step may finish a
-// job or a prompt, so a plan of any length is applied at once.
+// plan is a series of equal steps: in each, the same sequences decode and the same number
+// of prompt tokens is prefilled. Only the last step may finish a job or a prompt, so a plan
+// of any length is applied at once.
 type plan struct {
 	start time.Duration
 	steps int
-	// decoders and context are the sequences and their tokens at the start.
-	decoders int
-	context  int
-	// prefill is the number of prompt tokens of each step.
-	prefill int
-	// fixed is the part of a step's time that does not grow, in nanoseconds.
+	// decoders is the number of decoding sequences; contextTokens is the sum of their
+	// contexts at the start.
+	decoders      int
+	contextTokens int
+	// prefillTokens is the number of prompt tokens of each step.
+	prefillTokens int
+	// fixed is the part of a step's duration that is independent of the context, in
+	// nanoseconds.
 	fixed float64
 	// perContext is Params.StepPerContext.
 	perContext float64
 }
 
-// after is the time at which k steps are done. The context grows by one token
-// a sequence and step, so its sum over the steps is closed-form.
-func (p *plan) after(k int) time.Duration {
+// endOfStep returns the time at which k steps are complete. The context grows by one token
+// per sequence and step, so its sum over the steps has a closed form.
+func (p *plan) endOfStep(k int) time.Duration {
 	n := float64(k)
 	grown := float64(p.decoders) * n * (n - 1) / 2
-	sum := n*float64(p.context) + grown
+	sum := n*float64(p.contextTokens) + grown
 	return p.start + time.Duration(n*p.fixed+p.perContext*sum)
 }
 
-// done is the number of steps done at a time.
-func (p *plan) done(now time.Duration) int {
-	return sort.Search(p.steps, func(k int) bool { return p.after(k+1) > now })
+// stepsDone returns the number of steps completed at now.
+func (p *plan) stepsDone(now time.Duration) int {
+	return sort.Search(p.steps, func(k int) bool { return p.endOfStep(k+1) > now })
 }
 
-// truncate ends the plan with the step that is under way.
+// truncate ends the plan after the step in progress at now.
 func (p *plan) truncate(now time.Duration) {
-	p.steps = min(p.steps, p.done(now)+1)
+	p.steps = min(p.steps, p.stepsDone(now)+1)
 }
 
-// newPlan plans from the clock, or returns a plan of no steps when nothing can run.
+// newPlan returns the plan that starts at the clock; it has no steps if no job can run.
 func (e *Engine) newPlan() plan {
 	p := plan{
-		start:      e.clock,
-		decoders:   len(e.decoding),
-		context:    e.context,
-		perContext: e.params.StepPerContext,
+		start:         e.clock,
+		decoders:      len(e.decoding),
+		contextTokens: e.contextTokens,
+		perContext:    e.params.StepPerContext,
 	}
-	chunk := e.params.chunk(e.role, p.decoders)
-	p.prefill = min(chunk, e.prefillLeft())
-	if p.decoders == 0 && p.prefill == 0 {
+	chunk := e.params.maxPrefillTokens(e.role, p.decoders)
+	p.prefillTokens = min(chunk, e.prefillLeft())
+	if p.decoders == 0 && p.prefillTokens == 0 {
 		return plan{}
 	}
-	p.fixed = float64(p.prefill) / e.params.PrefillRate * float64(time.Second)
+	p.fixed = float64(p.prefillTokens) / e.params.PrefillRate * float64(time.Second)
 	if p.decoders > 0 {
 		p.fixed += float64(e.params.StepBase)
 		p.fixed += float64(p.decoders) * float64(e.params.StepPerSequence)
 	}
-	p.steps = e.equalSteps(p.prefill)
+	p.steps = e.equalSteps(p.prefillTokens)
 	if len(e.importing) > 0 {
-		p.truncate(e.importing[0].ready)
+		p.truncate(e.importing[0].importedAt)
 	}
 	if len(e.waiting) > 0 && len(e.held) > 0 {
-		p.truncate(e.held[0].until)
+		p.truncate(e.held[0].expires)
 	}
 	return p
 }
 
-// equalSteps is the number of steps until a job or prompt is finished.
+// equalSteps returns the number of equal steps until a job or prompt may finish, at least 1.
 func (e *Engine) equalSteps(prefill int) int {
 	steps := int(^uint(0) >> 1)
 	if prefill > 0 {
 		steps = max(1, e.prefilling[0].toPrefill/prefill)
 	}
 	for _, j := range e.decoding {
-		if j.EveryToken || j.first == 0 {
+		if j.EveryToken || j.firstToken == 0 {
 			return 1
 		}
 		steps = min(steps, j.OutputTokens-j.produced)
@@ -92,33 +94,33 @@
 	return n
 }
 
-// apply carries out the plan's steps and clears it.
+// apply applies the steps of the plan and clears it.
 func (e *Engine) apply() {
 	p := e.plan
 	e.plan = plan{}
 	if p.steps == 0 {
 		return
 	}
-	e.clock = p.after(p.steps)
+	e.clock = p.endOfStep(p.steps)
 	e.applyDecode(p)
-	e.applyPrefill(p.prefill * p.steps)
+	e.applyPrefill(p.prefillTokens * p.steps)
 }
 
 func (e *Engine) applyDecode(p plan) {
-	firstEnd := p.after(1)
-	lastStep := e.clock - p.after(p.steps-1)
+	firstEnd := p.endOfStep(1)
+	lastStep := e.clock - p.endOfStep(p.steps-1)
 	kept := e.decoding[:0]
 	for _, j := range e.decoding {
 		if j.cancelled {
-			e.context -= j.context()
+			e.contextTokens -= j.contextTokens()
 			e.drop(j)
 			continue
 		}
-		first := j.first == 0
-		j.emit(p.steps, firstEnd, e.clock, lastStep)
-		e.context += p.steps
-		if e.report(j, first) {
-			e.context -= j.context()
+		first := j.firstToken == 0
+		j.recordTokens(p.steps, firstEnd, e.clock, lastStep)
+		e.contextTokens += p.steps
+		if e.reportToken(j, first) {
+			e.contextTokens -= j.contextTokens()
 			continue
 		}
 		kept = append(kept, j)
@@ -127,17 +129,17 @@
 	e.decoding = kept
 }
 
-// report tells of a job's newest token, and whether it was the last.
-func (e *Engine) report(j *job, first bool) bool {
+// reportToken emits the events for a job's latest token and reports whether it was the last.
+func (e *Engine) reportToken(j *job, first bool) bool {
 	if first {
-		e.tell(j.event(FirstToken, e.clock))
+		e.emitEvent(j.event(FirstToken, e.clock))
 	} else if j.EveryToken {
-		e.tell(j.event(Token, e.clock))
+		e.emitEvent(j.event(Token, e.clock))
 	}
 	if j.produced < j.OutputTokens {
 		return false
 	}
-	e.tell(j.event(Finished, e.clock))
+	e.emitEvent(j.event(Finished, e.clock))
 	e.drop(j)
 	return true
 }
@@ -156,24 +158,24 @@
 			kept = append(kept, j)
 			continue
 		}
-		e.prefilled(j)
+		e.finishPrefill(j)
 	}
 	clear(e.prefilling[len(kept):])
 	e.prefilling = kept
 }
 
-// prefilled ends a prompt: its last step also gives the answer's next token.
-func (e *Engine) prefilled(j *job) {
-	e.cache.store(j.Hashes, e.cacheRoom())
+// finishPrefill completes a prompt, whose last step also generates the next response token.
+func (e *Engine) finishPrefill(j *job) {
+	e.cache.store(j.Hashes, e.cacheCapacity())
 	if j.PrefillOnly {
-		e.tell(j.event(Prefilled, e.clock))
+		e.emitEvent(j.event(Prefilled, e.clock))
 		e.hold(j)
 		return
 	}
-	j.emit(1, e.clock, e.clock, 0)
-	if e.report(j, true) {
+	j.recordTokens(1, e.clock, e.clock, 0)
+	if e.reportToken(j, true) {
 		return
 	}
 	e.decoding = append(e.decoding, j)
-	e.context += j.context()
+	e.contextTokens += j.contextTokens()
 }
--- a/standin/enginemodel/text.go
+++ b/standin/enginemodel/text.go
@@ -6,38 +6,38 @@
 	"strings"
 )
 
-// The stand-ins' answers have between minAnswer and minAnswer+answerSpread tokens.
+// The stand-ins' responses have from minResponseTokens up to, not including,
+// minResponseTokens+responseTokenRange tokens.
 const (
-	minAnswer    = 16
-	answerSpread = 112
+	minResponseTokens  = 16
+	responseTokenRange = 112
 )
 
-// AnswerTokens returns the length of the stand-ins' answer to a prompt, and
-// whether it ends by itself rather than at the limit.
+// AnswerTokens returns the length of the stand-ins' response to a prompt, and whether it
+// ends before it would exceed the limit. A limit of zero means no limit.
 func AnswerTokens(prompt string, limit int) (int, bool) {
-	n := minAnswer + int(Seed(prompt)%answerSpread)
+	n := minResponseTokens + int(Seed(prompt)%responseTokenRange)
 	if limit > 0 && n > limit {
 		return limit, false
 	}
 	return n, true
 }
 
-// Seed sums up all of a prompt that its answer depends on.
+// Seed returns the hash of a prompt that determines the response.
 func Seed(prompt string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(prompt))
 	return h.Sum32()
 }
 
-// TokenText returns one token of the answer to a prompt with the seed. It holds
-// the seed and the position, so that a test sees whether an answer is whole, in
-// order and its own.
+// TokenText returns one token of the response to a prompt with the seed. It contains the
+// seed and the position, so that a test can check that a response is complete, in order and
+// belongs to its prompt.
 func TokenText(seed uint32, position int) string {
 	return fmt.Sprintf("%08x.%d ", seed, position)
 }
 
-// AnswerText returns the answer's tokens from one position up to, not
-// including, another.
+// AnswerText returns the text of the response tokens in the range [from, to).
 func AnswerText(prompt string, from, to int) string {
 	seed := Seed(prompt)
 	var b strings.Builder
