--- a/standin/serve.go
+++ b/standin/serve.go
@@ -1,5 +1,5 @@
-// Package standin serves the stand-ins: each one's handler over HTTP, until the
-// process is told to stop.
+// Package standin runs the HTTP server of a stand-in and shuts it down gracefully when the
+// process is stopped.
 package standin
 
 import (
@@ -18,40 +18,40 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// idleTimeout must be longer than the clients keep unused connections.
+	// idleTimeout must exceed the time for which clients keep idle connections.
 	idleTimeout = time.Minute
-	// drainPoll is the time between two looks at what is still open.
+	// drainPoll is the interval at which drain checks for open requests.
 	drainPoll = 50 * time.Millisecond
-	// stopTimeout lets answers whose handler has just returned reach the wire.
+	// stopTimeout allows responses of handlers that have just returned to be sent.
 	stopTimeout = time.Second
 )
 
-// Server serves one stand-in.
+// Server is the HTTP server of one stand-in.
 type Server struct {
-	// Name begins its log lines; Listen is the address to listen on (host:port).
+	// Name is the prefix of the log lines; Listen is the address to listen on (host:port).
 	Name    string
 	Listen  string
 	Handler http.Handler
-	// Endpoint is set for a stand-in that leaves before it stops.
+	// Endpoint is set for a stand-in that drains before it stops; nil for others.
 	Endpoint *Endpoint
-	// Grace bounds the wait for open work once the server is told to stop.
+	// Grace is the maximum time to wait for open requests after the server is stopped.
 	Grace time.Duration
 }
 
-// Endpoint is what lets a stand-in leave without cutting anything off.
+// Endpoint holds the callbacks with which a stand-in drains before it stops.
 type Endpoint struct {
-	// Leave makes it refuse new work; Open counts the work under way.
+	// Leave makes the stand-in refuse new work; Open returns the number of requests in flight.
 	Leave func()
 	Open  func() int
-	// Run works beside the handler until its context ends; it may be nil.
+	// Run runs concurrently with the handler until its context ends; it may be nil.
 	Run func(context.Context)
-	// Linger is how long it stays reachable after Leave, so that everybody
-	// sees it leave.
+	// Linger is the minimum time for which the stand-in stays reachable after Leave, so
+	// that every client can observe that it is leaving. Grace limits it.
 	Linger time.Duration
 }
 
-// Serve listens and serves until ctx ends, then leaves, lets open work finish,
-// and stops. It logs the address it got as "<name>: listening on <address>".
+// Serve listens and serves until ctx ends, then drains open requests and stops. It logs
+// the bound address as "<name>: listening on <address>".
 func (s *Server) Serve(ctx context.Context) error {
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", s.Listen)
 	if err != nil {
@@ -67,8 +67,8 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 	}
-	// What runs beside the handler must outlive ctx until the work is done.
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// Endpoint.Run must continue after ctx ends, until the open requests are drained.
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
 	group.Go(func() error {
@@ -80,46 +80,47 @@
 	})
 	if s.Endpoint != nil && s.Endpoint.Run != nil {
 		group.Go(func() error {
-			s.Endpoint.Run(running)
+			s.Endpoint.Run(serveCtx)
 			return nil
 		})
 	}
 	select {
 	case <-ctx.Done():
-		s.stop(running, server)
-	case <-running.Done():
+		s.stop(serveCtx, server)
+	case <-serveCtx.Done():
 	}
 	return group.Wait()
 }
 
-// stop ends the server. What is open after the grace is cut; the log of an
-// endpoint tells how much.
-func (s *Server) stop(running context.Context, server *http.Server) {
+// stop shuts the server down. Requests still open after the grace period are aborted; for
+// an endpoint their number is logged.
+func (s *Server) stop(serveCtx context.Context, server *http.Server) {
 	if s.Endpoint == nil {
 		shutdown(server, s.Grace)
 		return
 	}
-	s.Endpoint.drain(running, s.Grace)
+	s.Endpoint.drain(serveCtx, s.Grace)
 	if n := s.Endpoint.Open(); n > 0 {
-		klog.Warningf("%s: stop with %d open", s.Name, n)
+		klog.Warningf("%s: stopping with %d requests open", s.Name, n)
 	}
 	shutdown(server, stopTimeout)
 }
 
-// shutdown refuses new connections, and cuts what is open after so long.
-func shutdown(server *http.Server, after time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), after)
+// shutdown refuses new connections and closes the remaining ones after the timeout.
+func shutdown(server *http.Server, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		server.Close()
 	}
 }
 
-// drain leaves and waits for the open work, as long as the server runs.
-func (e *Endpoint) drain(running context.Context, grace time.Duration) {
+// drain calls Leave, then waits for Linger and until no request is open, at most for grace
+// and only while the server runs.
+func (e *Endpoint) drain(serveCtx context.Context, grace time.Duration) {
 	e.Leave()
-	alive := loop.Sleep(running, min(e.Linger, grace))
+	alive := loop.Sleep(serveCtx, min(e.Linger, grace))
 	for waited := e.Linger; alive && e.Open() > 0 && waited < grace; waited += drainPoll {
-		alive = loop.Sleep(running, drainPoll)
+		alive = loop.Sleep(serveCtx, drainPoll)
 	}
 }
--- a/standin/serve_test.go
+++ b/standin/serve_test.go
@@ -15,7 +15,8 @@
 	"github.com/springweir/springweir/internal/pipenet"
 )
 
-// TestServeFinishesOpenRequests stops the server while it answers a request.
+// TestServeFinishesOpenRequests checks that a request completes if the server is stopped
+// while it is being handled.
 func TestServeFinishesOpenRequests(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,9 +28,9 @@
 		stop()
 		_, _ = w.Write([]byte("whole"))
 	})
-	ended := make(chan error, 1)
+	served := make(chan error, 1)
 	s := &Server{Name: "test", Handler: handler, Grace: 5 * time.Second}
-	go func() { ended <- s.serve(ctx, ln) }()
+	go func() { served <- s.serve(ctx, ln) }()
 	resp, err := http.Get("http://" + ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -38,13 +39,13 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if err := <-ended; err != nil {
+	if err := <-served; err != nil {
 		t.Errorf("serve: %v", err)
 	}
 }
 
-// TestServeReportsBusyAddress listens where another listens already.
-func TestServeReportsBusyAddress(t *testing.T) {
+// TestServeReportsAddressInUse checks that Serve fails if the address is already in use.
+func TestServeReportsAddressInUse(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,36 +53,37 @@
 	defer ln.Close()
 	s := &Server{Name: "test", Listen: ln.Addr().String(), Handler: http.NotFoundHandler()}
 	if err := s.Serve(t.Context()); err == nil {
-		t.Error("no error")
+		t.Error("Serve on an address in use did not fail")
 	}
 }
 
-// TestEndpointLeaves stops an endpoint while it works for a call.
-func TestEndpointLeaves(t *testing.T) {
+// TestEndpointDrainsBeforeStop stops an endpoint while a request is in flight and checks
+// that the request completes within the grace period, or is aborted after it.
+func TestEndpointDrainsBeforeStop(t *testing.T) {
 	type outcome struct {
-		Whole bool
-		// Left is when Leave was called, Stopped when the server had stopped.
-		Left, Stopped time.Duration
+		Complete bool
+		// LeaveCalled is when Leave was called, Stopped when the server had stopped.
+		LeaveCalled, Stopped time.Duration
 	}
 	tests := []struct {
 		name string
 		work time.Duration
 		want outcome
 	}{
-		{"no work", 0, outcome{Whole: true, Left: time.Second, Stopped: 5 * time.Second}},
-		{"work within the grace", 20 * time.Second, outcome{Whole: true, Left: time.Second, Stopped: 20 * time.Second}},
-		{"work over the grace", time.Hour, outcome{Left: time.Second, Stopped: 62 * time.Second}},
+		{"no work", 0, outcome{Complete: true, LeaveCalled: time.Second, Stopped: 5 * time.Second}},
+		{"work within the grace", 20 * time.Second, outcome{Complete: true, LeaveCalled: time.Second, Stopped: 20 * time.Second}},
+		{"work over the grace", time.Hour, outcome{LeaveCalled: time.Second, Stopped: 62 * time.Second}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				began := time.Now()
+				start := time.Now()
 				var got outcome
 				var open atomic.Int64
 				e := &Endpoint{
-					Leave:  func() { got.Left = time.Since(began) },
+					Leave:  func() { got.LeaveCalled = time.Since(start) },
 					Open:   func() int { return int(open.Load()) },
 					Run:    func(running context.Context) { <-running.Done() },
 					Linger: 4 * time.Second,
@@ -96,14 +98,14 @@
 					}
 				})
 				ln := pipenet.Listen()
-				answered := make(chan bool, 1)
-				go func() { answered <- get(ln) }()
+				completed := make(chan bool, 1)
+				go func() { completed <- getsComplete(ln) }()
 				s := &Server{Name: "test", Handler: handler, Endpoint: e, Grace: time.Minute}
 				if err := s.serve(ctx, ln); err != nil {
 					t.Error(err)
 				}
-				got.Stopped = time.Since(began).Truncate(time.Second)
-				got.Whole = <-answered
+				got.Stopped = time.Since(start).Truncate(time.Second)
+				got.Complete = <-completed
 				if diff := cmp.Diff(tt.want, got); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
 				}
@@ -112,8 +114,8 @@
 	}
 }
 
-// get tells whether the answer to a call comes whole.
-func get(ln *pipenet.Listener) bool {
+// getsComplete sends a request and reports whether the complete response was received.
+func getsComplete(ln *pipenet.Listener) bool {
 	client := &http.Client{Transport: &http.Transport{DialContext: ln.Dial, DisableKeepAlives: true}}
 	resp, err := client.Get("http://endpoint")
 	if err != nil {
