--- a/standin/service/server.go
+++ b/standin/service/server.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain service: it counts how often
-// each call ran, and can be slow, crash after a run, answer late or refuse.
+// Package service is a stand-in for a plain service. It counts how often each call ran,
+// and can inject delays, crashes, refusals and mismatched responses.
 package service
 
 import (
@@ -18,34 +18,34 @@
 	"github.com/springweir/springweir/service"
 )
 
-// Mode is how calls are treated.
+// Mode is the behaviour injected into calls.
 type Mode string
 
 // The modes.
 const (
 	Normal Mode = "normal"
-	// Slow waits before the call runs. A call whose caller leaves is not run.
+	// Slow waits before the call runs. The call is not run if the caller disconnects.
 	Slow Mode = "slow"
-	// CrashAfterRun runs the call and drops the connection without an answer.
+	// CrashAfterRun runs the call and closes the connection without a response.
 	CrashAfterRun Mode = "crash-after-run"
-	// LateAnswer runs the call and waits before it answers.
-	LateAnswer Mode = "late-answer"
-	// Refuse says that the call was not run.
+	// LateResponse runs the call and waits before it responds.
+	LateResponse Mode = "late-answer"
+	// Refuse responds that the call was not run.
 	Refuse Mode = "refuse"
-	// Crossed runs the call and answers as if to another attempt.
+	// Crossed runs the call and responds with the ID of another attempt.
 	Crossed Mode = "crossed"
 )
 
 const (
 	adminPath = "/admin/"
 	maxBody   = 16 << 20
-	// defaultDelay is the wait of Slow and LateAnswer.
+	// defaultDelay is the default delay of Slow and LateResponse.
 	defaultDelay = 2 * time.Second
 	headerTrue   = "true"
 )
 
-// Reply is the body of an answer. Sum is a checksum of the call's body.
-type Reply struct {
+// Response is the body of a response. Sum is the FNV-1a checksum of the request body.
+type Response struct {
 	Call   string `json:"call"`
 	Runs   int    `json:"runs"`
 	Method string `json:"method"`
@@ -55,23 +55,24 @@
 
 // Server is a stand-in service. It is safe for concurrent use.
 type Server struct {
-	mu      sync.Mutex
-	mode    Mode
-	delay   time.Duration
-	left    int
-	leaving bool
-	open    int
-	runs    map[string]int
+	mu        sync.Mutex
+	mode      Mode
+	delay     time.Duration
+	remaining int
+	leaving   bool
+	inFlight  int
+	runs      map[string]int
 }
 
-// New returns a server in a mode; zero values take Normal and 2 s.
+// New returns a server with the mode and delay; zero values select Normal and defaultDelay.
 func New(mode Mode, delay time.Duration) *Server {
 	s := &Server{runs: make(map[string]int)}
 	s.Set(mode, delay, 0)
 	return s
 }
 
-// Set changes the mode for the next calls, or for all when calls is zero.
+// Set sets the mode of the next calls, after which it returns to Normal. If calls is zero,
+// the mode applies until the next Set. Zero values of mode and delay are as for New.
 func (s *Server) Set(mode Mode, delay time.Duration, calls int) {
 	if mode == "" {
 		mode = Normal
@@ -81,59 +82,60 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode, s.delay, s.left = mode, delay, calls
+	s.mode, s.delay, s.remaining = mode, delay, calls
 }
 
-// Leave makes the service refuse new calls.
+// Leave makes the service refuse new calls and announce that it is leaving.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Open is the number of calls under way.
+// Open returns the number of calls in flight.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.open
+	return s.inFlight
 }
 
-// Runs tells how often each call ran, by Idempotency-Key or else by attempt.
+// Runs returns how often each call ran, by Idempotency-Key or, without one, by attempt.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// next takes the mode for one call.
-func (s *Server) next() (Mode, time.Duration, bool) {
+// beginCall counts a call as in flight and returns its mode and delay, and whether the
+// service is leaving. Every beginCall must be followed by an endCall.
+func (s *Server) beginCall() (Mode, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open++
+	s.inFlight++
 	mode, delay := s.mode, s.delay
-	if s.left > 0 {
-		s.left--
-		if s.left == 0 {
+	if s.remaining > 0 {
+		s.remaining--
+		if s.remaining == 0 {
 			s.mode = Normal
 		}
 	}
 	return mode, delay, s.leaving
 }
 
-func (s *Server) end() {
+func (s *Server) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.inFlight--
 }
 
-// ServeHTTP implements http.Handler. Paths below /admin/ steer the stand-in.
+// ServeHTTP implements http.Handler. Paths below /admin/ control the stand-in.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, adminPath) {
 		s.admin(w, r)
 		return
 	}
-	mode, delay, leaving := s.next()
-	defer s.end()
+	mode, delay, leaving := s.beginCall()
+	defer s.endCall()
 	attempt := r.Header.Get(service.AttemptHeader)
 	w.Header().Set(service.AttemptHeader, attempt)
 	if leaving {
@@ -153,19 +155,19 @@
 	if mode == Slow && !loop.Sleep(r.Context(), delay) {
 		return
 	}
-	reply := s.run(r, body)
+	response := s.run(r, body)
 	switch mode {
 	case CrashAfterRun:
 		panic(http.ErrAbortHandler)
-	case LateAnswer:
+	case LateResponse:
 		loop.Sleep(context.WithoutCancel(r.Context()), delay)
 	case Crossed:
 		w.Header().Set(service.AttemptHeader, attempt+"-other")
 	}
-	writeJSON(w, reply)
+	writeJSON(w, response)
 }
 
-func (s *Server) run(r *http.Request, body []byte) Reply {
+func (s *Server) run(r *http.Request, body []byte) Response {
 	call := r.Header.Get(service.IdempotencyKeyHeader)
 	if call == "" {
 		call = r.Header.Get(service.AttemptHeader)
@@ -175,7 +177,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[call]++
-	return Reply{
+	return Response{
 		Call:   call,
 		Runs:   s.runs[call],
 		Method: r.Method,
@@ -218,10 +220,10 @@
 	return v
 }
 
-// Valid tells whether the mode is known.
+// Valid reports whether m is a defined mode.
 func (m Mode) Valid() bool {
 	switch m {
-	case Normal, Slow, CrashAfterRun, LateAnswer, Refuse, Crossed:
+	case Normal, Slow, CrashAfterRun, LateResponse, Refuse, Crossed:
 		return true
 	}
 	return false
@@ -229,6 +231,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// An error here is the caller's connection; nobody is left to tell.
+	// An error means that the connection failed, so it can't be reported to the caller.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/standin/service/server_test.go
+++ b/standin/service/server_test.go
@@ -30,8 +30,9 @@
 	return c, l
 }
 
-// do makes a call with key k1 and reads its whole answer.
-func do(ctx context.Context, c *service.Client, method string, body []byte) (Reply, error) {
+// do makes a call, with idempotency key k1 unless it is a GET, and reads the complete
+// response.
+func do(ctx context.Context, c *service.Client, method string, body []byte) (Response, error) {
 	call := service.Call{
 		Attempt: "a1",
 		Method:  method,
@@ -42,20 +43,21 @@
 	if method == http.MethodGet {
 		call.Header.Del("Idempotency-Key")
 	}
-	a, err := c.Do(ctx, call)
+	resp, err := c.Do(ctx, call)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
-	defer a.Body.Close()
-	b, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
-	var r Reply
+	var r Response
 	return r, json.Unmarshal(b, &r)
 }
 
-// What the client says of a call against how often it really ran.
+// TestModes checks for each mode the error that the client reports against the number of
+// times that the call ran.
 func TestModes(t *testing.T) {
 	type result struct {
 		Reason failure.Reason
@@ -68,7 +70,7 @@
 	}{
 		{Normal, result{"", "", 1}},
 		{Slow, result{failure.DeadlinePassed, failure.Unknown, 0}},
-		{LateAnswer, result{failure.DeadlinePassed, failure.Unknown, 1}},
+		{LateResponse, result{failure.DeadlinePassed, failure.Unknown, 1}},
 		{CrashAfterRun, result{failure.EndpointBroke, failure.Unknown, 1}},
 		{Crossed, result{failure.AnswerMismatch, failure.Unknown, 1}},
 		{Refuse, result{failure.EndpointRefused, failure.NotRun, 0}},
@@ -80,13 +82,13 @@
 					c, _ := serve(t, s)
 					ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 					defer cancel()
-					reply, err := do(ctx, c, http.MethodPost, body)
+					response, err := do(ctx, c, http.MethodPost, body)
 					got := result{}
 					var f *failure.Request
 					if errors.As(err, &f) {
 						got.Reason, got.Ran = f.Code, f.Ran
-					} else if err != nil || reply.Call != "k1" || reply.Path != "/slots/7?day=2" {
-						t.Errorf("got %+v, %v", reply, err)
+					} else if err != nil || response.Call != "k1" || response.Path != "/slots/7?day=2" {
+						t.Errorf("got %+v, %v", response, err)
 					}
 					time.Sleep(time.Minute)
 					got.Runs = s.Runs()["k1"]
@@ -99,8 +101,9 @@
 	}
 }
 
-// Only calls that read share connections; a mode can last for some calls; a
-// leaving service says so and runs nothing.
+// TestConnectionsAndLeaving checks that only GET calls reuse connections, that a mode can be
+// limited to a number of calls, and that a leaving service refuses calls without running
+// them.
 func TestConnectionsAndLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Normal, 0)
@@ -131,8 +134,9 @@
 	})
 }
 
-// Answers that break off, or of which nobody could tell, are no answers.
-func TestAnswerMustBeProvablyWhole(t *testing.T) {
+// TestIncompleteResponsesFail checks that a response that is truncated, or that has no
+// length by which truncation could be detected, is an error.
+func TestIncompleteResponsesFail(t *testing.T) {
 	for name, raw := range map[string]string{
 		"short":  "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -155,12 +159,13 @@
 	}
 }
 
-// The key reaches the endpoint; what concerns one connection does not.
+// TestHeaders checks that the idempotency key is forwarded to the endpoint and that
+// hop-by-hop headers are not.
 func TestHeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got http.Header
 		c, _ := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got = r.Header }))
-		// The empty answer does not parse; only the call matters here.
+		// The empty response does not parse; only the request headers matter here.
 		_, _ = do(t.Context(), c, http.MethodPost, nil)
 		for name, want := range map[string]string{"Idempotency-Key": "k1", service.AttemptHeader: "a1", "X-Hop": ""} {
 			if got.Get(name) != want {
@@ -170,6 +175,8 @@
 	})
 }
 
+// TestPathCannotNameAnotherHost checks that a path that would change the host of the URL is
+// refused.
 func TestPathCannotNameAnotherHost(t *testing.T) {
 	c := service.NewClient(service.Options{Address: "127.0.0.1:1"})
 	_, err := c.Do(t.Context(), service.Call{Method: "POST", Path: "@127.0.0.1:2/x"})
