--- a/standin/platform/admin.go
+++ b/standin/platform/admin.go
@@ -13,18 +13,18 @@
 
 // Paths of the admin interface.
 const (
-	// FaultsPath takes a POST of Faults, which replace those in force.
+	// FaultsPath accepts a POST of Faults, which replace the active ones.
 	FaultsPath = "/admin/faults"
-	// VMsPath takes a POST of a membership.VM, which is added or replaced, and
-	// a DELETE of VMsPath + "/" + name. Both show after the lag.
+	// VMsPath accepts a POST of a membership.VM, which is added or replaced, and a DELETE
+	// of VMsPath + "/" + name. Both become visible after the membership lag.
 	VMsPath = "/admin/vms"
-	// CountsPath answers a GET with Counts.
+	// CountsPath responds to a GET with Counts.
 	CountsPath = "/admin/counts"
-	// HealthPath answers a GET with 200.
+	// HealthPath responds to a GET with status 200.
 	HealthPath = "/admin/health"
 )
 
-// Faults are the faults in force. The zero value is a healthy platform.
+// Faults are the injected faults. The zero value is a healthy platform.
 type Faults struct {
 	Table      TableFaults      `json:"table"`
 	Objects    ObjectFaults     `json:"objects"`
@@ -33,35 +33,35 @@
 	WeightsDown bool `json:"weights_down"`
 }
 
-// TableFaults are the faults of the table service.
+// TableFaults are the injected faults of the table service.
 type TableFaults struct {
-	// Down refuses every call before it has any effect.
+	// Down makes every call fail without any effect.
 	Down bool `json:"down"`
 	// SlowMillis delays every call.
 	SlowMillis int64 `json:"slow_ms"`
-	// LoseAnswers lets writes take effect and breaks their connection.
+	// LoseAnswers applies writes but closes the connection without a response.
 	LoseAnswers bool `json:"lose_answers"`
-	// ApplyAfterMillis breaks the connection of writes at once and applies
-	// them that much later.
+	// ApplyAfterMillis closes the connection of a write immediately and applies the
+	// write after this delay.
 	ApplyAfterMillis int64 `json:"apply_after_ms"`
 }
 
-// ObjectFaults are the faults of the object store.
+// ObjectFaults are the injected faults of the object store; see TableFaults for the fields.
 type ObjectFaults struct {
 	Down        bool  `json:"down"`
 	SlowMillis  int64 `json:"slow_ms"`
 	LoseAnswers bool  `json:"lose_answers"`
 }
 
-// MembershipFaults are the faults of the membership list.
+// MembershipFaults are the injected faults of the membership list.
 type MembershipFaults struct {
 	Down       bool  `json:"down"`
 	SlowMillis int64 `json:"slow_ms"`
-	// LagMillis is how late changes show; absent leaves it as it is.
+	// LagMillis is the delay after which changes become visible; nil keeps the current lag.
 	LagMillis *int64 `json:"lag_ms,omitempty"`
 }
 
-// Counts are the calls since the start.
+// Counts are the numbers of calls since the start of the process.
 type Counts struct {
 	Table           memtable.Counts  `json:"table"`
 	Objects         memobject.Counts `json:"objects"`
@@ -83,10 +83,10 @@
 		return
 	}
 	p.Apply(f)
-	answer(w, http.StatusOK, f)
+	writeJSON(w, http.StatusOK, f)
 }
 
-// Apply puts f in force in place of the faults before.
+// Apply replaces the active faults by f.
 func (p *Platform) Apply(f Faults) {
 	p.Table.SetDown(f.Table.Down)
 	p.Table.SetFault(memtable.Fault{
@@ -115,11 +115,11 @@
 		return
 	}
 	if vm.Name == "" || vm.Zone == "" || vm.Kind != membership.Entry && vm.Kind != membership.Endpoint {
-		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: "name, kind and zone must be given"})
+		writeJSON(w, http.StatusBadRequest, table.ErrorResponse{Problem: "name, kind and zone must be given"})
 		return
 	}
 	p.List.Put(vm)
-	answer(w, http.StatusOK, vm)
+	writeJSON(w, http.StatusOK, vm)
 }
 
 func (p *Platform) removeVM(w http.ResponseWriter, r *http.Request) {
@@ -128,7 +128,7 @@
 }
 
 func (p *Platform) showCounts(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, Counts{
+	writeJSON(w, http.StatusOK, Counts{
 		Table:           p.Table.Counts(),
 		Objects:         p.Objects.Counts(),
 		MembershipReads: p.List.Reads(),
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform is a small stand-in for the platform: the transactional
-// table service, the object store, the lagging membership list and the
-// rate-limited weight store, behind one HTTP address. Admin endpoints inject
-// faults and show counts.
+// Package platform is a stand-in for the platform: the transactional table service, the
+// object store, the membership list with its lag and the rate-limited weight store, served
+// at one HTTP address. Admin endpoints inject faults and return call counts.
 package platform
 
 import (
@@ -21,11 +20,12 @@
 	"github.com/springweir/springweir/weightstore/fakestore"
 )
 
-// maxBody bounds the body of every request but that of an object. It has room
-// for the largest transaction of usual rows.
+// maxBody is the maximum size in bytes of every request body except an object. The largest
+// transaction of rows of typical size fits into it.
 const maxBody = 16 << 20
 
-// Defaults of the stand-in.
+// Defaults of the stand-in: the membership lag, the rate and concurrency limits of the
+// weight store, and the size of an artifact.
 const (
 	DefaultLag            = 2 * time.Second
 	DefaultBytesPerSecond = 2 << 30
@@ -35,7 +35,7 @@
 	weightWindow = time.Second
 )
 
-// Platform is the stand-in. The fakes may be used directly as well.
+// Platform is the stand-in. Its fakes may also be used directly.
 type Platform struct {
 	Table   *memtable.Table
 	Objects *memobject.Store
@@ -59,7 +59,7 @@
 	return p
 }
 
-// Handler serves the platform.
+// Handler returns the HTTP handler of the platform.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+table.GetPath, p.tableGet)
@@ -76,20 +76,21 @@
 	return mux
 }
 
-// decode reads a JSON body into request; it answers 400 and returns false when
-// it cannot.
+// decode decodes a JSON body into request. On failure it responds with status 400 and
+// returns false.
 func decode(w http.ResponseWriter, r *http.Request, request any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	d.DisallowUnknownFields()
 	if err := d.Decode(request); err != nil {
-		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: err.Error()})
+		writeJSON(w, http.StatusBadRequest, table.ErrorResponse{Problem: err.Error()})
 		return false
 	}
 	return true
 }
 
-// answer writes a JSON answer. A failure to write is the caller's to notice.
-func answer(w http.ResponseWriter, status int, body any) {
+// writeJSON writes a JSON response. Write errors are ignored: the client detects the broken
+// connection.
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -99,17 +100,17 @@
 	_, _ = w.Write(data)
 }
 
-// loseAnswer breaks the connection without an answer.
-func loseAnswer() { panic(http.ErrAbortHandler) }
+// dropConnection aborts the handler, which closes the connection without a response.
+func dropConnection() { panic(http.ErrAbortHandler) }
 
 func (p *Platform) objectPut(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, object.MaxBytes))
 	if err != nil {
-		answer(w, http.StatusRequestEntityTooLarge, table.ErrorResponse{Problem: err.Error()})
+		writeJSON(w, http.StatusRequestEntityTooLarge, table.ErrorResponse{Problem: err.Error()})
 		return
 	}
 	if err := p.Objects.Put(r.Context(), r.PathValue("name"), data); err != nil {
-		objectError(w, err)
+		writeObjectError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -118,7 +119,7 @@
 func (p *Platform) objectGet(w http.ResponseWriter, r *http.Request) {
 	data, err := p.Objects.Get(r.Context(), r.PathValue("name"))
 	if err != nil {
-		objectError(w, err)
+		writeObjectError(w, err)
 		return
 	}
 	_, _ = w.Write(data)
@@ -126,11 +127,11 @@
 
 func (p *Platform) objectDelete(w http.ResponseWriter, r *http.Request) {
 	if err := p.Objects.Delete(r.Context(), r.PathValue("name")); err != nil {
-		objectError(w, err)
+		writeObjectError(w, err)
 	}
 }
 
-func objectError(w http.ResponseWriter, err error) {
+func writeObjectError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	var missing *object.MissingError
 	var invalid *object.InvalidError
@@ -140,7 +141,7 @@
 	case errors.As(err, &invalid):
 		status = http.StatusBadRequest
 	}
-	answer(w, status, table.ErrorResponse{Problem: err.Error()})
+	writeJSON(w, status, table.ErrorResponse{Problem: err.Error()})
 }
 
 func (p *Platform) weightsDescribe(w http.ResponseWriter, r *http.Request) {
@@ -149,12 +150,12 @@
 		return
 	}
 	info, err := p.Weights.Describe(r.Context(), a)
-	weightsAnswer(w, info, err)
+	writeWeightsResponse(w, info, err)
 }
 
 func (p *Platform) weightsLimits(w http.ResponseWriter, r *http.Request) {
 	limits, err := p.Weights.Limits(r.Context())
-	weightsAnswer(w, limits, err)
+	writeWeightsResponse(w, limits, err)
 }
 
 func (p *Platform) weightsFetch(w http.ResponseWriter, r *http.Request) {
@@ -163,23 +164,23 @@
 		return
 	}
 	if f.Bytes <= 0 || f.Fetcher == "" {
-		answer(w, http.StatusBadRequest, table.ErrorResponse{Problem: "fetcher and bytes must be given"})
+		writeJSON(w, http.StatusBadRequest, table.ErrorResponse{Problem: "fetcher and bytes must be given"})
 		return
 	}
-	weightsAnswer(w, struct{}{}, p.Weights.Fetch(r.Context(), f.Fetcher, f.Artifact, f.Bytes))
+	writeWeightsResponse(w, struct{}{}, p.Weights.Fetch(r.Context(), f.Fetcher, f.Artifact, f.Bytes))
 }
 
-func weightsAnswer(w http.ResponseWriter, body any, err error) {
+func writeWeightsResponse(w http.ResponseWriter, body any, err error) {
 	var missing *weightstore.MissingError
 	var limited *weightstore.RateLimitError
 	switch {
 	case err == nil:
-		answer(w, http.StatusOK, body)
+		writeJSON(w, http.StatusOK, body)
 	case errors.As(err, &missing):
-		answer(w, http.StatusNotFound, table.ErrorResponse{Problem: err.Error()})
+		writeJSON(w, http.StatusNotFound, table.ErrorResponse{Problem: err.Error()})
 	case errors.As(err, &limited):
-		answer(w, http.StatusTooManyRequests, weightstore.Refusal{RetryAfterMillis: limited.RetryAfter.Milliseconds() + 1})
+		writeJSON(w, http.StatusTooManyRequests, weightstore.Refusal{RetryAfterMillis: limited.RetryAfter.Milliseconds() + 1})
 	default:
-		answer(w, http.StatusServiceUnavailable, table.ErrorResponse{Problem: err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, table.ErrorResponse{Problem: err.Error()})
 	}
 }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -22,8 +22,8 @@
 
 const address = "platform:1"
 
-// bench is a platform and the clients that reach it over HTTP.
-type bench struct {
+// fixture is a platform and its clients, connected over HTTP.
+type fixture struct {
 	*Platform
 	config  httponce.Config
 	table   *table.Client
@@ -32,8 +32,8 @@
 	weights *weightstore.Client
 }
 
-// run runs test in virtual time against a platform behind HTTP.
-func run(t *testing.T, test func(t *testing.T, b *bench)) {
+// run runs test in virtual time against a platform served over HTTP.
+func run(t *testing.T, test func(t *testing.T, b *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := pipenet.Listen()
@@ -41,7 +41,7 @@
 		server := &http.Server{Handler: p.Handler()}
 		go func() { _ = server.Serve(l) }()
 		c := httponce.Config{Dial: l.Dial}
-		test(t, &bench{
+		test(t, &fixture{
 			Platform: p,
 			config:   c,
 			table:    table.NewClient(address, c),
@@ -50,7 +50,7 @@
 			weights:  weightstore.NewClient(address, c),
 		})
 		_ = server.Close()
-		time.Sleep(time.Hour) // Idle connections of the clients time out.
+		time.Sleep(time.Hour) // Lets the idle connections of the clients time out.
 	})
 }
 
@@ -71,7 +71,7 @@
 }
 
 func TestTableOverHTTP(t *testing.T) {
-	run(t, func(t *testing.T, b *bench) {
+	run(t, func(t *testing.T, b *fixture) {
 		txn := write("a", "1")
 		txn.Writes = append(txn.Writes, table.Write{Key: key("b"), Value: []byte{}}, table.Write{Key: key("c"), Delete: true})
 		versions, err := b.table.Commit(t.Context(), txn)
@@ -95,14 +95,15 @@
 	})
 }
 
-// TestTableFaultsOverHTTP checks that the client claims no more than it knows.
+// TestTableFaultsOverHTTP checks that the client reports an outcome as certain only if it
+// is: a commit whose response is lost or late has an unknown outcome.
 func TestTableFaultsOverHTTP(t *testing.T) {
 	tests := []struct {
 		name       string
 		faults     TableFaults
 		wantCommit failure.Reason
 		wantGet    failure.Reason
-		// wantRow tells whether the row is there in the end.
+		// wantRow is whether the row exists one minute after the commit.
 		wantRow bool
 	}{
 		{name: "healthy", wantRow: true},
@@ -111,14 +112,14 @@
 		{name: "slow", faults: TableFaults{SlowMillis: 1000}, wantRow: true},
 		{name: "too slow", faults: TableFaults{SlowMillis: 10_000},
 			wantCommit: failure.TableUnknown, wantGet: failure.TableUnavailable},
-		{name: "answers lost", faults: TableFaults{LoseAnswers: true},
+		{name: "responses lost", faults: TableFaults{LoseAnswers: true},
 			wantCommit: failure.TableUnknown, wantRow: true},
 		{name: "applied late", faults: TableFaults{ApplyAfterMillis: 10_000},
 			wantCommit: failure.TableUnknown, wantRow: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			run(t, func(t *testing.T, b *bench) {
+			run(t, func(t *testing.T, b *fixture) {
 				post(t, b, FaultsPath, Faults{Table: tt.faults})
 				_, err := b.table.Commit(t.Context(), write("a", "1"))
 				if got := reason(err); got != tt.wantCommit {
@@ -132,36 +133,36 @@
 				post(t, b, FaultsPath, Faults{})
 				rows, err := b.table.Get(t.Context(), key("a"))
 				if err != nil || (rows[0].Version != table.Absent) != tt.wantRow {
-					t.Errorf("in the end: %v %v, want row %v", rows, err, tt.wantRow)
+					t.Errorf("after a minute: %v %v, want row %v", rows, err, tt.wantRow)
 				}
 			})
 		})
 	}
 }
 
-// post sends body to an admin path.
-func post(t *testing.T, b *bench, path string, body any) {
+// post sends body as JSON to an admin path.
+func post(t *testing.T, b *fixture, path string, body any) {
 	t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := httponce.NewSender(b.config).Call(t.Context(), http.MethodPost, "http://"+address+path, nil, data)
-	if err != nil || a.Status != http.StatusOK {
-		t.Fatalf("%s: %+v, %v", path, a, err)
+	resp, err := httponce.NewSender(b.config).Call(t.Context(), http.MethodPost, "http://"+address+path, nil, data)
+	if err != nil || resp.Status != http.StatusOK {
+		t.Fatalf("%s: %+v, %v", path, resp, err)
 	}
 }
 
-// TestGarbledAnswers gives the clients answers that mean nothing.
-func TestGarbledAnswers(t *testing.T) {
+// TestMalformedResponses checks that the clients report malformed responses as errors.
+func TestMalformedResponses(t *testing.T) {
 	for _, body := range []string{"", "{", "{}", `{"versions":[1,2]}`, `{"rows":[]}`} {
 		for _, status := range []int{http.StatusOK, http.StatusConflict, http.StatusServiceUnavailable, http.StatusTeapot} {
-			synctest.Test(t, func(t *testing.T) { checkGarbled(t, status, body) })
+			synctest.Test(t, func(t *testing.T) { checkMalformed(t, status, body) })
 		}
 	}
 }
 
-func checkGarbled(t *testing.T, status int, body string) {
+func checkMalformed(t *testing.T, status int, body string) {
 	l := pipenet.Listen()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -182,7 +183,7 @@
 }
 
 func TestObjectsOverHTTP(t *testing.T) {
-	run(t, func(t *testing.T, b *bench) {
+	run(t, func(t *testing.T, b *fixture) {
 		const name = "config/v 1?%2F"
 		data := bytes.Repeat([]byte("x"), object.MaxBytes)
 		if err := b.objects.Put(t.Context(), name, data); err != nil {
@@ -192,7 +193,7 @@
 		if err != nil || !bytes.Equal(got, data) {
 			t.Errorf("got %d bytes, %v", len(got), err)
 		}
-		for range 2 { // the second finds nothing left
+		for range 2 { // the second delete finds no object
 			if err := b.objects.Delete(t.Context(), name); err != nil {
 				t.Fatal(err)
 			}
@@ -212,13 +213,13 @@
 		}
 		got, err = b.objects.Get(t.Context(), "lost")
 		if string(got) != "y" || err != nil {
-			t.Errorf("after a lost answer: %q, %v", got, err)
+			t.Errorf("after a lost response: %q, %v", got, err)
 		}
 	})
 }
 
 func TestMembershipOverHTTP(t *testing.T) {
-	run(t, func(t *testing.T, b *bench) {
+	run(t, func(t *testing.T, b *fixture) {
 		vms := []membership.VM{
 			{Name: "a1", Kind: membership.Entry, Zone: "a", Address: "127.0.0.1:1"},
 			{Name: "b1", Kind: membership.Entry, Zone: "b", Address: "127.0.0.1:2"},
@@ -227,16 +228,16 @@
 		for _, vm := range vms {
 			post(t, b, VMsPath, vm)
 		}
-		expect(t, b.list)
+		expectVMs(t, b.list)
 		time.Sleep(DefaultLag)
-		expect(t, b.list, vms...)
+		expectVMs(t, b.list, vms...)
 		inA := membership.NewClient(address, "a", b.config)
-		expect(t, inA, vms[:2]...)
-		expect(t, inA, vms[:2]...) // Unchanged, so not sent again.
+		expectVMs(t, inA, vms[:2]...)
+		expectVMs(t, inA, vms[:2]...) // Unchanged, so the server responds with 304.
 		vms[0].Leaving = true
 		post(t, b, VMsPath, vms[0])
 		time.Sleep(DefaultLag)
-		expect(t, inA, vms[:2]...)
+		expectVMs(t, inA, vms[:2]...)
 		post(t, b, FaultsPath, Faults{Membership: MembershipFaults{Down: true}})
 		if _, err := inA.VMs(t.Context()); reason(err) != failure.MembershipUnavailable {
 			t.Errorf("down: %v", err)
@@ -247,7 +248,7 @@
 	})
 }
 
-func expect(t *testing.T, l membership.List, want ...membership.VM) {
+func expectVMs(t *testing.T, l membership.List, want ...membership.VM) {
 	t.Helper()
 	got, err := l.VMs(t.Context())
 	if err != nil {
@@ -258,9 +259,10 @@
 	}
 }
 
-// TestUnchangedListIsNotSentAgain measures an answer to a second read.
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
-	run(t, func(t *testing.T, b *bench) {
+// TestUnchangedListIsNotResent checks that a conditional read of an unchanged list returns
+// status 304 and no body.
+func TestUnchangedListIsNotResent(t *testing.T) {
+	run(t, func(t *testing.T, b *fixture) {
 		sender := httponce.NewSender(b.config)
 		url := "http://" + address + membership.ListPath
 		first, err := sender.Call(t.Context(), http.MethodGet, url, nil, nil)
@@ -276,7 +278,7 @@
 }
 
 func TestWeightsOverHTTP(t *testing.T) {
-	run(t, func(t *testing.T, b *bench) {
+	run(t, func(t *testing.T, b *fixture) {
 		a := weightstore.Artifact{Model: "m", Version: "1"}
 		b.Weights.SetLimits(weightstore.Limits{BytesPerSecond: 100, Concurrent: 2, Window: time.Second})
 		b.Weights.Put(weightstore.Info{Artifact: a, Bytes: 250})
